--- a/src/main/java/tinworks/channel/SignalCodec.java
+++ b/src/main/java/tinworks/channel/SignalCodec.java
@@ -25,11 +25,11 @@
 import tinworks.raft.Message;
 import tinworks.raft.Message.Append;
 import tinworks.raft.Message.AppendReply;
-import tinworks.raft.Message.HandOver;
-import tinworks.raft.Message.Install;
-import tinworks.raft.Message.InstallReply;
+import tinworks.raft.Message.InstallSnapshot;
+import tinworks.raft.Message.InstallSnapshotReply;
 import tinworks.raft.Message.LeaseEnded;
 import tinworks.raft.Message.LeaseQuery;
+import tinworks.raft.Message.TimeoutNow;
 import tinworks.raft.Message.VoteReply;
 import tinworks.raft.Message.VoteRequest;
 import tinworks.raft.Snapshot;
@@ -228,18 +228,18 @@
         if (message instanceof VoteRequest m) {
             out.one(VOTE_REQUEST)
                     .eight(m.term())
-                    .flag(m.pre())
+                    .flag(m.preVote())
                     .eight(m.lastIndex())
                     .eight(m.lastTerm())
-                    .flag(m.handedOver());
+                    .flag(m.leadershipTransfer());
         } else if (message instanceof VoteReply m) {
-            out.one(VOTE_REPLY).eight(m.term()).flag(m.pre()).flag(m.granted());
+            out.one(VOTE_REPLY).eight(m.term()).flag(m.preVote()).flag(m.granted());
         } else if (message instanceof Append m) {
             out.one(APPEND)
                     .eight(m.term())
                     .eight(m.previousIndex())
                     .eight(m.previousTerm())
-                    .eight(m.commit())
+                    .eight(m.leaderCommit())
                     .eight(m.round())
                     .eight(m.echo())
                     .eight(m.leaseMillis())
@@ -252,12 +252,12 @@
         } else if (message instanceof AppendReply m) {
             out.one(APPEND_REPLY)
                     .eight(m.term())
-                    .flag(m.taken())
+                    .flag(m.success())
                     .eight(m.index())
                     .eight(m.round())
                     .eight(m.sentAt());
-        } else if (message instanceof Install m) {
-            Snapshot.Label label = m.label();
+        } else if (message instanceof InstallSnapshot m) {
+            Snapshot.Metadata label = m.metadata();
             out.one(INSTALL)
                     .eight(m.term())
                     .eight(m.round())
@@ -266,22 +266,22 @@
                     .bytes(Members.write(label.members()))
                     .four(label.length())
                     .four(label.checksum())
-                    .eight(m.number())
+                    .eight(m.sequence())
                     .four(m.offset())
-                    .bytes(m.piece());
-        } else if (message instanceof InstallReply m) {
+                    .bytes(m.chunk());
+        } else if (message instanceof InstallSnapshotReply m) {
             out.one(INSTALL_REPLY)
                     .eight(m.term())
                     .eight(m.index())
                     .four(m.offset())
-                    .eight(m.number())
+                    .eight(m.sequence())
                     .eight(m.round());
-        } else if (message instanceof HandOver m) {
+        } else if (message instanceof TimeoutNow m) {
             out.one(HAND_OVER).eight(m.term());
         } else if (message instanceof LeaseQuery m) {
-            out.one(LEASE_QUERY).eight(m.term()).eight(m.life());
+            out.one(LEASE_QUERY).eight(m.term()).eight(m.incarnation());
         } else if (message instanceof LeaseEnded m) {
-            out.one(LEASE_ENDED).eight(m.term()).eight(m.life());
+            out.one(LEASE_ENDED).eight(m.term()).eight(m.incarnation());
         }
     }
 
@@ -294,8 +294,8 @@
             case APPEND -> readAppend(in, term);
             case APPEND_REPLY -> new AppendReply(term, in.flag(), in.eight(), in.eight(), in.eight());
             case INSTALL -> readInstall(in, term);
-            case INSTALL_REPLY -> new InstallReply(term, in.eight(), in.four(), in.eight(), in.eight());
-            case HAND_OVER -> new HandOver(term);
+            case INSTALL_REPLY -> new InstallSnapshotReply(term, in.eight(), in.four(), in.eight(), in.eight());
+            case HAND_OVER -> new TimeoutNow(term);
             case LEASE_QUERY -> new LeaseQuery(term, in.eight());
             case LEASE_ENDED -> new LeaseEnded(term, in.eight());
             default -> throw new Malformed("no message of kind " + kind);
@@ -320,12 +320,12 @@
         return entries;
     }
 
-    private static Install readInstall(ByteReader in, long term) throws Malformed {
+    private static InstallSnapshot readInstall(ByteReader in, long term) throws Malformed {
         long round = in.eight();
         long index = in.eight();
         long itsTerm = in.eight();
-        Snapshot.Label label = new Snapshot.Label(index, itsTerm, Members.read(in.bytes()), in.four(), in.four());
+        Snapshot.Metadata label = new Snapshot.Metadata(index, itsTerm, Members.read(in.bytes()), in.four(), in.four());
         long number = in.eight();
-        return new Install(term, label, in.four(), in.bytes(), number, round);
+        return new InstallSnapshot(term, label, in.four(), in.bytes(), number, round);
     }
 }
--- a/src/main/java/tinworks/raft/Message.java
+++ b/src/main/java/tinworks/raft/Message.java
@@ -10,17 +10,18 @@
     /**
      * Asks for a vote, or with {@code pre} whether one would be given.
      *
-     * @param handedOver the leader itself asked the sender to stand
+     * @param leadershipTransfer the leader itself asked the sender to stand
      */
-    record VoteRequest(long term, boolean pre, long lastIndex, long lastTerm, boolean handedOver) implements Message {}
+    record VoteRequest(long term, boolean preVote, long lastIndex, long lastTerm, boolean leadershipTransfer)
+            implements Message {}
 
     /** Gives or denies a vote; {@code term} is the one asked about where it is given. */
-    record VoteReply(long term, boolean pre, boolean granted) implements Message {}
+    record VoteReply(long term, boolean preVote, boolean granted) implements Message {}
 
     /**
      * Entries that follow {@code previousIndex}, none in a heartbeat.
      *
-     * @param commit the leader's commit index
+     * @param leaderCommit the leader's commit index
      * @param round counts the leader's rounds of heartbeats, for reads and leases
      * @param echo the latest {@link AppendReply#sentAt} that the leader has from the member that this is for, 0 where
      *     none
@@ -30,7 +31,7 @@
             long term,
             long previousIndex,
             long previousTerm,
-            long commit,
+            long leaderCommit,
             long round,
             List<Entry> entries,
             long echo,
@@ -47,24 +48,24 @@
         }
 
         Append leased(long echoed, long millis) {
-            return new Append(term, previousIndex, previousTerm, commit, round, entries, echoed, millis);
+            return new Append(term, previousIndex, previousTerm, leaderCommit, round, entries, echoed, millis);
         }
     }
 
     /**
-     * Answers an {@link Append} or an {@link Install}.
+     * Answers an {@link Append} or an {@link InstallSnapshot}.
      *
      * @param index where taken, up to where both logs are alike; else the last index that may be
      * @param sentAt when it was sent, in milliseconds of a clock that only the sender can read
      */
-    record AppendReply(long term, boolean taken, long index, long round, long sentAt) implements Message {
+    record AppendReply(long term, boolean success, long index, long round, long sentAt) implements Message {
         /** One that isn't sent yet. */
         public AppendReply(long term, boolean taken, long index, long round) {
             this(term, taken, index, round, 0);
         }
 
         AppendReply sent(long at) {
-            return new AppendReply(term, taken, index, round, at);
+            return new AppendReply(term, success, index, round, at);
         }
     }
 
@@ -73,34 +74,34 @@
      * that asks how far the follower has come.
      *
      * @param offset where in the state the piece belongs
-     * @param number counts the leader's messages of this kind
+     * @param sequence counts the leader's messages of this kind
      */
-    record Install(long term, Snapshot.Label label, int offset, byte[] piece, long number, long round)
+    record InstallSnapshot(long term, Snapshot.Metadata metadata, int offset, byte[] chunk, long sequence, long round)
             implements Message {}
 
     /**
-     * Answers an {@link Install} while bytes are missing; once all are on the disk an {@link AppendReply} does.
+     * Answers an {@link InstallSnapshot} while bytes are missing; once all are on the disk an {@link AppendReply} does.
      *
      * @param index the snapshot's
      * @param offset how many bytes of it are there, from its beginning on
-     * @param number of the message that is answered
+     * @param sequence of the message that is answered
      */
-    record InstallReply(long term, long index, int offset, long number, long round) implements Message {}
+    record InstallSnapshotReply(long term, long index, int offset, long sequence, long round) implements Message {}
 
     /**
      * A member that has started again asks the leader that it followed last whether that one still leads.
      *
-     * @param life a number that the sender drew at its start
+     * @param incarnation a number that the sender drew at its start
      */
-    record LeaseQuery(long term, long life) implements Message {}
+    record LeaseQuery(long term, long incarnation) implements Message {}
 
     /**
      * Answers a {@link LeaseQuery}: the sender didn't lead when that came, so whatever lease it had before is over.
      *
-     * @param life the query's
+     * @param incarnation the query's
      */
-    record LeaseEnded(long term, long life) implements Message {}
+    record LeaseEnded(long term, long incarnation) implements Message {}
 
     /** The leader asks its best follower to stand at once, since it is about to end. */
-    record HandOver(long term) implements Message {}
+    record TimeoutNow(long term) implements Message {}
 }
--- a/src/main/java/tinworks/raft/Raft.java
+++ b/src/main/java/tinworks/raft/Raft.java
@@ -12,11 +12,11 @@
 import tinworks.raft.Entry.Kind;
 import tinworks.raft.Message.Append;
 import tinworks.raft.Message.AppendReply;
-import tinworks.raft.Message.HandOver;
-import tinworks.raft.Message.Install;
-import tinworks.raft.Message.InstallReply;
+import tinworks.raft.Message.InstallSnapshot;
+import tinworks.raft.Message.InstallSnapshotReply;
 import tinworks.raft.Message.LeaseEnded;
 import tinworks.raft.Message.LeaseQuery;
+import tinworks.raft.Message.TimeoutNow;
 import tinworks.raft.Message.VoteReply;
 import tinworks.raft.Message.VoteRequest;
 import tinworks.raft.Output.Envelope;
@@ -160,21 +160,21 @@
                 append(from, m);
                 toldLease(m);
             }
-        } else if (message instanceof Install m) {
+        } else if (message instanceof InstallSnapshot m) {
             if (leads(from, m.term(), m.round())) {
                 install(from, m);
             }
         } else if (message instanceof AppendReply m) {
             roundAnswered(from, m.term(), m.round());
             appendReplied(from, m);
-        } else if (message instanceof InstallReply m) {
+        } else if (message instanceof InstallSnapshotReply m) {
             roundAnswered(from, m.term(), m.round());
             installReplied(from, m);
         } else if (message instanceof LeaseQuery m) {
             leaseAsked(from, m);
         } else if (message instanceof LeaseEnded m) {
             leaseEnded(from, m);
-        } else if (message instanceof HandOver m && m.term() == term && isVoter(self)) {
+        } else if (message instanceof TimeoutNow m && m.term() == term && isVoter(self)) {
             stand(true);
         }
     }
@@ -269,7 +269,7 @@
             if (member.id() != self && p != null && now - p.heardAt < timing.electionMillis() && hasAll(p)) {
                 // A vote that is handed over breaks the promises that a lease stands on.
                 leavesAt = now + timing.electionMillis();
-                send(member.id(), new HandOver(term));
+                send(member.id(), new TimeoutNow(term));
                 return true;
             }
         }
@@ -499,7 +499,7 @@
         long echoed = m.echo() - life;
         if (m.leaseMillis() > 0 && echoed >= startedAt && echoed <= now && echoed + m.leaseMillis() > freshUntil) {
             freshUntil = echoed + m.leaseMillis();
-            freshIndex = Math.max(freshIndex, m.commit());
+            freshIndex = Math.max(freshIndex, m.leaderCommit());
         }
     }
 
@@ -522,7 +522,7 @@
 
     private void leaseAsked(long from, LeaseQuery m) {
         if (hasNoLease()) {
-            send(from, new LeaseEnded(term, m.life()));
+            send(from, new LeaseEnded(term, m.incarnation()));
         }
     }
 
@@ -543,7 +543,7 @@
 
     /** Guards against an answer from before this member's start: its next leader may have been followed since. */
     boolean answersThisLife(LeaseEnded m) {
-        return m.life() == life;
+        return m.incarnation() == life;
     }
 
     /** The message with what all messages of its kind tell of time. */
@@ -614,8 +614,8 @@
     private void voteRequested(long from, VoteRequest m) {
         boolean upToDate =
                 m.lastTerm() > log.lastTerm() || (m.lastTerm() == log.lastTerm() && m.lastIndex() >= log.lastIndex());
-        boolean content = !m.handedOver() && content();
-        if (m.pre()) {
+        boolean content = !m.leadershipTransfer() && content();
+        if (m.preVote()) {
             boolean would = m.term() > term && upToDate && !content;
             send(from, new VoteReply(would ? m.term() : term, true, would));
             return;
@@ -641,7 +641,7 @@
     }
 
     private void voteReplied(long from, VoteReply m) {
-        if (m.pre() && m.granted()) {
+        if (m.preVote() && m.granted()) {
             if (role == Role.ASKING && m.term() == term + 1) {
                 granted.add(from);
                 if (majority(granted)) {
@@ -784,7 +784,7 @@
         Transfer transfer = p.transfer;
         boolean asks = transfer.awaited() > 0;
         byte[] piece = asks ? new byte[0] : transfer.piece();
-        send(p.member.id(), new Install(term, transfer.label(), transfer.offset(), piece, ++installs, round));
+        send(p.member.id(), new InstallSnapshot(term, transfer.label(), transfer.offset(), piece, ++installs, round));
         p.transfer = asks ? transfer : transfer.sent(installs);
     }
 
@@ -824,7 +824,7 @@
             take(entry);
         }
         long alike = m.previousIndex() + m.entries().size();
-        commit = Math.max(commit, Math.min(m.commit(), alike));
+        commit = Math.max(commit, Math.min(m.leaderCommit(), alike));
         if (gathering != null && gathering.label().index() <= commit) {
             gathering = null;
         }
@@ -850,11 +850,11 @@
         }
     }
 
-    private void install(long from, Install m) {
-        if (m.label().index() > commit && !gather(from, m)) {
+    private void install(long from, InstallSnapshot m) {
+        if (m.metadata().index() > commit && !gather(from, m)) {
             return;
         }
-        if (m.label().index() > commit) {
+        if (m.metadata().index() > commit) {
             Snapshot snapshot = gathering.snapshot();
             log.rebase(snapshot, tailBytes());
             commit = snapshot.index();
@@ -866,25 +866,25 @@
             restore = snapshot;
         }
         gathering = null;
-        send(from, new AppendReply(term, true, m.label().index(), m.round()));
+        send(from, new AppendReply(term, true, m.metadata().index(), m.round()));
     }
 
     /** Takes a piece; true once all are here. Another snapshot begins anew, and a leader's older one is passed over. */
-    private boolean gather(long from, Install m) {
-        if (m.label().length() > SnapshotAssembler.LONGEST || (gathering != null && gathering.overtakes(m))) {
+    private boolean gather(long from, InstallSnapshot m) {
+        if (m.metadata().length() > SnapshotAssembler.LONGEST || (gathering != null && gathering.overtakes(m))) {
             return false;
         }
-        if (gathering == null || !gathering.label().equals(m.label())) {
-            gathering = new SnapshotAssembler(m.label(), m.term());
+        if (gathering == null || !gathering.label().equals(m.metadata())) {
+            gathering = new SnapshotAssembler(m.metadata(), m.term());
         }
-        gathering.add(m.offset(), m.piece());
+        gathering.add(m.offset(), m.chunk());
         if (gathering.isComplete() && isSound(gathering)) {
             return true;
         }
         if (gathering.isComplete()) {
-            gathering = new SnapshotAssembler(m.label(), m.term());
+            gathering = new SnapshotAssembler(m.metadata(), m.term());
         }
-        send(from, new InstallReply(term, m.label().index(), gathering.gathered(), m.number(), m.round()));
+        send(from, new InstallSnapshotReply(term, m.metadata().index(), gathering.gathered(), m.sequence(), m.round()));
         return false;
     }
 
@@ -893,7 +893,7 @@
         return whole.isSound();
     }
 
-    private void installReplied(long from, InstallReply m) {
+    private void installReplied(long from, InstallSnapshotReply m) {
         follow(m.term());
         Progress p = progress.get(from);
         if (role != Role.LEADER || m.term() != term || p == null) {
@@ -920,7 +920,7 @@
         p.echo = m.sentAt();
         p.echoAt = now;
         p.round = Math.max(p.round, m.round());
-        if (m.taken()) {
+        if (m.success()) {
             p.match = Math.max(p.match, m.index());
             p.next = Math.max(p.next, p.match + 1);
             if (p.transfer != null && p.match >= p.transfer.label().index()) {
--- a/src/main/java/tinworks/raft/Snapshot.java
+++ b/src/main/java/tinworks/raft/Snapshot.java
@@ -24,9 +24,9 @@
      * @param length how many bytes of state there are, 0 or more
      * @param checksum their CRC-32C
      */
-    public record Label(long index, long term, List<Member> members, int length, int checksum) {
+    public record Metadata(long index, long term, List<Member> members, int length, int checksum) {
         /** Keeps its own list of voters; a negative length is an {@link IllegalArgumentException}. */
-        public Label {
+        public Metadata {
             members = List.copyOf(members);
             if (length < 0) {
                 throw new IllegalArgumentException("snapshot: a length of " + length);
@@ -35,8 +35,8 @@
     }
 
     /** Its label. */
-    Label label() {
-        return new Label(index, term, members, state.length, checksum(state));
+    Metadata label() {
+        return new Metadata(index, term, members, state.length, checksum(state));
     }
 
     static int checksum(byte[] state) {
--- a/src/main/java/tinworks/raft/SnapshotAssembler.java
+++ b/src/main/java/tinworks/raft/SnapshotAssembler.java
@@ -5,19 +5,19 @@
     /** More than any snapshot holds. Guards against a length that lies. */
     static final int LONGEST = 8 << 20;
 
-    private final Snapshot.Label label;
+    private final Snapshot.Metadata label;
     private final long term;
     private final byte[] state;
     private int gathered;
 
     /** Nothing of it is here yet; {@code term} is that of the leader which sends it. */
-    SnapshotAssembler(Snapshot.Label label, long term) {
+    SnapshotAssembler(Snapshot.Metadata label, long term) {
         this.label = label;
         this.term = term;
         state = new byte[label.length()];
     }
 
-    Snapshot.Label label() {
+    Snapshot.Metadata label() {
         return label;
     }
 
@@ -27,8 +27,8 @@
     }
 
     /** Whether a message belongs to a snapshot that the same leader no longer sends. */
-    boolean overtakes(Message.Install m) {
-        return m.term() == term && m.label().index() < label.index();
+    boolean overtakes(Message.InstallSnapshot m) {
+        return m.term() == term && m.metadata().index() < label.index();
     }
 
     /** Takes a piece that follows what is here; any other is passed over. */
--- a/src/main/java/tinworks/raft/Transfer.java
+++ b/src/main/java/tinworks/raft/Transfer.java
@@ -10,7 +10,7 @@
  * @param offset how far the follower has come
  * @param awaited the number of the last piece sent, 0 where none is under way
  */
-record Transfer(Snapshot snapshot, Snapshot.Label label, int offset, long awaited) {
+record Transfer(Snapshot snapshot, Snapshot.Metadata label, int offset, long awaited) {
     /** Little enough not to hold up heartbeats, which go between pieces. */
     static final int PIECE_BYTES = 64 << 10;
 
@@ -35,15 +35,15 @@
      * answered with nothing new, and was sent after the piece or is the piece itself, tells that the piece is lost, and
      * what the follower had of it perhaps too.
      */
-    Transfer answered(Message.InstallReply reply) {
+    Transfer answered(Message.InstallSnapshotReply reply) {
         return isAnsweredBy(reply) ? new Transfer(snapshot, label, reply.offset(), 0) : this;
     }
 
     /** Whether an answer tells something about this transfer that wasn't known. */
-    boolean isAnsweredBy(Message.InstallReply reply) {
+    boolean isAnsweredBy(Message.InstallSnapshotReply reply) {
         return reply.index() == label.index()
                 && reply.offset() >= 0
                 && reply.offset() <= label.length()
-                && (reply.offset() > offset || reply.number() >= awaited);
+                && (reply.offset() > offset || reply.sequence() >= awaited);
     }
 }
--- a/src/test/java/tinworks/channel/SignalCodecTest.java
+++ b/src/test/java/tinworks/channel/SignalCodecTest.java
@@ -42,12 +42,12 @@
             agreement(new Message.Append(
                     4, 1, 2, 3, 4, List.of(new Entry(2, 4, Entry.Kind.COMMAND, new byte[] {8})), 7, 9)),
             agreement(new Message.AppendReply(4, true, 5, 6, 7)),
-            agreement(new Message.HandOver(4)),
+            agreement(new Message.TimeoutNow(4)),
             agreement(new Message.LeaseQuery(4, 5)),
             agreement(new Message.LeaseEnded(4, 5)),
-            agreement(new Message.Install(
-                    4, new Snapshot.Label(9, 3, List.of(MEMBER), 7, -1), 5, new byte[] {1, 2}, 6, 2)),
-            agreement(new Message.InstallReply(4, 9, 5, 6, 2)));
+            agreement(new Message.InstallSnapshot(
+                    4, new Snapshot.Metadata(9, 3, List.of(MEMBER), 7, -1), 5, new byte[] {1, 2}, 6, 2)),
+            agreement(new Message.InstallSnapshotReply(4, 9, 5, 6, 2)));
 
     private static Signal agreement(Message message) {
         return new Signal.Agreement(1, 2, message);
--- a/src/test/java/tinworks/control/CoreMachineTest.java
+++ b/src/test/java/tinworks/control/CoreMachineTest.java
@@ -205,7 +205,7 @@
         Caller latest = new Caller(Part.CORE, 55);
         node.machine.opened(earlier);
         node.machine.opened(latest);
-        node.machine.send(55, new Message.HandOver(1));
+        node.machine.send(55, new Message.TimeoutNow(1));
         assertFalse(earlier.heard.stream().anyMatch(Signal.Agreement.class::isInstance));
         assertTrue(latest.heard.stream().anyMatch(Signal.Agreement.class::isInstance));
     }
--- a/src/test/java/tinworks/raft/LeaseTest.java
+++ b/src/test/java/tinworks/raft/LeaseTest.java
@@ -221,7 +221,7 @@
         raft.receive(1_120, 2, new AppendReply(4, true, raft.lastIndex(), round));
         assertEquals(1_070 + LEASE, raft.leaseUntil());
         raft.tick(1_170);
-        raft.receive(1_180, 2, new Message.InstallReply(4, 1, 0, 1, roundTo(2, raft)));
+        raft.receive(1_180, 2, new Message.InstallSnapshotReply(4, 1, 0, 1, roundTo(2, raft)));
         assertEquals(1_170 + LEASE, raft.leaseUntil(), "a voter that takes a snapshot has heard the leader too");
         assertTrue(raft.holdsLease() && raft.fresh());
     }
@@ -287,14 +287,14 @@
         Raft raft = elected();
         raft.handOver();
         assertTrue(
-                raft.drain().messages().stream().noneMatch(e -> e.message() instanceof Message.HandOver),
+                raft.drain().messages().stream().noneMatch(e -> e.message() instanceof Message.TimeoutNow),
                 "nobody has all");
         raft.receive(1_020, 3, new AppendReply(4, true, raft.lastIndex(), 1));
         raft.handOver();
         assertEquals(
                 List.of(3L),
                 raft.drain().messages().stream()
-                        .filter(e -> e.message() instanceof Message.HandOver)
+                        .filter(e -> e.message() instanceof Message.TimeoutNow)
                         .map(Output.Envelope::to)
                         .toList());
     }
--- a/src/test/java/tinworks/raft/MembershipTest.java
+++ b/src/test/java/tinworks/raft/MembershipTest.java
@@ -426,7 +426,7 @@
         assertEquals(
                 List.of(3L),
                 raft.drain().messages().stream()
-                        .filter(e -> e.message() instanceof Message.HandOver)
+                        .filter(e -> e.message() instanceof Message.TimeoutNow)
                         .map(Output.Envelope::to)
                         .toList());
         assertTrue(raft.handOver(), "asked again, it doesn't ask another");
--- a/src/test/java/tinworks/raft/ReplicationTest.java
+++ b/src/test/java/tinworks/raft/ReplicationTest.java
@@ -42,7 +42,7 @@
         private final ArrayDeque<Output.Envelope> wire = new ArrayDeque<>();
         private final ArrayDeque<Long> senders = new ArrayDeque<>();
         private final Map<Long, Long> sentTo = new HashMap<>();
-        private final List<Message.Install> pieces = new ArrayList<>();
+        private final List<Message.InstallSnapshot> pieces = new ArrayList<>();
         private long silent;
         private long now;
 
@@ -114,7 +114,7 @@
         private static long size(Message message) {
             return message instanceof Message.Append a
                     ? a.entries().stream().mapToLong(e -> e.body().length).sum()
-                    : message instanceof Message.Install i ? i.piece().length : 0;
+                    : message instanceof Message.InstallSnapshot i ? i.chunk().length : 0;
         }
 
         /** Takes the next message; what is for or from the silent one is lost. */
@@ -125,7 +125,7 @@
             Output.Envelope envelope = wire.poll();
             long from = senders.poll();
             if (envelope.to() != silent && from != silent) {
-                if (envelope.message() instanceof Message.Install i && i.piece().length > 0) {
+                if (envelope.message() instanceof Message.InstallSnapshot i && i.chunk().length > 0) {
                     pieces.add(i);
                 }
                 rafts.get(envelope.to()).receive(now, from, envelope.message());
@@ -239,7 +239,7 @@
                 trio.heartbeat();
             }
             long underWay = trio.wire.stream()
-                    .filter(e -> e.message() instanceof Message.Install i && i.piece().length > 0)
+                    .filter(e -> e.message() instanceof Message.InstallSnapshot i && i.chunk().length > 0)
                     .count();
             assertTrue(underWay <= 1, underWay + " pieces under way");
             byte[] state = trio.states.get(3L);
@@ -247,7 +247,7 @@
                     state.length == 0 || state.length == trio.states.get(1L).length, "part of a snapshot was applied");
         }
         assertEquals(11, trio.pieces.size());
-        assertTrue(trio.pieces.stream().allMatch(i -> i.piece().length <= Transfer.PIECE_BYTES));
+        assertTrue(trio.pieces.stream().allMatch(i -> i.chunk().length <= Transfer.PIECE_BYTES));
         trio.assertAlike(3);
     }
 
@@ -286,7 +286,8 @@
             trio.step();
         }
         assertEquals(
-                1, trio.pieces.stream().map(i -> i.label().index()).distinct().count());
+                1,
+                trio.pieces.stream().map(i -> i.metadata().index()).distinct().count());
         trio.start(3);
         for (int i = 0; i < 4; i++) {
             trio.heartbeat();
@@ -303,19 +304,19 @@
         while (trio.pieces.size() < 2) {
             trio.step();
         }
-        trio.pieces.get(1).piece()[7]++;
-        Message.Install spoilt = trio.pieces.get(1);
+        trio.pieces.get(1).chunk()[7]++;
+        Message.InstallSnapshot spoilt = trio.pieces.get(1);
         trio.rafts
                 .get(3L)
                 .receive(
                         trio.now,
                         1,
-                        new Message.Install(
+                        new Message.InstallSnapshot(
                                 spoilt.term(),
-                                spoilt.label(),
+                                spoilt.metadata(),
                                 2 * Transfer.PIECE_BYTES,
-                                spoilt.piece(),
-                                spoilt.number(),
+                                spoilt.chunk(),
+                                spoilt.sequence(),
                                 spoilt.round()));
         trio.pump(3);
         for (int i = 0; i < 4; i++) {
@@ -337,16 +338,16 @@
         Raft follower = trio.rafts.get(3L);
         Snapshot newer = new Snapshot(50, 1, VOTERS, new byte[100]);
         Snapshot older = new Snapshot(40, 1, VOTERS, new byte[100]);
-        Snapshot.Label lies = new Snapshot.Label(60, 1, VOTERS, Integer.MAX_VALUE, 0);
-        follower.receive(trio.now, 1, new Message.Install(1, lies, 0, new byte[10], 1, 0));
+        Snapshot.Metadata lies = new Snapshot.Metadata(60, 1, VOTERS, Integer.MAX_VALUE, 0);
+        follower.receive(trio.now, 1, new Message.InstallSnapshot(1, lies, 0, new byte[10], 1, 0));
         assertTrue(follower.drain().messages().isEmpty());
-        follower.receive(trio.now, 1, new Message.Install(1, newer.label(), 0, new byte[60], 2, 0));
-        follower.receive(trio.now, 1, new Message.Install(1, older.label(), 0, new byte[60], 3, 0));
-        follower.receive(trio.now, 1, new Message.Install(1, newer.label(), 60, new byte[40], 4, 0));
+        follower.receive(trio.now, 1, new Message.InstallSnapshot(1, newer.label(), 0, new byte[60], 2, 0));
+        follower.receive(trio.now, 1, new Message.InstallSnapshot(1, older.label(), 0, new byte[60], 3, 0));
+        follower.receive(trio.now, 1, new Message.InstallSnapshot(1, newer.label(), 60, new byte[40], 4, 0));
         Output output = follower.drain();
         assertEquals(newer.label(), output.restored().label());
         assertEquals(
-                new Message.InstallReply(1, 50, 60, 2, 0),
+                new Message.InstallSnapshotReply(1, 50, 60, 2, 0),
                 output.messages().get(0).message());
         assertEquals(
                 new Message.AppendReply(1, true, 50, 0),
--- a/src/test/java/tinworks/raft/RestartedVoterTest.java
+++ b/src/test/java/tinworks/raft/RestartedVoterTest.java
@@ -54,10 +54,10 @@
     void aMemberThatStartsAgainVotesOnceItsLastLeaderSaysThatItDoesNotLead() {
         Raft raft = startedAgain(2);
         LeaseQuery query = askedAt(5_001, raft);
-        raft.receive(5_010, 3, new LeaseEnded(3, query.life()));
+        raft.receive(5_010, 3, new LeaseEnded(3, query.incarnation()));
         assertFalse(LeaseTest.grants(raft, 5_010, 4), "nobody else's word frees it");
         askedAt(5_015, raft);
-        raft.receive(5_020, 2, new LeaseEnded(3, query.life()));
+        raft.receive(5_020, 2, new LeaseEnded(3, query.incarnation()));
         raft.tick(5_020 + Cluster.TIMING.heartbeatMillis());
         assertEquals(Raft.Role.ASKING, raft.role(), "and it stands within a heartbeat");
         assertTrue(LeaseTest.grants(raft, 5_100, 4));
@@ -66,7 +66,7 @@
 
     private static boolean freedByAnAnswerToAnEarlierLife(Maker maker) {
         Raft raft = startedAgain(2, maker);
-        raft.receive(5_010, 2, new LeaseEnded(3, askedAt(5_001, raft).life() + 1));
+        raft.receive(5_010, 2, new LeaseEnded(3, askedAt(5_001, raft).incarnation() + 1));
         return LeaseTest.grants(raft, 5_011, 4);
     }
 
@@ -111,7 +111,7 @@
         Raft raft = startedAgain(2);
         LeaseQuery query = askedAt(5_001, raft);
         raft.receive(5_010, 2, new Append(4, 0, 0, 0, 1, List.of()));
-        raft.receive(5_020, 2, new LeaseEnded(3, query.life()));
+        raft.receive(5_020, 2, new LeaseEnded(3, query.incarnation()));
         assertFalse(LeaseTest.grants(raft, 5_010 + ELECTION - 1, 5));
         assertTrue(LeaseTest.grants(raft, 5_010 + ELECTION, 5));
     }
