--- a/src/main/java/tinworks/control/OperatorServer.java
+++ b/src/main/java/tinworks/control/OperatorServer.java
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public void requested(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
+    public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
         String path = request.uri().split("\\?", 2)[0];
         if (path.equals(REPLACE)) {
             need(request, HttpMethod.POST);
@@ -135,12 +135,12 @@
             write(reply, new CallAnswer(0, OperatorCalls.UNCLEAR, ENDING));
             return;
         }
-        reply.keepBody(request);
+        reply.retainRequest(request);
         long arrivedAt = SteadyClock.millis();
         checks.execute(() -> {
             OperatorCalls.Checked checked = checked(request);
             loop.execute(() -> {
-                reply.dropBody();
+                reply.releaseRequest();
                 machine.calls().replace(checked, answer -> {
                     LOG.info(
                             "replace {}: {} after {} ms, {} leads",
--- a/src/main/java/tinworks/edge/EdgeMetrics.java
+++ b/src/main/java/tinworks/edge/EdgeMetrics.java
@@ -69,10 +69,10 @@
 
     /** What concerns clients' connections. */
     static void add(MetricsPage page, ClientServer clients) {
-        ClientTally tally = clients.tally();
-        page.gauge("client_connections", "Connections of clients", clients.connections())
+        ClientTally tally = clients.counters();
+        page.gauge("client_connections", "Connections of clients", clients.connectionCount())
                 .counter("client_connections_opened", "Connections accepted", (double) tally.connectionsOpened());
-        tally.connectionsEnded()
+        tally.connectionsClosed()
                 .forEach((end, count) -> page.counter(
                         "client_connections_ended",
                         "Connections of clients that ended, by why",
--- a/src/main/java/tinworks/edge/EdgeNode.java
+++ b/src/main/java/tinworks/edge/EdgeNode.java
@@ -128,7 +128,7 @@
         requests = new Requests(clock, random, style, services);
         clients = new ClientServer(
                 loop, Transport.TCP, clock, clientBounds(Limits.USUAL), memory.requests(), memory.heads(), requests);
-        clients.pressedWhile(memory.answers()::isAwaited);
+        clients.dropSlowReadersWhile(memory.answers()::isAwaited);
         probes = new ClientServer(
                 loop,
                 Transport.TCP,
@@ -172,7 +172,7 @@
             new EdgeRehearsal(
                             loop,
                             clock,
-                            clients::holdsAny,
+                            clients::hasConnections,
                             played -> LOG.info(
                                     "rehearsed {} requests in {} ms: {}",
                                     played.answered(),
@@ -197,7 +197,7 @@
      *     where the event loop was at other work
      */
     public CompletableFuture<Void> end(long signalledAtMillis) {
-        if (!ending && !clients.listens()) {
+        if (!ending && !clients.isListening()) {
             ending = true;
             ended.complete(null);
         } else if (!ending) {
@@ -207,9 +207,10 @@
             LOG.info(
                     "ends: {} requests open, {} connections",
                     services.values().stream().mapToInt(Forwarding::open).sum(),
-                    clients.connections());
+                    clients.connectionCount());
             services.values().forEach(this::tellOfEnd);
-            loop.schedule(clients::lastAnswers, Math.min(LAST_ANSWERS_MILLIS, within / 4), TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    clients::closeAfterNextResponse, Math.min(LAST_ANSWERS_MILLIS, within / 4), TimeUnit.MILLISECONDS);
             loop.schedule(
                     () -> {
                         clients.stopAccepting();
@@ -226,7 +227,7 @@
     }
 
     private void endWhenIdle() {
-        if (clients.holdsAny()) {
+        if (clients.hasConnections()) {
             loop.schedule(this::endWhenIdle, END_CHECK_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             LOG.info("all clients have their answers");
@@ -322,7 +323,7 @@
         Invariant.VERSION_RISES.check(configuration.rev() > before, () -> configuration.rev() + " behind " + before);
         classes = prepared.classes();
         requests.use(prepared.routes());
-        clients.rebound(clientBounds(configuration.limits()));
+        clients.updateBounds(clientBounds(configuration.limits()));
         style.mutating(prepared.mutating());
         reconfigure();
         LOG.info(
--- a/src/main/java/tinworks/edge/EdgeProtocol.java
+++ b/src/main/java/tinworks/edge/EdgeProtocol.java
@@ -92,7 +92,7 @@
     @Override
     public void refused(Reply reply, long pauseNanos) {
         long pause = Math.max(pauseNanos, LEAST_PAUSE_NANOS);
-        reply.plain(HttpResponseStatus.SERVICE_UNAVAILABLE, "not run: come back later", pause + random.nextLong(pause));
+        reply.text(HttpResponseStatus.SERVICE_UNAVAILABLE, "not run: come back later", pause + random.nextLong(pause));
     }
 
     /** Guards against a status that promises that the request has not run, where it may have. */
--- a/src/main/java/tinworks/edge/Requests.java
+++ b/src/main/java/tinworks/edge/Requests.java
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void requested(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
+    public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
         if (routes == null) {
             unconfigured++;
             style.refused(reply, NO_ROUTES_PAUSE_NANOS);
@@ -84,7 +84,7 @@
         long now = clock.nanos();
         long left = TimeUnit.MILLISECONDS.toNanos(Math.min(route.timeoutMs(), deadline(request, route)))
                 - (now - arrivedAt);
-        long heldUp = reply.heldUpNanos();
+        long heldUp = reply.queueingDelayNanos();
         if (left <= heldUp) {
             overdue++;
             style.refused(reply, 0);
--- a/src/main/java/tinworks/net/BalancerStyle.java
+++ b/src/main/java/tinworks/net/BalancerStyle.java
@@ -27,17 +27,17 @@
 
     @Override
     public void served(Reply reply, Answer answer) {
-        reply.served(answer.body());
+        reply.ok(answer.body());
     }
 
     @Override
     public void refused(Reply reply, long pauseNanos) {
-        reply.plain(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused: trying again is harmless", pauseNanos);
+        reply.text(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused: trying again is harmless", pauseNanos);
     }
 
     @Override
     public void failed(Reply reply, Answer last) {
-        reply.plain(HttpResponseStatus.BAD_GATEWAY, "failed: it may have run", 0);
+        reply.text(HttpResponseStatus.BAD_GATEWAY, "failed: it may have run", 0);
     }
 
     /** Guards against a break that passes for the end of a body: only a framed 200 is a whole one. */
--- a/src/main/java/tinworks/net/ClientServer.java
+++ b/src/main/java/tinworks/net/ClientServer.java
@@ -42,7 +42,7 @@
 import org.slf4j.LoggerFactory;
 import tinworks.invariant.Invariant;
 import tinworks.logging.Fatal;
-import tinworks.net.ClientTally.ConnectionEnd;
+import tinworks.net.ClientTally.CloseReason;
 
 /** The side that clients see: takes in requests, and writes one answer to each. */
 public final class ClientServer {
@@ -54,7 +54,7 @@
         /**
          * A request whose last byte came at the given time; a plain line tells the client what is wrong with a bad one.
          */
-        void requested(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest;
+        void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest;
     }
 
     /** A request that can't be taken in. */
@@ -73,17 +73,22 @@
     /**
      * What clients may take.
      *
-     * @param connections the most at a time
-     * @param arrivalNanos how long a request may take to arrive, from the connect or its first byte
-     * @param idleNanos how long a connection may stand idle, 0 for as long as there is room
-     * @param headBytes the longest head of a request
-     * @param bodyBytes the longest body
+     * @param maxConnections the most at a time
+     * @param receiveTimeoutNanos how long a request may take to arrive, from the connect or its first byte
+     * @param idleTimeoutNanos how long a connection may stand idle, 0 for as long as there is room
+     * @param maxHeadBytes the longest head of a request
+     * @param maxBodyBytes the longest body
      * @param readyPath where {@link Listener#ready} is asked for, or null
      */
     public record Bounds(
-            int connections, long arrivalNanos, long idleNanos, int headBytes, int bodyBytes, String readyPath) {
+            int maxConnections,
+            long receiveTimeoutNanos,
+            long idleTimeoutNanos,
+            int maxHeadBytes,
+            int maxBodyBytes,
+            String readyPath) {
         /** Those of the earlier protocol, whose requests arrive in less time than any client waits. */
-        static Bounds usual(int connections) {
+        static Bounds defaults(int connections) {
             return new Bounds(connections, TimeUnit.SECONDS.toNanos(2), 0, 8_192, AnswerReader.USUAL_BODY, "/ready");
         }
     }
@@ -195,17 +200,17 @@
     }
 
     /** Whether it takes clients in. */
-    public boolean listens() {
+    public boolean isListening() {
         return acceptor != null && acceptor.isActive();
     }
 
     /** From now on these hold; the longest head and body for connections that come from now on. */
-    public void rebound(Bounds changed) {
+    public void updateBounds(Bounds changed) {
         bounds = changed;
     }
 
     /** From now on each answer ends its connection, but for those behind which more requests have been read. */
-    public void lastAnswers() {
+    public void closeAfterNextResponse() {
         ending = true;
     }
 
@@ -213,33 +218,33 @@
     public void stopAccepting() {
         ending = true;
         acceptor.close();
-        List.copyOf(idle).forEach(connection -> connection.closeWhenWritten(ConnectionEnd.SHUTDOWN));
+        List.copyOf(idle).forEach(connection -> connection.closeWhenWritten(CloseReason.SHUTDOWN));
         List.copyOf(due).stream()
                 .filter(connection -> !connection.begun)
-                .forEach(connection -> connection.drop(ConnectionEnd.SHUTDOWN));
+                .forEach(connection -> connection.drop(CloseReason.SHUTDOWN));
     }
 
     /** Closes all connections without a word, and is of no further use. */
     public void close() {
         sweeper.cancel(false);
-        if (listens()) {
+        if (isListening()) {
             acceptor.close();
         }
-        List.copyOf(connections).forEach(connection -> connection.drop(ConnectionEnd.SHUTDOWN));
+        List.copyOf(connections).forEach(connection -> connection.drop(CloseReason.SHUTDOWN));
     }
 
     /** What became of connections and requests so far; it goes on counting. */
-    public ClientTally tally() {
+    public ClientTally counters() {
         return tally;
     }
 
     /** How many connections are open. */
-    public int connections() {
+    public int connectionCount() {
         return connections.size();
     }
 
     /** Whether a client still waits for an answer, or for the rest of one. */
-    public boolean holdsAny() {
+    public boolean hasConnections() {
         return !connections.isEmpty();
     }
 
@@ -249,14 +254,14 @@
      * backlog.
      */
     private void bound() {
-        while (connections.size() > bounds.connections()) {
+        while (connections.size() > bounds.maxConnections()) {
             Connection spared = leastUseful();
             if (spared == null) {
                 break;
             }
-            spared.drop(ConnectionEnd.NO_PLACE);
+            spared.drop(CloseReason.NO_PLACE);
         }
-        boolean room = connections.size() <= bounds.connections();
+        boolean room = connections.size() <= bounds.maxConnections();
         acceptor.config().setAutoRead(room);
         if (!room && !rechecking) {
             rechecking = true;
@@ -315,7 +320,7 @@
      * is slow or dear and more clients than half the places come back often.
      */
     private boolean crowded() {
-        return connections.size() > bounds.connections() / 2;
+        return connections.size() > bounds.maxConnections() / 2;
     }
 
     /** Guards against a log that grows as fast as a client can connect. */
@@ -331,15 +336,15 @@
     private void endOverdue() {
         long unused = clock.nanos() - LONG_IDLE_NANOS;
         while (crowded() && !idle.isEmpty() && idle.iterator().next().idleSince <= unused) {
-            idle.iterator().next().closeWhenWritten(ConnectionEnd.NO_PLACE);
+            idle.iterator().next().closeWhenWritten(CloseReason.NO_PLACE);
         }
-        while (bounds.idleNanos() > 0
+        while (bounds.idleTimeoutNanos() > 0
                 && !idle.isEmpty()
-                && idle.iterator().next().idleSince <= clock.nanos() - bounds.idleNanos()) {
-            idle.iterator().next().drop(ConnectionEnd.IDLE);
+                && idle.iterator().next().idleSince <= clock.nanos() - bounds.idleTimeoutNanos()) {
+            idle.iterator().next().drop(CloseReason.IDLE);
         }
         dropNonReaders();
-        long before = clock.nanos() - bounds.arrivalNanos();
+        long before = clock.nanos() - bounds.receiveTimeoutNanos();
         for (Connection connection : List.copyOf(due)) {
             if (connection.dueSince <= before) {
                 connection.overdue();
@@ -352,17 +357,17 @@
      * wait for. It could do harm where a client stops reading for two seconds and then goes on.
      */
     private void dropNonReaders() {
-        long idleNanos = bounds.idleNanos() > 0 ? bounds.idleNanos() : Long.MAX_VALUE;
+        long idleNanos = bounds.idleTimeoutNanos() > 0 ? bounds.idleTimeoutNanos() : Long.MAX_VALUE;
         long patience = pressed.getAsBoolean() ? Math.min(LONG_IDLE_NANOS, idleNanos) : idleNanos;
         for (Connection connection : List.copyOf(unread)) {
             if (clock.nanos() - connection.takesNothingSince() >= patience) {
-                connection.drop(ConnectionEnd.NOT_READ);
+                connection.drop(CloseReason.NOT_READ);
             }
         }
     }
 
     /** From now on clients that don't read are dropped soon while this holds. */
-    public void pressedWhile(BooleanSupplier condition) {
+    public void dropSlowReadersWhile(BooleanSupplier condition) {
         pressed = condition;
     }
 
@@ -378,7 +383,7 @@
         private FullHttpRequest kept;
         private Reservation head = Reservation.NONE;
         private Reservation body = Reservation.NONE;
-        private long heldUpNanos;
+        private long queueingDelayNanos;
         private boolean done;
 
         private Reply(Connection connection, boolean keepAlive, boolean headAlone) {
@@ -390,11 +395,11 @@
         private void answers(Arrived arrived) {
             head = arrived.head;
             body = arrived.body;
-            heldUpNanos = arrived.heldUp;
+            queueingDelayNanos = arrived.heldUp;
         }
 
         /** What to do when the client leaves before its answer. */
-        public void onLeft(Runnable action) {
+        public void onClientDisconnect(Runnable action) {
             left = action;
         }
 
@@ -404,17 +409,19 @@
         }
 
         /** How long the request may have lain here before it was read, in nanoseconds. */
-        public long heldUpNanos() {
-            return heldUpNanos;
+        public long queueingDelayNanos() {
+            return queueingDelayNanos;
         }
 
-        /** Keeps the request and its body beyond the call of {@link Listener#requested}, until {@link #dropBody}. */
-        public void keepBody(FullHttpRequest request) {
+        /**
+         * Keeps the request and its body beyond the call of {@link Listener#onRequest}, until {@link #releaseRequest}.
+         */
+        public void retainRequest(FullHttpRequest request) {
             kept = request.retain();
         }
 
         /** Lets a body go that was kept. */
-        public void dropBody() {
+        public void releaseRequest() {
             head.release();
             head = Reservation.NONE;
             body.release();
@@ -431,12 +438,12 @@
         }
 
         /** A host's answer, unchanged. */
-        void served(ByteBuf body) {
+        void ok(ByteBuf body) {
             write(HttpResponseStatus.OK, body.retain(), 0);
         }
 
         /** A plain line; {@code pauseNanos} tells when to come back, 0 for no advice. */
-        public void plain(HttpResponseStatus status, String line, long pauseNanos) {
+        public void text(HttpResponseStatus status, String line, long pauseNanos) {
             write(status, Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8), pauseNanos);
         }
 
@@ -493,8 +500,8 @@
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Channel channel;
-        private final RequestDecoder decoder = new RequestDecoder(bounds.headBytes(), heads);
-        private final RequestAssembler assembler = new RequestAssembler(this::isFree, bounds.bodyBytes(), bodies);
+        private final RequestDecoder decoder = new RequestDecoder(bounds.maxHeadBytes(), heads);
+        private final RequestAssembler assembler = new RequestAssembler(this::isFree, bounds.maxBodyBytes(), bodies);
         /** Requests that came before the one ahead had its answer. */
         private final ArrayDeque<Arrived> pipelined = new ArrayDeque<>();
 
@@ -519,7 +526,7 @@
 
         private boolean closing;
         /** Why it ends, as far as that is known here. */
-        private ConnectionEnd end = ConnectionEnd.CLIENT;
+        private CloseReason end = CloseReason.CLIENT;
 
         Connection(Channel channel) {
             super(false);
@@ -529,7 +536,7 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             connections.add(this);
-            tally.opened();
+            tally.connectionOpened();
             acceptedAt = clock.nanos();
             acceptedLateBy = clock.heldUpNanos();
             dueSince = acceptedAt;
@@ -552,7 +559,7 @@
             begun = false;
             // Of one that there is no room for the rest is read past: its client sends all of it before it looks for an
             // answer, or leaves, which is to be noticed.
-            boolean readsPast = request.decoderResult().cause() instanceof RequestAssembler.NoRoom;
+            boolean readsPast = request.decoderResult().cause() instanceof RequestAssembler.BudgetExceededException;
             if (!request.decoderResult().isSuccess()) {
                 // Guards against spending time on the rest of what can't be read.
                 deaf = true;
@@ -622,23 +629,23 @@
                     reject(request.decoderResult().cause(), reply);
                 } else if (probes) {
                     boolean ready = listener.ready();
-                    reply.plain(
+                    reply.text(
                             ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                             ready ? "ready" : "starting",
                             0);
                 } else {
-                    listener.requested(request, arrived.at, reply);
+                    listener.onRequest(request, arrived.at, reply);
                 }
             } catch (BadRequest e) {
-                tally.rejected(e.status);
-                reply.plain(e.status, e.getMessage(), 0);
+                tally.requestRejected(e.status);
+                reply.text(e.status, e.getMessage(), 0);
             } catch (RuntimeException e) {
                 // Guards against a fault of the program leaving its request without an answer.
                 Invariant.NO_FAULT.violatedBy(e, "taking in a request for " + request.uri());
-                reply.plain(HttpResponseStatus.INTERNAL_SERVER_ERROR, "a fault of the gateway", 0);
+                reply.text(HttpResponseStatus.INTERNAL_SERVER_ERROR, "a fault of the gateway", 0);
             } finally {
                 if (reply.kept == null) {
-                    reply.dropBody();
+                    reply.releaseRequest();
                 }
                 request.release();
             }
@@ -646,17 +653,16 @@
 
         /** Tells why a request can't be taken. */
         private void reject(Throwable cause, Reply reply) {
-            if (cause instanceof RequestAssembler.NoRoom) {
-                tally.rejected(HttpResponseStatus.SERVICE_UNAVAILABLE);
-                reply.plain(
-                        HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for the request at present", NO_ROOM_NANOS);
+            if (cause instanceof RequestAssembler.BudgetExceededException) {
+                tally.requestRejected(HttpResponseStatus.SERVICE_UNAVAILABLE);
+                reply.text(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for the request at present", NO_ROOM_NANOS);
                 return;
             }
             boolean tooLong = cause instanceof TooLongHttpContentException;
             HttpResponseStatus status =
                     tooLong ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE : HttpResponseStatus.BAD_REQUEST;
-            tally.rejected(status);
-            reply.plain(status, tooLong ? "the body is too long" : "not a readable HTTP request", 0);
+            tally.requestRejected(status);
+            reply.text(status, tooLong ? "the body is too long" : "not a readable HTTP request", 0);
         }
 
         private void answer(DefaultFullHttpResponse answer, boolean keepAlive, Runnable whenWritten) {
@@ -674,7 +680,7 @@
                 boolean unread = deaf;
                 deaf = true;
                 closing = true;
-                end = ConnectionEnd.LAST_ANSWER;
+                end = CloseReason.LAST_ANSWER;
                 answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
                 ChannelFuture written = channel.writeAndFlush(answer).addListener(done -> whenWritten.run());
                 watch(written);
@@ -753,10 +759,10 @@
                 channel.config().setAutoRead(false);
                 Reply reply = new Reply(this, false, false);
                 open = reply;
-                tally.rejected(HttpResponseStatus.REQUEST_TIMEOUT);
-                reply.plain(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time", 0);
+                tally.requestRejected(HttpResponseStatus.REQUEST_TIMEOUT);
+                reply.text(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time", 0);
             } else {
-                drop(ConnectionEnd.NOTHING_ASKED);
+                drop(CloseReason.NOTHING_ASKED);
             }
         }
 
@@ -764,7 +770,7 @@
          * Closes it once its last answer has gone out. Guards against cutting the rest of an answer that its client
          * reads slowly. A client that never reads keeps its place only until another needs it.
          */
-        private void closeWhenWritten(ConnectionEnd why) {
+        private void closeWhenWritten(CloseReason why) {
             ChannelFuture written = channel.writeAndFlush(Unpooled.EMPTY_BUFFER);
             if (written.isDone()) {
                 drop(why);
@@ -780,7 +786,7 @@
         }
 
         /** Closes it, and forgets it at once so that its place is free. */
-        private void drop(ConnectionEnd why) {
+        private void drop(CloseReason why) {
             end = why;
             forget();
             channel.close();
@@ -796,7 +802,7 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            tally.ended(end);
+            tally.connectionClosed(end);
             forget();
             assembler.giveUp();
             decoder.handOver().release();
@@ -816,7 +822,7 @@
             Fatal.pass(cause);
             // A client that leaves amid its request is no fault; others may come as often as clients like.
             if (!(cause instanceof IOException) && !(cause instanceof PrematureChannelClosureException)) {
-                end = ConnectionEnd.BROKEN;
+                end = CloseReason.BROKEN;
                 logFault(cause);
             }
             ctx.close();
--- a/src/main/java/tinworks/net/ClientTally.java
+++ b/src/main/java/tinworks/net/ClientTally.java
@@ -8,7 +8,7 @@
 /** What became of clients' connections, and of requests that were turned away before anything was decided of them. */
 public final class ClientTally {
     /** Why a connection ended. */
-    public enum ConnectionEnd {
+    public enum CloseReason {
         /** The client closed or broke it. */
         CLIENT,
         /** Its last answer said so. */
@@ -27,19 +27,19 @@
         BROKEN
     }
 
-    private final Map<ConnectionEnd, Long> ends = new EnumMap<>(ConnectionEnd.class);
+    private final Map<CloseReason, Long> ends = new EnumMap<>(CloseReason.class);
     private final Map<Integer, Long> rejected = new TreeMap<>();
     private long opened;
 
-    void opened() {
+    void connectionOpened() {
         opened++;
     }
 
-    void ended(ConnectionEnd end) {
+    void connectionClosed(CloseReason end) {
         ends.merge(end, 1L, Long::sum);
     }
 
-    void rejected(HttpResponseStatus status) {
+    void requestRejected(HttpResponseStatus status) {
         rejected.merge(status.code(), 1L, Long::sum);
     }
 
@@ -49,7 +49,7 @@
     }
 
     /** Connections that ended, by why; reasons without any are left out. */
-    public Map<ConnectionEnd, Long> connectionsEnded() {
+    public Map<CloseReason, Long> connectionsClosed() {
         return new EnumMap<>(ends);
     }
 
--- a/src/main/java/tinworks/net/Forwarding.java
+++ b/src/main/java/tinworks/net/Forwarding.java
@@ -98,10 +98,10 @@
             throw new BadRequest(HttpResponseStatus.CONFLICT, "a request with this id is open");
         }
         OpenRequest r = new OpenRequest(at, arrived, limit, request, reply);
-        reply.keepBody(request);
+        reply.retainRequest(request);
         open.put(r.id, r);
         tally.began();
-        reply.onLeft(r::clientLeft);
+        reply.onClientDisconnect(r::clientLeft);
         tell(at, arrived);
     }
 
@@ -390,7 +390,7 @@
 
         private void forgetIfOver() {
             if (reply.isDone() && outstanding == 0 && open.remove(id, this)) {
-                reply.dropBody();
+                reply.releaseRequest();
                 keep(null);
             }
         }
--- a/src/main/java/tinworks/net/Gateway.java
+++ b/src/main/java/tinworks/net/Gateway.java
@@ -67,7 +67,8 @@
                 BalancerStyle.INSTANCE);
         discovery = new Discovery(
                 loop, transport, config.discovery(), config.known().index(), Discovery.SILENCE_MILLIS, new Watcher());
-        clients = new ClientServer(loop, transport, clock, ClientServer.Bounds.usual(connections / 2), new Requests());
+        clients =
+                new ClientServer(loop, transport, clock, ClientServer.Bounds.defaults(connections / 2), new Requests());
         forwarding = new Forwarding(loop, clock, config.settings(), config.seed(), hosts, BalancerStyle.INSTANCE, this);
         peers = config.peers() == null
                 ? null
@@ -161,7 +162,7 @@
     }
 
     private void endWhenIdle() {
-        if (clients.holdsAny()) {
+        if (clients.hasConnections()) {
             loop.schedule(this::endWhenIdle, END_CHECK_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             discovery.close();
@@ -219,7 +220,7 @@
         }
 
         @Override
-        public void requested(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
+        public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
             long at = clock.nanos();
             forwarding.begin(at, RequestReader.read(request, classes, at - arrivedAt), RunLimit.NONE, request, reply);
         }
--- a/src/main/java/tinworks/net/RequestAssembler.java
+++ b/src/main/java/tinworks/net/RequestAssembler.java
@@ -26,10 +26,10 @@
  */
 final class RequestAssembler extends HttpObjectAggregator {
     /** Why a request was turned away whose body there was no room for. */
-    static final class NoRoom extends Exception {
+    static final class BudgetExceededException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        NoRoom() {
+        BudgetExceededException() {
             super("no room for the body");
         }
     }
@@ -86,7 +86,7 @@
                 && part.decoderResult().isSuccess()
                 && !isCovered(content)) {
             // What has come of it goes on as a request that can't be taken, in its turn; the rest is read past.
-            part.setDecoderResult(DecoderResult.failure(new NoRoom()));
+            part.setDecoderResult(DecoderResult.failure(new BudgetExceededException()));
         }
         super.decode(ctx, part, out);
     }
@@ -147,8 +147,8 @@
         boolean tooLong = super.isContentLengthInvalid(oversized, largestBody) || oversized instanceof FullHttpMessage;
         DefaultFullHttpRequest told = new DefaultFullHttpRequest(
                 request.protocolVersion(), request.method(), request.uri(), Unpooled.EMPTY_BUFFER);
-        told.setDecoderResult(
-                DecoderResult.failure(tooLong ? new TooLongHttpContentException("body too long") : new NoRoom()));
+        told.setDecoderResult(DecoderResult.failure(
+                tooLong ? new TooLongHttpContentException("body too long") : new BudgetExceededException()));
         ctx.fireChannelRead(told);
     }
 }
--- a/src/main/java/tinworks/net/RequestDecoder.java
+++ b/src/main/java/tinworks/net/RequestDecoder.java
@@ -129,7 +129,7 @@
     private static HttpRequest noRoom() {
         DefaultFullHttpRequest told =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/", Unpooled.EMPTY_BUFFER);
-        told.setDecoderResult(DecoderResult.failure(new RequestAssembler.NoRoom()));
+        told.setDecoderResult(DecoderResult.failure(new RequestAssembler.BudgetExceededException()));
         return told;
     }
 
@@ -139,7 +139,7 @@
         headBytes = 0;
         if (head.decoderResult().isSuccess() && !cover(weight)) {
             full = true;
-            head.setDecoderResult(DecoderResult.failure(new RequestAssembler.NoRoom()));
+            head.setDecoderResult(DecoderResult.failure(new RequestAssembler.BudgetExceededException()));
         }
     }
 
--- a/src/main/java/tinworks/standin/StandInHost.java
+++ b/src/main/java/tinworks/standin/StandInHost.java
@@ -125,7 +125,7 @@
     /** It serves on, tells health probes that it is leaving, and ends each connection with the next answer. */
     public void drain() {
         draining = true;
-        server.lastAnswers();
+        server.closeAfterNextResponse();
     }
 
     /** Ends: takes in no more. */
@@ -140,7 +140,7 @@
     }
 
     @Override
-    public void requested(FullHttpRequest request, long arrivedAt, Reply reply) {
+    public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) {
         String id = request.headers().get(ATTEMPT);
         String wanted = request.headers().get("Want-Host");
         if (request.uri().equals(CHECK)) {
--- a/src/main/java/tinworks/standin/StandInPlatform.java
+++ b/src/main/java/tinworks/standin/StandInPlatform.java
@@ -146,7 +146,7 @@
     }
 
     @Override
-    public void requested(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
+    public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
         QueryStringDecoder uri = new QueryStringDecoder(request.uri());
         if (!uri.path().equals("/hosts")) {
             throw new BadRequest(HttpResponseStatus.NOT_FOUND, "no such call");
@@ -155,12 +155,12 @@
             return;
         }
         if (conduct == Conduct.GARBLED) {
-            reply.plain(HttpResponseStatus.OK, "{\"hosts\":[{\"id\":\"i-1\"},", 0);
+            reply.text(HttpResponseStatus.OK, "{\"hosts\":[{\"id\":\"i-1\"},", 0);
             return;
         }
         if (conduct == Conduct.BUSY || !withinRate()) {
             refused++;
-            reply.plain(HttpResponseStatus.TOO_MANY_REQUESTS, "too many calls", SECOND_NANOS);
+            reply.text(HttpResponseStatus.TOO_MANY_REQUESTS, "too many calls", SECOND_NANOS);
             return;
         }
         answered++;
--- a/src/test/java/tinworks/edge/LastAnswersTest.java
+++ b/src/test/java/tinworks/edge/LastAnswersTest.java
@@ -51,7 +51,7 @@
                     + EdgeFixture.request("c", "m", "zz", 9_000, true));
             Socket at = held.get(EdgeFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
             edge.tell(new Ending(TimeUnit.SECONDS.toNanos(5)));
-            NodeProcess.run(edge.loop, edge.clients::lastAnswers);
+            NodeProcess.run(edge.loop, edge.clients::closeAfterNextResponse);
             NodeProcess.run(edge.loop, edge.clients::stopAccepting);
             ScriptedHost.write(at, SERVED + "a\r\n\r\nfine");
             for (String id : new String[] {"a", "b", "c"}) {
@@ -90,12 +90,13 @@
             in.reset();
             NodeProcess.run(edge.loop, edge.clients::stopAccepting);
             assertTrue(
-                    NodeProcess.call(edge.loop, edge.clients::holdsAny), "the process lives on until it has gone out");
+                    NodeProcess.call(edge.loop, edge.clients::hasConnections),
+                    "the process lives on until it has gone out");
             Message answer = Message.read(in, true);
             assertNotNull(answer, "cut");
             assertEquals(LARGE_BODY, answer.body().length());
             assertEquals(-1, in.read(), "its connection ends behind it");
-            assertFalse(NodeProcess.call(edge.loop, edge.clients::holdsAny));
+            assertFalse(NodeProcess.call(edge.loop, edge.clients::hasConnections));
         }
     }
 }
--- a/src/test/java/tinworks/load/LoadClientsTest.java
+++ b/src/test/java/tinworks/load/LoadClientsTest.java
@@ -57,7 +57,7 @@
                             }
 
                             @Override
-                            public void requested(FullHttpRequest request, long arrivedAt, Reply reply) {
+                            public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) {
                                 boolean first =
                                         request.headers().get("Attempt-Id").endsWith("-1");
                                 reply.write(
--- a/src/test/java/tinworks/net/BodiesTest.java
+++ b/src/test/java/tinworks/net/BodiesTest.java
@@ -44,15 +44,15 @@
         }
 
         @Override
-        public void requested(FullHttpRequest request, long arrivedAt, ClientServer.Reply reply) {
+        public void onRequest(FullHttpRequest request, long arrivedAt, ClientServer.Reply reply) {
             if (request.uri().equals("/keep")) {
-                reply.keepBody(request);
+                reply.retainRequest(request);
                 kept.add(reply);
             } else {
-                kept.forEach(ClientServer.Reply::dropBody);
+                kept.forEach(ClientServer.Reply::releaseRequest);
                 kept.clear();
             }
-            reply.plain(HttpResponseStatus.OK, "took " + request.content().readableBytes(), 0);
+            reply.text(HttpResponseStatus.OK, "took " + request.content().readableBytes(), 0);
         }
     }
 
@@ -231,9 +231,9 @@
             }
 
             @Override
-            public void requested(FullHttpRequest request, long arrivedAt, ClientServer.Reply reply) {
+            public void onRequest(FullHttpRequest request, long arrivedAt, ClientServer.Reply reply) {
                 taken.incrementAndGet();
-                reply.plain(HttpResponseStatus.OK, ".".repeat(length - 1), 0);
+                reply.text(HttpResponseStatus.OK, ".".repeat(length - 1), 0);
             }
         });
         try (Socket socket = new Socket()) {
@@ -311,9 +311,9 @@
             }
 
             @Override
-            public void requested(FullHttpRequest request, long arrivedAt, ClientServer.Reply reply) {
-                reply.keepBody(request);
-                reply.onLeft(reply::dropBody);
+            public void onRequest(FullHttpRequest request, long arrivedAt, ClientServer.Reply reply) {
+                reply.retainRequest(request);
+                reply.onClientDisconnect(reply::releaseRequest);
             }
         });
         String small = "GET /a HTTP/1.1\r\nHost: x\r\n" + "a:b\r\n".repeat(600) + "\r\n";
--- a/src/test/java/tinworks/net/UnreadAnswersTest.java
+++ b/src/test/java/tinworks/net/UnreadAnswersTest.java
@@ -51,7 +51,7 @@
                         }
 
                         @Override
-                        public void requested(FullHttpRequest request, long arrivedAt, Reply reply) {
+                        public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) {
                             if (request.uri().equals("/held")) {
                                 held.add(reply);
                                 return;
@@ -96,7 +96,7 @@
             ask("/held");
         }
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (NodeProcess.call(loop, server::connections) != PLACES || held.size() != PLACES / 2 + 1) {
+        while (NodeProcess.call(loop, server::connectionCount) != PLACES || held.size() != PLACES / 2 + 1) {
             assertTrue(System.nanoTime() < until, "no place is made");
             TimeUnit.MILLISECONDS.sleep(5);
         }
