--- a/src/main/java/tinworks/demo/HollowEdges.java
+++ b/src/main/java/tinworks/demo/HollowEdges.java
@@ -116,7 +116,7 @@
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).awaitUninterruptibly(TimeUnit.SECONDS.toMillis(5));
     }
 
-    private final class HollowEdge implements CoreFollower.Owner, Conversation.Listener {
+    private final class HollowEdge implements CoreFollower.Callbacks, Conversation.Listener {
         private final EventLoop loop;
         private final int number;
         private final TcpLinks links;
@@ -133,7 +133,7 @@
 
         void tick() {
             if (!ended) {
-                links.want(follower.wanted(seeds));
+                links.want(follower.addressesToDial(seeds));
                 loop.schedule(this::tick, TICK_MILLIS, TimeUnit.MILLISECONDS);
             }
         }
@@ -173,10 +173,10 @@
             }
             bytes.add(size(signal));
             if (signal instanceof HostsChanged s
-                    && s.change().base().is(follower.list().version())) {
+                    && s.change().base().is(follower.hostList().version())) {
                 follower.received(
                         from,
-                        new Hosts(shared(s.change().version(), () -> s.change().appliedTo(follower.list()))));
+                        new Hosts(shared(s.change().version(), () -> s.change().appliedTo(follower.hostList()))));
             } else {
                 follower.received(from, signal);
             }
@@ -205,7 +205,7 @@
         }
 
         @Override
-        public void read(long rev, Callable<Configuration> version) {
+        public void decode(long rev, Callable<Configuration> version) {
             configurations.keySet().removeIf(old -> old + KEPT_VERSIONS < rev);
             Configuration read = configurations.computeIfAbsent(rev, any -> {
                 try {
@@ -214,18 +214,18 @@
                     throw new IllegalStateException("can't read the configuration " + rev, e);
                 }
             });
-            if (follower.use(read)) {
+            if (follower.apply(read)) {
                 saw(Event.CONFIGURED, read.rev(), null);
             }
         }
 
         @Override
-        public void listed(HostList list) {
+        public void hostListChanged(HostList list) {
             saw(Event.LISTED, 0, list);
         }
 
         @Override
-        public void counted(int edges) {
+        public void edgeCountChanged(int edges) {
             // A number for budgets, of which there are none here.
         }
     }
--- a/src/main/java/tinworks/edge/CoreFollower.java
+++ b/src/main/java/tinworks/edge/CoreFollower.java
@@ -24,21 +24,21 @@
  */
 public class CoreFollower implements Conversation.Listener {
     /** The edge round it. */
-    public interface Owner {
+    public interface Callbacks {
         /** A steady clock's milliseconds. */
         long millis();
 
         /**
-         * Reads a newer version, on another thread where that takes long, and then calls {@link CoreFollower#use}, or
-         * {@link CoreFollower#unread} where it can't be read.
+         * Reads a newer version, on another thread where that takes long, and then calls {@link CoreFollower#apply}, or
+         * {@link CoreFollower#decodeFailed} where it can't be read.
          */
-        void read(long rev, Callable<Configuration> version);
+        void decode(long rev, Callable<Configuration> version);
 
         /** A newer list of hosts. */
-        void listed(HostList list);
+        void hostListChanged(HostList list);
 
         /** How many edges there are is known anew. */
-        void counted(int edges);
+        void edgeCountChanged(int edges);
 
         /** A line for the operators. */
         void log(String line);
@@ -49,7 +49,7 @@
     private static final long ALONE_MILLIS = 3_000;
     private static final long BEHIND_MILLIS = 10_000;
 
-    private final Owner owner;
+    private final Callbacks owner;
     private final FreshnessGate newest = new FreshnessGate();
     private Configuration configuration;
     /** The version that is being read. */
@@ -73,7 +73,7 @@
     private long pulledHostsAt;
 
     /** One that knows nothing yet. */
-    public CoreFollower(Owner owner) {
+    public CoreFollower(Callbacks owner) {
         this.owner = owner;
         startedAt = owner.millis();
         heardLeaderAt = startedAt;
@@ -92,17 +92,17 @@
     }
 
     /** The newest list of hosts that a core machine told. */
-    public HostList list() {
+    public HostList hostList() {
         return list;
     }
 
     /** How many edges there are, as far as the core has told. */
-    public int edges() {
+    public int edgeCount() {
         return edges;
     }
 
     /** Whether the newest versions have ever been in use here. */
-    public boolean upToDate() {
+    public boolean hasBeenUpToDate() {
         return newest.reached();
     }
 
@@ -112,23 +112,24 @@
      * reached.
      */
     public boolean mayServe() {
-        return configuration != null && (upToDate() || alone() || owner.millis() - startedAt > BEHIND_MILLIS);
+        return configuration != null
+                && (hasBeenUpToDate() || isCoreUnreachable() || owner.millis() - startedAt > BEHIND_MILLIS);
     }
 
     /** For how long no core machine has told anything by a leader's lease, in milliseconds. */
-    public long silentMillis() {
+    public long millisSinceLeaderContact() {
         return owner.millis() - heardLeaderAt;
     }
 
     /** Whether the core is out of reach: then an edge looks for itself. */
-    public boolean alone() {
-        return silentMillis() > ALONE_MILLIS;
+    public boolean isCoreUnreachable() {
+        return millisSinceLeaderContact() > ALONE_MILLIS;
     }
 
     /** The addresses to be linked with: the core machines as they were told, and the seeds while none is heard. */
-    public Set<String> wanted(Collection<String> seeds) {
+    public Set<String> addressesToDial(Collection<String> seeds) {
         Set<String> wanted = new TreeSet<>(cores);
-        if (cores.isEmpty() || alone()) {
+        if (cores.isEmpty() || isCoreUnreachable()) {
             wanted.addAll(seeds);
             wanted.addAll(rumoured);
         }
@@ -174,7 +175,7 @@
         if (newer.version().compareTo(list.version()) > 0) {
             list = newer;
             newest.holds(rev(), list.version());
-            owner.listed(list);
+            owner.hostListChanged(list);
         }
     }
 
@@ -191,7 +192,7 @@
             count(s.edges());
         } else if (cores.isEmpty() && fresh) {
             cores = Set.copyOf(s.cores());
-        } else if (!fresh && (cores.isEmpty() || alone())) {
+        } else if (!fresh && (cores.isEmpty() || isCoreUnreachable())) {
             rumoured.addAll(s.cores());
         }
         if (isNewer(s.rev()) && now - pulledConfigurationAt > PULL_AGAIN_MILLIS) {
@@ -217,7 +218,7 @@
     private void count(int told) {
         if (told > 0 && told != edges) {
             edges = told;
-            owner.counted(told);
+            owner.edgeCountChanged(told);
         }
     }
 
@@ -239,7 +240,7 @@
         pulledConfigurationAt = 0;
         if (isNewer(rev)) {
             readingRev = rev;
-            owner.read(rev, version);
+            owner.decode(rev, version);
         }
     }
 
@@ -253,7 +254,7 @@
     }
 
     /** A version that was read comes into use; false where a newer one is. */
-    public boolean use(Configuration read) {
+    public boolean apply(Configuration read) {
         if (!isNewer(read.rev(), rev())) {
             return false;
         }
@@ -263,7 +264,7 @@
     }
 
     /** The version that was being read can't be. */
-    public void unread() {
+    public void decodeFailed() {
         readingRev = 0;
     }
 }
--- a/src/main/java/tinworks/edge/Edge.java
+++ b/src/main/java/tinworks/edge/Edge.java
@@ -32,7 +32,7 @@
                         ^ settings.node().hashCode())
                 .nextLong();
         EdgeNode node = process.call(() -> new EdgeNode(process.loop(), process.clock(), settings, id));
-        process.onChange(node::changed);
+        process.onChange(node::settingsChanged);
         process.onEnd(() -> end(process, node, SteadyClock.millis(), settings.graceMillis() - KILL_MARGIN_MILLIS));
         List<ChannelFuture> bound = process.call(node::start);
         process.awaitBound(bound);
@@ -40,7 +40,7 @@
 
     private static void end(NodeProcess process, EdgeNode node, long signalledAtMillis, long longestMillis)
             throws InterruptedException {
-        CompletableFuture<Void> ended = process.call(() -> node.end(signalledAtMillis));
+        CompletableFuture<Void> ended = process.call(() -> node.shutDown(signalledAtMillis));
         try {
             ended.get(signalledAtMillis + longestMillis - SteadyClock.millis(), TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
--- a/src/main/java/tinworks/edge/EdgeMetrics.java
+++ b/src/main/java/tinworks/edge/EdgeMetrics.java
@@ -89,7 +89,7 @@
     }
 
     /** What concerns requests that came while nothing could be done for them. */
-    static void add(MetricsPage page, Requests requests) {
+    static void add(MetricsPage page, RequestRouter requests) {
         page.counter("requests_unconfigured", "Requests refused while no configuration was known", (double)
                         requests.unconfigured())
                 .counter(
--- a/src/main/java/tinworks/edge/EdgeNode.java
+++ b/src/main/java/tinworks/edge/EdgeNode.java
@@ -47,7 +47,7 @@
  * An edge gateway at work. It keeps a link to every core machine and follows them ({@link CoreFollower}); what it knows
  * it goes on serving on, whether or not a core machine can be reached. All on one event loop.
  */
-public final class EdgeNode implements CoreFollower.Owner, Forwarding.Owner {
+public final class EdgeNode implements CoreFollower.Callbacks, Forwarding.Owner {
     private static final Logger LOG = LoggerFactory.getLogger(EdgeNode.class);
     private static final int PROBES = 32;
     private static final int PROBE_HEAD = 4_096;
@@ -75,7 +75,7 @@
     private final HostPoller poller;
     private final HostPool hosts;
     private final EdgeProtocol style;
-    private final Requests requests;
+    private final RequestRouter requests;
     private final ClientServer clients;
     private final ClientServer probes;
     private final Map<String, Forwarding> services = new LinkedHashMap<>();
@@ -125,7 +125,7 @@
                 new HostPool.Bounds(DIAL_NANOS, HOST_IDLE_NANOS, connections(), LARGEST_ANSWER),
                 memory.answers(),
                 style);
-        requests = new Requests(clock, random, style, services);
+        requests = new RequestRouter(clock, random, style, services);
         clients = new ClientServer(
                 loop, Transport.TCP, clock, clientBounds(Limits.USUAL), memory.requests(), memory.heads(), requests);
         clients.dropSlowReadersWhile(memory.answers()::isAwaited);
@@ -169,7 +169,7 @@
         tick();
         if (settings.bootstrap()) {
             // No client can be there yet: time to meet the code before they do.
-            new EdgeRehearsal(
+            new EdgeWarmUp(
                             loop,
                             clock,
                             clients::hasConnections,
@@ -184,7 +184,7 @@
     }
 
     /** Follows changed settings; on the event loop. */
-    public void changed(BootSettings changed) {
+    public void settingsChanged(BootSettings changed) {
         current = changed;
         poller.moveTo(changed.provider());
     }
@@ -196,7 +196,7 @@
      * @param signalledAtMillis when the signal came, in {@link SteadyClock}'s time: the grace runs from then, also
      *     where the event loop was at other work
      */
-    public CompletableFuture<Void> end(long signalledAtMillis) {
+    public CompletableFuture<Void> shutDown(long signalledAtMillis) {
         if (!ending && !clients.isListening()) {
             ending = true;
             ended.complete(null);
@@ -248,9 +248,9 @@
             services.values().forEach(Forwarding::failForgotten);
             dropUnused();
         }
-        links.want(core.wanted(current.seeds()));
+        links.want(core.addressesToDial(current.seeds()));
         // Guards against hosts that come and go while nobody tells of them: then every edge looks for itself.
-        poller.turn(core.alone());
+        poller.turn(core.isCoreUnreachable());
     }
 
     /** Whether clients may be sent here: with a list and a configuration that may be served with. */
@@ -267,15 +267,15 @@
                     ready ? "ready" : "not ready",
                     core.rev(),
                     known.size(),
-                    core.silentMillis(),
+                    core.millisSinceLeaderContact(),
                     ending ? ", ending" : "");
         }
     }
 
     private MetricsPage metrics() {
-        double silent = (double) core.silentMillis() / TimeUnit.SECONDS.toMillis(1);
+        double silent = (double) core.millisSinceLeaderContact() / TimeUnit.SECONDS.toMillis(1);
         MetricsPage page =
-                EdgeMetrics.page(ready(), core.rev(), core.edges(), known.size(), hosts.connections(), silent);
+                EdgeMetrics.page(ready(), core.rev(), core.edgeCount(), known.size(), hosts.connections(), silent);
         services.forEach((service, forwarding) -> EdgeMetrics.add(page, service, forwarding));
         EdgeMetrics.add(page, clients);
         EdgeMetrics.add(page, requests);
@@ -292,32 +292,32 @@
     }
 
     @Override
-    public void read(long rev, Callable<Configuration> version) {
+    public void decode(long rev, Callable<Configuration> version) {
         reader.execute(() -> {
             try {
                 PreparedConfiguration prepared = PreparedConfiguration.of(version.call());
                 loop.execute(() -> use(prepared));
             } catch (Exception e) {
                 LOG.error("can't read the configuration {}: {}", rev, e.getMessage());
-                loop.execute(core::unread);
+                loop.execute(core::decodeFailed);
             }
         });
     }
 
     @Override
-    public void listed(HostList list) {
+    public void hostListChanged(HostList list) {
         listed(list.hosts());
     }
 
     @Override
-    public void counted(int edges) {
+    public void edgeCountChanged(int edges) {
         reconfigure();
     }
 
     private void use(PreparedConfiguration prepared) {
         Configuration configuration = prepared.configuration();
         long before = core.rev();
-        if (!core.use(configuration)) {
+        if (!core.apply(configuration)) {
             return;
         }
         Invariant.VERSION_RISES.check(configuration.rev() > before, () -> configuration.rev() + " behind " + before);
@@ -341,12 +341,12 @@
             List<RequestClass> itsClasses = classes.get(service);
             Forwarding there = services.get(service);
             if (there != null) {
-                there.tell(new Reconfigured(itsClasses, core.edges()));
+                there.tell(new Reconfigured(itsClasses, core.edgeCount()));
             } else if (!itsClasses.isEmpty()) {
                 Forwarding made = new Forwarding(
                         loop,
                         clock,
-                        ServiceSettings.settings(itsClasses, core.edges(), settings.zone()),
+                        ServiceSettings.settings(itsClasses, core.edgeCount(), settings.zone()),
                         random.nextLong(),
                         hosts,
                         style,
@@ -360,7 +360,7 @@
         }
         for (Map.Entry<String, Forwarding> entry : List.copyOf(services.entrySet())) {
             if (!configuration.services().containsKey(entry.getKey())) {
-                entry.getValue().tell(new Reconfigured(List.of(), core.edges()));
+                entry.getValue().tell(new Reconfigured(List.of(), core.edgeCount()));
             }
         }
     }
--- a/src/main/java/tinworks/edge/EdgeProtocol.java
+++ b/src/main/java/tinworks/edge/EdgeProtocol.java
@@ -57,7 +57,7 @@
 
     @Override
     public FullHttpRequest forHost(FullHttpRequest request, String host, long timeoutNanos) {
-        HttpHeaders headers = EndToEnd.of(request.headers(), DEADLINE, WANT);
+        HttpHeaders headers = EndToEndHeaders.of(request.headers(), DEADLINE, WANT);
         headers.add(DEADLINE, Math.max(1, TimeUnit.NANOSECONDS.toMillis(timeoutNanos)));
         headers.add(WANT, host);
         if (request.content().isReadable() || !request.method().equals(HttpMethod.GET)) {
@@ -79,7 +79,7 @@
 
     @Override
     public void served(Reply reply, Answer answer) {
-        HttpHeaders headers = EndToEnd.of(answer.head().headers());
+        HttpHeaders headers = EndToEndHeaders.of(answer.head().headers());
         String length = answer.head().headers().get(HttpHeaderNames.CONTENT_LENGTH);
         if (length != null) {
             headers.set(
--- a/src/main/java/tinworks/edge/EdgeRehearsal.java
+++ b/src/main/java/tinworks/edge/EdgeWarmUp.java
@@ -45,8 +45,8 @@
  * a core costs more than all requests of the first seconds. It ends as soon as a client is there, after some seconds at
  * the latest, or when its requests are through; nothing of it outlives it. All on the edge's event loop.
  */
-final class EdgeRehearsal implements Forwarding.Owner {
-    private static final Logger LOG = LoggerFactory.getLogger(EdgeRehearsal.class);
+final class EdgeWarmUp implements Forwarding.Owner {
+    private static final Logger LOG = LoggerFactory.getLogger(EdgeWarmUp.class);
     private static final int REQUESTS = 150;
     private static final int CLIENTS = 2;
     private static final int HOSTS = 24;
@@ -63,17 +63,17 @@
     private static final String LOOPBACK = "127.0.0.1";
 
     /** What was played: answers that came, those by a host among them, how long it took, and why it ended. */
-    record Played(int answered, long served, long millis, String why) {}
+    record Result(int answered, long served, long millis, String why) {}
 
     private final EventLoop loop;
     private final GatewayClock clock;
     private final BooleanSupplier wanted;
-    private final Consumer<Played> told;
+    private final Consumer<Result> told;
     private final EdgeProtocol style = new EdgeProtocol(1);
     private final HostPool pool;
     private final ClientServer clients;
     private final Map<String, Forwarding> services = new HashMap<>();
-    private final Requests requests;
+    private final RequestRouter requests;
     private final List<Channel> channels = new ArrayList<>();
     private final long startedAt = System.nanoTime();
     private SocketAddress stage;
@@ -84,7 +84,7 @@
     /**
      * {@code wanted} tells whether a client is there, and the loop is theirs; {@code told} is told of the end, once.
      */
-    EdgeRehearsal(EventLoop loop, GatewayClock clock, BooleanSupplier wanted, Consumer<Played> told) {
+    EdgeWarmUp(EventLoop loop, GatewayClock clock, BooleanSupplier wanted, Consumer<Result> told) {
         this.loop = loop;
         this.told = told;
         this.clock = clock;
@@ -99,7 +99,7 @@
                         CONNECTIONS,
                         1 << 16),
                 style);
-        requests = new Requests(clock, new SplittableRandom(1), style, services);
+        requests = new RequestRouter(clock, new SplittableRandom(1), style, services);
         clients = new ClientServer(
                 loop,
                 Transport.TCP,
@@ -203,7 +203,7 @@
             pool.close();
             channels.forEach(Channel::close);
             told.accept(
-                    new Played(answered, served, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt), why));
+                    new Result(answered, served, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt), why));
         }
     }
 
@@ -261,7 +261,7 @@
             }
             if (++here % FRESH_EVERY == 0) {
                 ctx.close();
-                loop.schedule(EdgeRehearsal.this::dial, PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+                loop.schedule(EdgeWarmUp.this::dial, PAUSE_MILLIS, TimeUnit.MILLISECONDS);
             } else {
                 loop.schedule(
                         () -> {
--- a/src/main/java/tinworks/edge/EndToEnd.java
+++ b/src/main/java/tinworks/edge/EndToEndHeaders.java
@@ -20,7 +20,7 @@
  * are written at one stroke, where a text is written letter by letter. On a small part of a core, with code that isn't
  * compiled yet, that is a tenth of what a request costs.
  */
-final class EndToEnd {
+final class EndToEndHeaders {
     /** Headers between two neighbours only, or made anew. */
     private static final AsciiString[] NOT_PASSED_ON = {
         HttpHeaderNames.CONNECTION,
@@ -34,7 +34,7 @@
         HttpHeaderNames.CONTENT_LENGTH
     };
 
-    private EndToEnd() {}
+    private EndToEndHeaders() {}
 
     /** New headers with those that travel on, but for those of the other names. */
     static HttpHeaders of(HttpHeaders from, AsciiString... replaced) {
--- a/src/main/java/tinworks/edge/RequestJournal.java
+++ b/src/main/java/tinworks/edge/RequestJournal.java
@@ -25,7 +25,7 @@
     private static final long SECOND_MILLIS = 1_000;
 
     /** How many lines of one ending may be written now, and how many were not since the last one. */
-    private static final class Allowance {
+    private static final class TokenBucket {
         private double lines = BURST;
         private long at;
         private long suppressed;
@@ -34,14 +34,14 @@
     private final LongSupplier millis;
     private final Consumer<String> log;
     private final ArrayDeque<String> kept = new ArrayDeque<>();
-    private final Map<Ending, Allowance> allowances = new EnumMap<>(Ending.class);
+    private final Map<Ending, TokenBucket> allowances = new EnumMap<>(Ending.class);
 
     /** One that goes by a steady clock's milliseconds. */
     RequestJournal(LongSupplier millis, Consumer<String> log) {
         this.millis = millis;
         this.log = log;
         for (Ending ending : Ending.values()) {
-            allowances.put(ending, new Allowance());
+            allowances.put(ending, new TokenBucket());
         }
     }
 
@@ -55,7 +55,7 @@
         write(allowances.get(request.ending()), line);
     }
 
-    private void write(Allowance allowance, String line) {
+    private void write(TokenBucket allowance, String line) {
         long now = millis.getAsLong();
         double earned = (double) (now - allowance.at) * PER_SECOND / SECOND_MILLIS;
         allowance.lines = Math.min(BURST, allowance.lines + earned);
--- a/src/main/java/tinworks/edge/Requests.java
+++ b/src/main/java/tinworks/edge/RequestRouter.java
@@ -20,7 +20,7 @@
 import tinworks.policy.Protocol.RequestArrived;
 
 /** Takes clients' requests: finds each one's route, draws its service, and hands it to that service's module. */
-final class Requests implements ClientServer.Listener {
+final class RequestRouter implements ClientServer.Listener {
     private static final long NO_ROUTES_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
     private final GatewayClock clock;
@@ -34,7 +34,7 @@
     private long overdue;
 
     /** Without routes yet; the services are the caller's to fill, one for each that a route names. */
-    Requests(GatewayClock clock, SplittableRandom random, EdgeProtocol style, Map<String, Forwarding> services) {
+    RequestRouter(GatewayClock clock, SplittableRandom random, EdgeProtocol style, Map<String, Forwarding> services) {
         this.clock = clock;
         this.random = random;
         this.style = style;
--- a/src/test/java/tinworks/control/CoreNetwork.java
+++ b/src/test/java/tinworks/control/CoreNetwork.java
@@ -433,7 +433,7 @@
     }
 
     /** An edge that starts now; it follows the core machines as the production class does. */
-    final class Edge extends SimulatedProcess implements CoreFollower.Owner {
+    final class Edge extends SimulatedProcess implements CoreFollower.Callbacks {
         private final Hello hello = new Hello(Part.EDGE, 1_000 + order, "", "edge", "z");
         private final Runnable changed;
         final CoreFollower core;
@@ -446,7 +446,7 @@
         }
 
         private void tick() {
-            want(core.wanted(voters.stream().map(Member::address).toList()));
+            want(core.addressesToDial(voters.stream().map(Member::address).toList()));
             work(250, this::tick);
         }
 
@@ -471,10 +471,10 @@
         }
 
         @Override
-        public void read(long rev, Callable<Configuration> version) {
+        public void decode(long rev, Callable<Configuration> version) {
             work(2, () -> {
                 try {
-                    core.use(version.call());
+                    core.apply(version.call());
                     changed.run();
                 } catch (Exception e) {
                     throw new AssertionError("version " + rev, e);
@@ -483,12 +483,12 @@
         }
 
         @Override
-        public void listed(HostList list) {
+        public void hostListChanged(HostList list) {
             changed.run();
         }
 
         @Override
-        public void counted(int edges) {
+        public void edgeCountChanged(int edges) {
             // Nobody asks.
         }
 
--- a/src/test/java/tinworks/control/OrdersTest.java
+++ b/src/test/java/tinworks/control/OrdersTest.java
@@ -191,12 +191,12 @@
         boolean[] served = {false};
         long[] fetched = {0};
         edge[0] = network.new Edge(() -> {
-            for (HostList.Host host : edge[0].core.list().hosts()) {
+            for (HostList.Host host : edge[0].core.hostList().hosts()) {
                 long asked = Long.parseLong(host.id().substring(2));
                 assertTrue(asked >= fetched[0], "a list of " + asked + " after one of " + fetched[0]);
                 fetched[0] = asked;
             }
-            if (edge[0].core.upToDate() && !served[0]) {
+            if (edge[0].core.hasBeenUpToDate() && !served[0]) {
                 served[0] = true;
                 long told = operators.newestTold(network.now - LEASE_MILLIS - WAY_MILLIS);
                 assertTrue(edge[0].core.rev() >= told, "an edge serves with " + edge[0].core.rev() + " behind " + told);
@@ -234,8 +234,8 @@
         operators.check(newest);
         edges.forEach(edge -> assertTrue(
                 edge.core.rev() == newest.rev()
-                        && edge.core.upToDate()
-                        && !edge.core.list().hosts().isEmpty(),
+                        && edge.core.hasBeenUpToDate()
+                        && !edge.core.hostList().hosts().isEmpty(),
                 edge.core.rev() + " at an edge, not " + newest.rev()));
         return operators;
     }
--- a/src/test/java/tinworks/control/SimulatedDay.java
+++ b/src/test/java/tinworks/control/SimulatedDay.java
@@ -13,8 +13,8 @@
 import tinworks.channel.HostList;
 import tinworks.channel.Signal.CallAnswer;
 import tinworks.channel.SimulatedNetwork;
-import tinworks.edge.CarelessFollower;
 import tinworks.edge.CoreFollower;
+import tinworks.edge.StaleVersionFollower;
 import tinworks.raft.Raft;
 import tinworks.simulation.Machine;
 import tinworks.simulation.World;
@@ -285,8 +285,8 @@
         settings.troubles.forEach(t -> world.later(t.at() * 1_000, () -> strike(t)));
     }
 
-    private Function<CoreFollower.Owner, CoreFollower> follower() {
-        return settings.flaw == Flaw.VERSIONS_NOT_COMPARED ? CarelessFollower::new : CoreFollower::new;
+    private Function<CoreFollower.Callbacks, CoreFollower> follower() {
+        return settings.flaw == Flaw.VERSIONS_NOT_COMPARED ? StaleVersionFollower::new : CoreFollower::new;
     }
 
     private SimulatedCore add(String name) {
--- a/src/test/java/tinworks/control/SimulatedEdge.java
+++ b/src/test/java/tinworks/control/SimulatedEdge.java
@@ -19,7 +19,7 @@
  * An edge of the simulation, as far as it follows the core: the production {@link CoreFollower}, ready as EdgeNode
  * says.
  */
-final class SimulatedEdge implements CoreFollower.Owner {
+final class SimulatedEdge implements CoreFollower.Callbacks {
     private static final long TICK_MILLIS = 250;
     private static final long PLAIN_START_MILLIS = 3_000;
 
@@ -28,7 +28,7 @@
     private final World world;
     private final SimulatedNetwork network;
     private final Map<String, Machine> machines;
-    private final Function<CoreFollower.Owner, CoreFollower> maker;
+    private final Function<CoreFollower.Callbacks, CoreFollower> maker;
     private final SplittableRandom random;
     private CoreFollower follower;
     private Links links;
@@ -47,7 +47,7 @@
             SimulatedNetwork network,
             Map<String, Machine> machines,
             String name,
-            Function<CoreFollower.Owner, CoreFollower> maker,
+            Function<CoreFollower.Callbacks, CoreFollower> maker,
             Runnable observer) {
         this.world = world;
         this.network = network;
@@ -77,15 +77,15 @@
 
     private void tick() {
         machine.schedule(TICK_MILLIS, this::tick);
-        links.want(follower.wanted(seeds));
+        links.want(follower.addressesToDial(seeds));
     }
 
     /** As EdgeNode has it. */
     boolean ready() {
         boolean waited = millis() - startedAt > PLAIN_START_MILLIS;
         return follower.configuration() != null
-                && !follower.list().hosts().isEmpty()
-                && (follower.upToDate() || waited);
+                && !follower.hostList().hosts().isEmpty()
+                && (follower.hasBeenUpToDate() || waited);
     }
 
     long rev() {
@@ -115,7 +115,7 @@
     }
 
     HostList list() {
-        return follower.list();
+        return follower.hostList();
     }
 
     // ---- CoreFollower.Owner
@@ -126,13 +126,13 @@
     }
 
     @Override
-    public void read(long rev, Callable<Configuration> version) {
+    public void decode(long rev, Callable<Configuration> version) {
         long life = machine.life();
         world.later(
                 1_000 + random.nextInt(20_000),
                 () -> machine.arrive(life, () -> {
                     try {
-                        follower.use(version.call());
+                        follower.apply(version.call());
                     } catch (Exception e) {
                         throw new HistoryCheck.Broken("an edge can't read the version " + rev + ": " + e);
                     }
@@ -140,12 +140,12 @@
     }
 
     @Override
-    public void listed(HostList list) {
+    public void hostListChanged(HostList list) {
         // Read from the follower when it is checked.
     }
 
     @Override
-    public void counted(int edges) {
+    public void edgeCountChanged(int edges) {
         // Only quotas go by it.
     }
 
--- a/src/test/java/tinworks/edge/UnaskedTest.java
+++ b/src/test/java/tinworks/edge/AmbiguousRequestTest.java
@@ -21,7 +21,7 @@
  * Requests that two readers could read in two ways, or that would not reach a host as they came: none goes to a host.
  */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
-class UnaskedTest {
+class AmbiguousRequestTest {
     private static final String HEAD = "POST /m/a HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: a\r\n";
     private static final String INNER =
             "POST /m/b HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: b\r\nContent-Length: 0\r\n\r\n";
--- a/src/test/java/tinworks/edge/AtMostOnceMutantsTest.java
+++ b/src/test/java/tinworks/edge/AtMostOnceMutantsTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import tinworks.edge.AtMostOnceWalk.Report;
-import tinworks.edge.EndingHost.Ending;
+import tinworks.edge.AtMostOnceSweep.Report;
+import tinworks.edge.FaultInjectingHost.AttemptEnding;
 import tinworks.invariant.BreaksInvariants;
 import tinworks.invariant.Invariant;
 import tinworks.net.ClientServer.Reply;
@@ -31,7 +31,7 @@
     private static final int SOME = 9;
 
     /** A style without one of its guards, and the endings that show it. */
-    private record Mutant(String name, EdgeProtocol style, Set<Ending> shownBy) {
+    private record Mutant(String name, EdgeProtocol style, Set<AttemptEnding> shownBy) {
         @Override
         public String toString() {
             return name;
@@ -48,7 +48,10 @@
                                 return Whose.OWN;
                             }
                         },
-                        EnumSet.of(Ending.STRAY, Ending.STRAY_PROMISE_ALONE, Ending.STRAY_MISDIRECTED_ALONE)),
+                        EnumSet.of(
+                                AttemptEnding.STRAY,
+                                AttemptEnding.STRAY_PROMISE_ALONE,
+                                AttemptEnding.STRAY_MISDIRECTED_ALONE)),
                 new Mutant(
                         "an answer that names no request is its own",
                         new EdgeProtocol(1) {
@@ -58,7 +61,7 @@
                                 return whose == Whose.NOBODYS ? Whose.OWN : whose;
                             }
                         },
-                        EnumSet.of(Ending.NOT_RUN_NOBODYS)),
+                        EnumSet.of(AttemptEnding.NOT_RUN_NOBODYS)),
                 new Mutant(
                         "a 429 or 503 proves that nothing ran",
                         new EdgeProtocol(1) {
@@ -70,7 +73,7 @@
                                         : super.outcome(request, head, framed);
                             }
                         },
-                        EnumSet.of(Ending.BUSY, Ending.TOO_MANY)),
+                        EnumSet.of(AttemptEnding.BUSY, AttemptEnding.TOO_MANY)),
                 new Mutant(
                         "Not-Run proves it beside any status",
                         new EdgeProtocol(1) {
@@ -81,7 +84,7 @@
                                         : super.outcome(request, head, framed);
                             }
                         },
-                        EnumSet.of(Ending.NOT_RUN_200)),
+                        EnumSet.of(AttemptEnding.NOT_RUN_200)),
                 new Mutant(
                         "a success needs no seal",
                         new EdgeProtocol(1) {
@@ -92,7 +95,7 @@
                                         : super.outcome(request, head, framed);
                             }
                         },
-                        EnumSet.of(Ending.UNSEALED, Ending.ENCODED)),
+                        EnumSet.of(AttemptEnding.UNSEALED, AttemptEnding.ENCODED)),
                 new Mutant(
                         "a host's own 503, 429 and 408 are passed on",
                         new EdgeProtocol(1) {
@@ -109,7 +112,7 @@
                                 }
                             }
                         },
-                        EnumSet.of(Ending.BUSY, Ending.TOO_MANY, Ending.TOO_LATE)),
+                        EnumSet.of(AttemptEnding.BUSY, AttemptEnding.TOO_MANY, AttemptEnding.TOO_LATE)),
                 new Mutant(
                         "an own answer keeps a host's headers",
                         new EdgeProtocol(1) {
@@ -123,7 +126,12 @@
                                 reply.write(HttpResponseStatus.BAD_GATEWAY, headers, Unpooled.EMPTY_BUFFER, 0);
                             }
                         },
-                        EnumSet.of(Ending.BUSY, Ending.TOO_MANY, Ending.TOO_LATE, Ending.FAILED, Ending.FAILED_ODDLY)),
+                        EnumSet.of(
+                                AttemptEnding.BUSY,
+                                AttemptEnding.TOO_MANY,
+                                AttemptEnding.TOO_LATE,
+                                AttemptEnding.FAILED,
+                                AttemptEnding.FAILED_ODDLY)),
                 new Mutant(
                         "what failed and may have run is refused",
                         new EdgeProtocol(1) {
@@ -132,17 +140,22 @@
                                 refused(reply, 0);
                             }
                         },
-                        EnumSet.of(Ending.RESET, Ending.CLOSE, Ending.SILENCE, Ending.REQUEST_CUT)));
+                        EnumSet.of(
+                                AttemptEnding.RESET,
+                                AttemptEnding.CLOSE,
+                                AttemptEnding.SILENCE,
+                                AttemptEnding.REQUEST_CUT)));
     }
 
     @ParameterizedTest
     @MethodSource("mutants")
     void withoutThisGuardTheWalkFails(Mutant mutant) throws Exception {
-        Report report = AtMostOnceWalk.walk(
+        Report report = AtMostOnceSweep.walk(
                 mutant.style,
-                AtMostOnceWalk.cases(true, one -> mutant.shownBy.contains(one.ending()) && one.position() % SOME == 0));
+                AtMostOnceSweep.cases(
+                        true, one -> mutant.shownBy.contains(one.ending()) && one.position() % SOME == 0));
         assertFalse(report.faults().isEmpty(), "not caught in " + report.played() + " cases");
-        Set<Ending> caught = EnumSet.noneOf(Ending.class);
+        Set<AttemptEnding> caught = EnumSet.noneOf(AttemptEnding.class);
         mutant.shownBy.stream()
                 .filter(ending -> report.faults().stream().anyMatch(fault -> fault.contains("ending=" + ending + ",")))
                 .forEach(caught::add);
--- a/src/test/java/tinworks/edge/AtMostOnceWalk.java
+++ b/src/test/java/tinworks/edge/AtMostOnceSweep.java
@@ -15,21 +15,21 @@
 import tinworks.config.Configuration;
 import tinworks.edge.EdgeFixture.Client;
 import tinworks.edge.EdgeFixture.Message;
-import tinworks.edge.EndingHost.Ending;
-import tinworks.edge.EndingHost.Known;
-import tinworks.edge.EndingHost.Play;
+import tinworks.edge.FaultInjectingHost.AttemptEnding;
+import tinworks.edge.FaultInjectingHost.InjectedFault;
+import tinworks.edge.FaultInjectingHost.KnownOutcome;
 
 /**
  * Walks through the table of docs/design/at-most-once.md: each ending at each byte, for both kinds of requests, on a
  * connection's first use and on a later one, with a request sent ahead behind it and others between, by several
  * clients.
  */
-final class AtMostOnceWalk {
+final class AtMostOnceSweep {
     /** One cell of the table at one byte: at the first host that the request reaches, or at each. */
-    record Case(Ending ending, int position, boolean mutating, boolean reused, boolean everywhere) {}
+    record Case(AttemptEnding ending, int position, boolean mutating, boolean reused, boolean everywhere) {}
 
     /** What was played, how often again as it had not come about, and what broke a rule. */
-    record Report(int played, int again, Map<Ending, Integer> byEnding, List<String> faults) {}
+    record Report(int played, int again, Map<AttemptEnding, Integer> byEnding, List<String> faults) {}
 
     private static final long SEED = 20_261_202;
     private static final long SHORT_MILLIS = 80;
@@ -41,12 +41,12 @@
     private static final int TRIES = 2;
 
     private final EdgeFixture edge;
-    private final List<String> faults = EndingHost.faults();
+    private final List<String> faults = FaultInjectingHost.faults();
     private final Map<String, String> asked = new ConcurrentHashMap<>();
     private final AtomicInteger ids = new AtomicInteger();
     private final AtomicInteger again = new AtomicInteger();
 
-    private AtMostOnceWalk(EdgeProtocol style) {
+    private AtMostOnceSweep(EdgeProtocol style) {
         edge = new EdgeFixture(style);
     }
 
@@ -57,7 +57,7 @@
      */
     static List<Case> cases(boolean all, Predicate<Case> wanted) {
         List<Case> cases = new ArrayList<>();
-        for (Ending ending : Ending.values()) {
+        for (AttemptEnding ending : AttemptEnding.values()) {
             for (int position = 0; position < ending.positions(); position++) {
                 for (int kind = 0; kind < KINDS; kind++) {
                     boolean inTurn = position % KINDS == kind;
@@ -77,7 +77,7 @@
     }
 
     static Report walk(EdgeProtocol style, List<Case> cases) throws Exception {
-        AtMostOnceWalk walk = new AtMostOnceWalk(style);
+        AtMostOnceSweep walk = new AtMostOnceSweep(style);
         List<Thread> workers = new ArrayList<>();
         try (walk.edge) {
             for (int w = 0; w < WORKERS; w++) {
@@ -93,15 +93,15 @@
                 worker.join();
             }
         }
-        Map<Ending, Integer> byEnding = new TreeMap<>();
+        Map<AttemptEnding, Integer> byEnding = new TreeMap<>();
         cases.forEach(one -> byEnding.merge(one.ending, 1, Integer::sum));
         return new Report(cases.size(), walk.again.get(), byEnding, walk.faults);
     }
 
     private void work(int number, List<Case> cases) {
-        try (EndingHost a = new EndingHost("a" + number, asked, faults);
-                EndingHost b = new EndingHost("b" + number, asked, faults);
-                EndingHost c = new EndingHost("c" + number, asked, faults);
+        try (FaultInjectingHost a = new FaultInjectingHost("a" + number, asked, faults);
+                FaultInjectingHost b = new FaultInjectingHost("b" + number, asked, faults);
+                FaultInjectingHost c = new FaultInjectingHost("c" + number, asked, faults);
                 Worker worker = new Worker(number, a, b, c)) {
             for (Case one : cases) {
                 int tries = 0;
@@ -122,7 +122,7 @@
 
     /** One host more than a request has tries, and clients that ask for one case after the other. */
     private final class Worker implements AutoCloseable {
-        private final EndingHost[] hosts;
+        private final FaultInjectingHost[] hosts;
         private final String number;
         private final Random random;
         private Client client;
@@ -133,13 +133,13 @@
 
         private final List<String> mutatingIds = new ArrayList<>();
 
-        Worker(int number, EndingHost... hosts) throws IOException {
+        Worker(int number, FaultInjectingHost... hosts) throws IOException {
             this.hosts = hosts;
             this.number = String.valueOf(number);
             random = new Random(SEED + number);
             client = edge.client();
             between = edge.client();
-            for (EndingHost host : hosts) {
+            for (FaultInjectingHost host : hosts) {
                 edge.host(host.id(), host.address(), true);
                 edge.route("warm-" + host.id(), Configuration.Type.IDEM, TRIES, host.id());
             }
@@ -156,7 +156,7 @@
         }
 
         /** A plain request to each host, so that a connection to it rests; and the connection on which it came. */
-        private EndingHost.Connection warm(EndingHost host) throws IOException {
+        private FaultInjectingHost.Connection warm(FaultInjectingHost host) throws IOException {
             for (int tries = 0; tries < MOST_AGAIN; tries++) {
                 String id = next();
                 client.write(ask(id, "warm-" + host.id(), false, LONG_MILLIS));
@@ -180,18 +180,18 @@
         }
 
         private String[] names() {
-            return Stream.of(hosts).map(EndingHost::id).toArray(String[]::new);
+            return Stream.of(hosts).map(FaultInjectingHost::id).toArray(String[]::new);
         }
 
         /** Whether it came about. */
         boolean play(Case one) throws IOException, InterruptedException {
-            Ending ending = one.ending;
-            for (EndingHost host : hosts) {
+            AttemptEnding ending = one.ending;
+            for (FaultInjectingHost host : hosts) {
                 host.play = null;
             }
             edge.hosts(one.reused, hosts);
             if (one.reused) {
-                for (EndingHost host : hosts) {
+                for (FaultInjectingHost host : hosts) {
                     warm(host);
                 }
             }
@@ -201,20 +201,21 @@
             if (++played % FRESH_EVERY == 1) {
                 edge.route(plain, Configuration.Type.IDEM, TRIES, names());
             }
-            Play play = new Play(ending, one.position, next(), one.everywhere);
+            InjectedFault play = new InjectedFault(ending, one.position, next(), one.everywhere);
             if (one.mutating) {
                 mutatingIds.add(play.id);
             }
-            for (EndingHost host : hosts) {
+            for (FaultInjectingHost host : hosts) {
                 host.play = play;
             }
-            boolean leaves = ending == Ending.LEFT;
-            boolean others = !leaves && ending != Ending.REQUEST_CUT && random.nextBoolean();
+            boolean leaves = ending == AttemptEnding.LEFT;
+            boolean others = !leaves && ending != AttemptEnding.REQUEST_CUT && random.nextBoolean();
             String behind = others ? next() : null;
             String beside = others ? next() : null;
             // What is served whole needs no time to run out.
-            long deadline =
-                    ending.waitsLong() && ending.known(one.position) != Known.SERVED ? SHORT_MILLIS : LONG_MILLIS;
+            long deadline = ending.waitsLong() && ending.known(one.position) != KnownOutcome.SERVED
+                    ? SHORT_MILLIS
+                    : LONG_MILLIS;
             String text = ask(play.id, route, one.mutating, deadline);
             client.write(others ? text + ask(behind, plain, false, LONG_MILLIS) : text);
             if (others && play.begun.await(one.reused ? 2_000 : 0, TimeUnit.MILLISECONDS)) {
@@ -240,7 +241,7 @@
             }
             boolean asWanted = play.reused == one.reused;
             boolean lives = ending.lives(one.position) && one.reused && !others && asWanted && !one.everywhere;
-            for (EndingHost host : hosts) {
+            for (FaultInjectingHost host : hosts) {
                 host.play = null;
             }
             if (lives && warm(play.host) != play.connection) {
@@ -250,7 +251,7 @@
         }
 
         /** The client goes away while its request is at the host: nobody else gets it, and its connection ends. */
-        private boolean left(Play play, Case one) throws IOException, InterruptedException {
+        private boolean left(InjectedFault play, Case one) throws IOException, InterruptedException {
             boolean begun = play.begun.await(EdgeFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
             client.close();
             client = edge.client();
@@ -265,7 +266,7 @@
 
         private int sum(String id, boolean arrivals) {
             int sum = 0;
-            for (EndingHost host : hosts) {
+            for (FaultInjectingHost host : hosts) {
                 sum += (arrivals ? host.arrivals : host.runs).getOrDefault(id, 0);
             }
             return sum;
@@ -277,13 +278,13 @@
                     && answer.status() == 200
                     && id.equals(answer.headers().get("attempt-id"))
                     && ("s" + id).equals(answer.headers().get("origin-seal"))
-                    && EndingHost.body(id).equals(answer.body());
+                    && FaultInjectingHost.body(id).equals(answer.body());
             if (!own) {
                 faults.add("MIXED: " + answer + " for " + id + ", " + what);
             }
         }
 
-        private void judge(Case one, Play play, Message answer) {
+        private void judge(Case one, InjectedFault play, Message answer) {
             int status = answer == null ? 0 : answer.status();
             if (one.mutating && (status == 429 || status == 503 || status == 408 || status == 421)) {
                 promised.put(play.id, status);
@@ -295,7 +296,7 @@
             if (!play.isTaken()) {
                 return; // its time ran out, or its connection broke, before it reached a host
             }
-            Known known = one.ending.known(one.position);
+            KnownOutcome known = one.ending.known(one.position);
             if (status == 200) {
                 own(answer, play.id, one.toString());
             }
@@ -306,26 +307,26 @@
                 faults.add("answered " + status + ", not " + wanted + ": " + one + " on a "
                         + (play.reused ? "used" : "new") + " connection");
             }
-            boolean elsewhere = one.mutating && known != Known.NOT_RUN;
+            boolean elsewhere = one.mutating && known != KnownOutcome.NOT_RUN;
             if (elsewhere && sum(play.id, true) > 1) {
                 faults.add("went to another host though it may have run: " + one);
             }
         }
 
         /** MIXED: a host's seal goes with the status that the host gave, and never with an answer of the edge's own. */
-        private void judgeSeal(Case one, Play play, Message answer) {
+        private void judgeSeal(Case one, InjectedFault play, Message answer) {
             String seal = answer == null ? null : answer.headers().get("origin-seal");
-            if (seal != null && !seal.equals(EndingHost.seal(play.id, answer.status()))) {
+            if (seal != null && !seal.equals(FaultInjectingHost.seal(play.id, answer.status()))) {
                 faults.add("MIXED: " + answer.status() + " bears " + seal + ": " + one);
             }
         }
 
         /** Where the other hosts serve. */
-        private int wanted(Known known, boolean mutating, int status) {
+        private int wanted(KnownOutcome known, boolean mutating, int status) {
             return switch (known) {
                 case SERVED, NOT_RUN -> 200;
                 case FAILED -> mutating ? 500 : 200;
-                case FAILED_ODDLY -> mutating ? EndingHost.ODD_STATUS : 200;
+                case FAILED_ODDLY -> mutating ? FaultInjectingHost.ODD_STATUS : 200;
                 case UNKNOWN -> mutating ? 502 : 200;
                 case TIMED_OUT -> mutating ? 502 : 503;
                 case SERVED_OR_UNKNOWN -> status == 200 || status == 502 ? status : 200;
@@ -335,7 +336,7 @@
         }
 
         /** Where no host serves an idem request is refused, and a mutating one too if none ran it. */
-        private int wantedWhereAllEndSo(Known known, boolean mutating, int status) {
+        private int wantedWhereAllEndSo(KnownOutcome known, boolean mutating, int status) {
             return switch (known) {
                 case SERVED -> 200;
                 case NOT_RUN -> 503;
--- a/src/test/java/tinworks/edge/AtMostOnceTest.java
+++ b/src/test/java/tinworks/edge/AtMostOnceTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import tinworks.config.Configuration;
-import tinworks.edge.AtMostOnceWalk.Report;
+import tinworks.edge.AtMostOnceSweep.Report;
 import tinworks.edge.EdgeFixture.Client;
 import tinworks.net.ScriptedHost;
 
@@ -30,8 +30,8 @@
 
     @Test
     void eachEndingAtEachByte() throws Exception {
-        Report report = AtMostOnceWalk.walk(
-                new EdgeProtocol(1), AtMostOnceWalk.cases(Boolean.getBoolean("tinworks.walk.all"), one -> true));
+        Report report = AtMostOnceSweep.walk(
+                new EdgeProtocol(1), AtMostOnceSweep.cases(Boolean.getBoolean("tinworks.walk.all"), one -> true));
         System.out.println("at most once: " + report.played() + " cases, " + report.again() + " played again, "
                 + report.byEnding());
         assertEquals(
@@ -88,7 +88,7 @@
         Map<String, String> asked = new ConcurrentHashMap<>();
         List<Socket> filling = new ArrayList<>();
         try (ServerSocket bad = unreachable(how, filling);
-                EndingHost good = new EndingHost("good", asked, EndingHost.faults());
+                FaultInjectingHost good = new FaultInjectingHost("good", asked, FaultInjectingHost.faults());
                 EdgeFixture edge = new EdgeFixture(new EdgeProtocol(1));
                 Client client = edge.client()) {
             edge.host("bad", new InetSocketAddress("127.0.0.1", bad.getLocalPort()), true);
@@ -114,7 +114,7 @@
     private static String atAnotherHostsAddress(EdgeProtocol style) throws Exception {
         Map<String, String> asked = new ConcurrentHashMap<>();
         asked.put("a", "POST /m/a?q=%20a HTTP/1.1|body");
-        try (EndingHost now = new EndingHost("now", asked, EndingHost.faults());
+        try (FaultInjectingHost now = new FaultInjectingHost("now", asked, FaultInjectingHost.faults());
                 EdgeFixture edge = new EdgeFixture(style);
                 Client client = edge.client()) {
             edge.host("gone", now.address(), true);
@@ -146,7 +146,7 @@
      */
     private static int afterARest(EdgeProtocol style, Configuration.Type type) throws Exception {
         Map<String, String> asked = new ConcurrentHashMap<>();
-        try (EndingHost host = new EndingHost("h", asked, EndingHost.faults());
+        try (FaultInjectingHost host = new FaultInjectingHost("h", asked, FaultInjectingHost.faults());
                 EdgeFixture edge = new EdgeFixture(style);
                 Client client = edge.client()) {
             host.forgets = true;
--- a/src/test/java/tinworks/edge/LastAnswersTest.java
+++ b/src/test/java/tinworks/edge/ConnectionDrainingTest.java
@@ -23,7 +23,7 @@
 
 /** What an edge that ends does with requests that it has read. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
-class LastAnswersTest {
+class ConnectionDrainingTest {
     /** More than the buffers of a connection hold whose reader takes little. */
     private static final int LARGE_BODY = 12 << 20;
 
--- a/src/test/java/tinworks/edge/CoreFollowerTest.java
+++ b/src/test/java/tinworks/edge/CoreFollowerTest.java
@@ -25,7 +25,7 @@
 import tinworks.config.Configuration.Limits;
 
 /** What an edge takes from core machines of which some were cut off, frozen, or have just begun to lead. */
-class CoreFollowerTest implements CoreFollower.Owner {
+class CoreFollowerTest implements CoreFollower.Callbacks {
     private final List<Long> read = new ArrayList<>();
     private final Core core = new Core();
     private long now = 10_000;
@@ -67,17 +67,17 @@
     }
 
     @Override
-    public void read(long rev, Callable<Configuration> version) {
+    public void decode(long rev, Callable<Configuration> version) {
         read.add(rev);
     }
 
     @Override
-    public void listed(HostList list) {
+    public void hostListChanged(HostList list) {
         // Asked for below.
     }
 
     @Override
-    public void counted(int edges) {
+    public void edgeCountChanged(int edges) {
         // Asked for below.
     }
 
@@ -99,7 +99,7 @@
     }
 
     private boolean use(long rev) {
-        return edge.use(new Configuration(rev, List.of(), Map.of(), Limits.USUAL));
+        return edge.apply(new Configuration(rev, List.of(), Map.of(), Limits.USUAL));
     }
 
     private void list(long term, long count) {
@@ -109,9 +109,9 @@
     @Test
     void findsItsWayPastACoreMachineThatIsCutOff() {
         follower(1, 3, HostListVersion.NONE, false);
-        assertEquals(Set.of("f:1", "s:1"), edge.wanted(List.of("s:1")));
+        assertEquals(Set.of("f:1", "s:1"), edge.addressesToDial(List.of("s:1")));
         leader(2, 4, HostListVersion.NONE, "a:1", "b:1");
-        assertEquals(Set.of("a:1", "b:1"), edge.wanted(List.of("s:1")));
+        assertEquals(Set.of("a:1", "b:1"), edge.addressesToDial(List.of("s:1")));
     }
 
     @Test
@@ -127,7 +127,7 @@
         list(3, 1);
         assertTrue(edge.mayServe());
         leader(3, 9, hosts(3, 2), "a:1");
-        assertTrue(edge.mayServe() && edge.upToDate(), "a later version makes no ready edge unready");
+        assertTrue(edge.mayServe() && edge.hasBeenUpToDate(), "a later version makes no ready edge unready");
     }
 
     @Test
@@ -139,7 +139,7 @@
         assertFalse(edge.mayServe());
         now += 1;
         assertTrue(edge.mayServe(), "better than nothing");
-        assertFalse(edge.upToDate());
+        assertFalse(edge.hasBeenUpToDate());
     }
 
     @Test
@@ -173,8 +173,8 @@
         assertEquals(List.of(), core.asked);
         assertEquals(List.of(), read);
         assertEquals(9, edge.rev());
-        assertTrue(edge.list().version().is(hosts(6, 2)));
-        assertTrue(edge.alone(), "only an old leader speaks");
+        assertTrue(edge.hostList().version().is(hosts(6, 2)));
+        assertTrue(edge.isCoreUnreachable(), "only an old leader speaks");
     }
 
     /**
@@ -184,10 +184,12 @@
     private boolean heedsAnOldLeader(CoreFollower follower) {
         edge = follower;
         leader(6, 9, hosts(6, 1), "a:1", "b:1");
-        assertEquals(6, edge.edges());
+        assertEquals(6, edge.edgeCount());
         now += 2_000;
         leader(5, 9, hosts(6, 1), "z:1");
-        return edge.edges() != 6 || !edge.wanted(List.of()).equals(Set.of("a:1", "b:1")) || edge.silentMillis() < 2_000;
+        return edge.edgeCount() != 6
+                || !edge.addressesToDial(List.of()).equals(Set.of("a:1", "b:1"))
+                || edge.millisSinceLeaderContact() < 2_000;
     }
 
     @Test
@@ -209,8 +211,8 @@
         follower(8, 4, hosts(5, 1), false);
         now += 1_000;
         leader(6, 9, hosts(6, 1), "a:1", "b:1");
-        assertEquals(0, edge.silentMillis(), "a machine that is cut off has raised its own term");
-        assertEquals(Set.of("a:1", "b:1"), edge.wanted(List.of()));
+        assertEquals(0, edge.millisSinceLeaderContact(), "a machine that is cut off has raised its own term");
+        assertEquals(Set.of("a:1", "b:1"), edge.addressesToDial(List.of()));
     }
 
     @Test
--- a/src/test/java/tinworks/edge/EdgeFixture.java
+++ b/src/test/java/tinworks/edge/EdgeFixture.java
@@ -57,7 +57,7 @@
     final ClientServer clients;
     private final EdgeProtocol style;
     private final Map<String, Forwarding> services = new HashMap<>();
-    private final Requests requests;
+    private final RequestRouter requests;
     private final List<Route> routes = new ArrayList<>();
     private final Set<String> mutating = new HashSet<>();
     /** Hosts that must get nothing new; for use on the event loop. */
@@ -73,7 +73,7 @@
         clock = watched ? new GatewayClock(lag::nanos) : new GatewayClock();
         pool = new HostPool(
                 loop, Transport.TCP, clock, new HostPool.Bounds(DIAL_NANOS, LONG_NANOS, CONNECTIONS, LARGEST), style);
-        requests = new Requests(clock, new SplittableRandom(1), style, services);
+        requests = new RequestRouter(clock, new SplittableRandom(1), style, services);
         clients = new ClientServer(
                 loop,
                 Transport.TCP,
@@ -90,9 +90,9 @@
     }
 
     /** Tells of hosts, as {@link #host}. */
-    void hosts(boolean kept, EndingHost... hosts) {
+    void hosts(boolean kept, FaultInjectingHost... hosts) {
         List<HostPool.Place> places = new ArrayList<>();
-        for (EndingHost host : hosts) {
+        for (FaultInjectingHost host : hosts) {
             places.add(new HostPool.Place(host.id(), host.address(), 0, kept, false));
         }
         NodeProcess.run(loop, () -> pool.update(places, false));
--- a/src/test/java/tinworks/edge/EdgeRehearsalTest.java
+++ b/src/test/java/tinworks/edge/EdgeWarmUpTest.java
@@ -16,7 +16,7 @@
 
 /** An edge's warm-up before it calls itself ready. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
-class EdgeRehearsalTest {
+class EdgeWarmUpTest {
     private final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
 
@@ -25,16 +25,16 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(5_000);
     }
 
-    private EdgeRehearsal.Played play(boolean clientThere) {
-        CompletableFuture<EdgeRehearsal.Played> played = new CompletableFuture<>();
+    private EdgeWarmUp.Result play(boolean clientThere) {
+        CompletableFuture<EdgeWarmUp.Result> played = new CompletableFuture<>();
         NodeProcess.run(
-                loop, () -> new EdgeRehearsal(loop, new GatewayClock(), () -> clientThere, played::complete).start());
+                loop, () -> new EdgeWarmUp(loop, new GatewayClock(), () -> clientThere, played::complete).start());
         return played.join();
     }
 
     @Test
     void itsRequestsAreServedThroughTheEdgesOwnParts() {
-        EdgeRehearsal.Played played = play(false);
+        EdgeWarmUp.Result played = play(false);
         assertTrue(played.answered() > 100, played.toString());
         assertTrue(played.served() * 10 >= played.answered() * 9L, "nearly all by a host: " + played);
     }
--- a/src/test/java/tinworks/edge/EndingHost.java
+++ b/src/test/java/tinworks/edge/FaultInjectingHost.java
@@ -23,9 +23,9 @@
 /**
  * A host that ends one attempt as it is told, at a given byte, and serves all others; it keeps a ledger of what it ran.
  */
-final class EndingHost implements AutoCloseable {
+final class FaultInjectingHost implements AutoCloseable {
     /** What can be known of an attempt that ended so. */
-    enum Known {
+    enum KnownOutcome {
         SERVED,
         FAILED,
         FAILED_ODDLY,
@@ -37,7 +37,7 @@
         FAILED_OR_LATE
     }
 
-    private enum Then {
+    private enum ConnectionAction {
         STAYS,
         RESETS,
         CLOSES,
@@ -45,97 +45,195 @@
     }
 
     /** How the position is used: all is sent, in two parts; only so much is sent; or so much of the request is read. */
-    private enum At {
+    private enum PositionKind {
         SPLIT,
         CUT,
         REQUEST
     }
 
     /** The ways in which an attempt ends at a host that is reached. */
-    enum Ending {
-        WHOLE(At.SPLIT, Known.SERVED, true, EndingHost::own, Then.STAYS),
-        WHOLE_CHUNKED(At.SPLIT, Known.SERVED, true, EndingHost::chunked, Then.STAYS),
+    enum AttemptEnding {
+        WHOLE(PositionKind.SPLIT, KnownOutcome.SERVED, true, FaultInjectingHost::own, ConnectionAction.STAYS),
+        WHOLE_CHUNKED(
+                PositionKind.SPLIT, KnownOutcome.SERVED, true, FaultInjectingHost::chunked, ConnectionAction.STAYS),
         WHOLE_LAST(
-                At.SPLIT,
-                Known.SERVED,
+                PositionKind.SPLIT,
+                KnownOutcome.SERVED,
                 false,
                 id -> answer(id, "200 OK", "Origin-Seal: s" + id + "\r\nConnection: close"),
-                Then.STAYS),
-        HINTED(At.SPLIT, Known.SERVED, true, id -> HINT + own(id), Then.STAYS),
-        STRAY(At.SPLIT, Known.SERVED, false, id -> own(other(id)) + own(id), Then.STAYS),
+                ConnectionAction.STAYS),
+        HINTED(PositionKind.SPLIT, KnownOutcome.SERVED, true, id -> HINT + own(id), ConnectionAction.STAYS),
+        STRAY(PositionKind.SPLIT, KnownOutcome.SERVED, false, id -> own(other(id)) + own(id), ConnectionAction.STAYS),
         STRAY_PROMISE(
-                At.SPLIT, Known.SERVED, false, id -> answer(other(id), "503 Full", "Not-Run: 1") + own(id), Then.STAYS),
-        SURPLUS(At.CUT, Known.SERVED, false, id -> own(other(id)), Then.STAYS),
-        RESET(At.CUT, Known.UNKNOWN, false, EndingHost::own, Then.RESETS),
-        CLOSE(At.CUT, Known.UNKNOWN, false, EndingHost::own, Then.CLOSES),
-        CLOSE_CHUNKED(At.CUT, Known.UNKNOWN, false, EndingHost::chunked, Then.CLOSES),
-        CLOSE_HINTED(At.CUT, Known.UNKNOWN, false, id -> HINT + own(id), Then.CLOSES),
-        SILENCE(At.CUT, Known.TIMED_OUT, false, EndingHost::own, Then.IS_SILENT),
-        STRAY_ALONE(At.CUT, Known.UNKNOWN, false, id -> own(other(id)), Then.CLOSES),
+                PositionKind.SPLIT,
+                KnownOutcome.SERVED,
+                false,
+                id -> answer(other(id), "503 Full", "Not-Run: 1") + own(id),
+                ConnectionAction.STAYS),
+        SURPLUS(PositionKind.CUT, KnownOutcome.SERVED, false, id -> own(other(id)), ConnectionAction.STAYS),
+        RESET(PositionKind.CUT, KnownOutcome.UNKNOWN, false, FaultInjectingHost::own, ConnectionAction.RESETS),
+        CLOSE(PositionKind.CUT, KnownOutcome.UNKNOWN, false, FaultInjectingHost::own, ConnectionAction.CLOSES),
+        CLOSE_CHUNKED(
+                PositionKind.CUT, KnownOutcome.UNKNOWN, false, FaultInjectingHost::chunked, ConnectionAction.CLOSES),
+        CLOSE_HINTED(PositionKind.CUT, KnownOutcome.UNKNOWN, false, id -> HINT + own(id), ConnectionAction.CLOSES),
+        SILENCE(PositionKind.CUT, KnownOutcome.TIMED_OUT, false, FaultInjectingHost::own, ConnectionAction.IS_SILENT),
+        STRAY_ALONE(PositionKind.CUT, KnownOutcome.UNKNOWN, false, id -> own(other(id)), ConnectionAction.CLOSES),
         STRAY_PROMISE_ALONE(
-                At.SPLIT, Known.UNKNOWN, false, id -> answer(other(id), "503 Full", "Not-Run: 1"), Then.CLOSES),
+                PositionKind.SPLIT,
+                KnownOutcome.UNKNOWN,
+                false,
+                id -> answer(other(id), "503 Full", "Not-Run: 1"),
+                ConnectionAction.CLOSES),
         STRAY_MISDIRECTED_ALONE(
-                At.SPLIT, Known.UNKNOWN, false, id -> answer(other(id), "421 Other", "Not-Run: 1"), Then.CLOSES),
+                PositionKind.SPLIT,
+                KnownOutcome.UNKNOWN,
+                false,
+                id -> answer(other(id), "421 Other", "Not-Run: 1"),
+                ConnectionAction.CLOSES),
         GARBLED(
-                At.CUT,
-                Known.FAILED_OR_LATE,
+                PositionKind.CUT,
+                KnownOutcome.FAILED_OR_LATE,
                 false,
                 id -> begun(other(id), "200 OK\r\nOrigin-Seal: s" + id),
-                Then.IS_SILENT),
+                ConnectionAction.IS_SILENT),
         GARBLED_PROMISE(
-                At.CUT, Known.SERVED_OR_LATE, false, id -> begun(other(id), "503 Full\r\nNot-Run: 1"), Then.IS_SILENT),
-        GARBAGE(At.CUT, Known.UNKNOWN, false, EndingHost::garbage, Then.CLOSES),
+                PositionKind.CUT,
+                KnownOutcome.SERVED_OR_LATE,
+                false,
+                id -> begun(other(id), "503 Full\r\nNot-Run: 1"),
+                ConnectionAction.IS_SILENT),
+        GARBAGE(PositionKind.CUT, KnownOutcome.UNKNOWN, false, FaultInjectingHost::garbage, ConnectionAction.CLOSES),
         NOT_RUN_503(
-                At.SPLIT,
-                Known.NOT_RUN,
+                PositionKind.SPLIT,
+                KnownOutcome.NOT_RUN,
                 true,
                 id -> failure(id, "503 Full", "Not-Run: 1\r\nRetry-After: 1"),
-                Then.STAYS),
-        NOT_RUN_429(At.SPLIT, Known.NOT_RUN, true, id -> failure(id, "429 Full", "Not-Run: 1"), Then.STAYS),
-        NOT_RUN_400(At.SPLIT, Known.NOT_RUN, true, id -> failure(id, "400 Bad", "Not-Run: 1"), Then.STAYS),
-        MISDIRECTED(At.SPLIT, Known.NOT_RUN, true, id -> failure(id, "421 Other", "Not-Run: 1"), Then.STAYS),
-        NOT_RUN_CUT(At.CUT, Known.UNKNOWN, false, id -> answer(id, "503 Full", "Not-Run: 1"), Then.CLOSES),
-        NOT_RUN_RESET(At.CUT, Known.UNKNOWN, false, id -> answer(id, "429 Full", "Not-Run: 1"), Then.RESETS),
-        MISDIRECTED_CUT(At.CUT, Known.UNKNOWN, false, id -> answer(id, "421 Other", "Not-Run: 1"), Then.CLOSES),
-        NOT_RUN_NOBODYS(At.SPLIT, Known.UNKNOWN, false, id -> answer("", "503 Full", "Not-Run: 1"), Then.STAYS),
+                ConnectionAction.STAYS),
+        NOT_RUN_429(
+                PositionKind.SPLIT,
+                KnownOutcome.NOT_RUN,
+                true,
+                id -> failure(id, "429 Full", "Not-Run: 1"),
+                ConnectionAction.STAYS),
+        NOT_RUN_400(
+                PositionKind.SPLIT,
+                KnownOutcome.NOT_RUN,
+                true,
+                id -> failure(id, "400 Bad", "Not-Run: 1"),
+                ConnectionAction.STAYS),
+        MISDIRECTED(
+                PositionKind.SPLIT,
+                KnownOutcome.NOT_RUN,
+                true,
+                id -> failure(id, "421 Other", "Not-Run: 1"),
+                ConnectionAction.STAYS),
+        NOT_RUN_CUT(
+                PositionKind.CUT,
+                KnownOutcome.UNKNOWN,
+                false,
+                id -> answer(id, "503 Full", "Not-Run: 1"),
+                ConnectionAction.CLOSES),
+        NOT_RUN_RESET(
+                PositionKind.CUT,
+                KnownOutcome.UNKNOWN,
+                false,
+                id -> answer(id, "429 Full", "Not-Run: 1"),
+                ConnectionAction.RESETS),
+        MISDIRECTED_CUT(
+                PositionKind.CUT,
+                KnownOutcome.UNKNOWN,
+                false,
+                id -> answer(id, "421 Other", "Not-Run: 1"),
+                ConnectionAction.CLOSES),
+        NOT_RUN_NOBODYS(
+                PositionKind.SPLIT,
+                KnownOutcome.UNKNOWN,
+                false,
+                id -> answer("", "503 Full", "Not-Run: 1"),
+                ConnectionAction.STAYS),
         NOT_RUN_200(
-                At.SPLIT,
-                Known.UNKNOWN,
+                PositionKind.SPLIT,
+                KnownOutcome.UNKNOWN,
                 true,
                 id -> answer(id, "200 OK", "Not-Run: 1\r\nOrigin-Seal: s" + id),
-                Then.STAYS),
-        BUSY(At.SPLIT, Known.UNKNOWN, true, id -> failure(id, "503 Busy", "Retry-After: 1"), Then.STAYS),
-        TOO_MANY(At.SPLIT, Known.UNKNOWN, true, id -> failure(id, "429 Busy", "Retry-After: 1"), Then.STAYS),
-        TOO_LATE(At.SPLIT, Known.UNKNOWN, true, id -> failure(id, "408 Late", "X-A: a"), Then.STAYS),
-        FAILED(At.SPLIT, Known.FAILED, true, id -> failure(id, "500 Failed", "X-A: a"), Then.STAYS),
-        FAILED_CUT(At.CUT, Known.UNKNOWN, false, id -> failure(id, "500 Failed", "X-A: a"), Then.CLOSES),
-        FAILED_ODDLY(At.SPLIT, Known.FAILED_ODDLY, true, id -> failure(id, ODD_STATUS + " Odd", "X-A: a"), Then.STAYS),
-        UNSEALED(At.SPLIT, Known.UNKNOWN, true, id -> answer(id, "200 OK", "X-A: a"), Then.STAYS),
+                ConnectionAction.STAYS),
+        BUSY(
+                PositionKind.SPLIT,
+                KnownOutcome.UNKNOWN,
+                true,
+                id -> failure(id, "503 Busy", "Retry-After: 1"),
+                ConnectionAction.STAYS),
+        TOO_MANY(
+                PositionKind.SPLIT,
+                KnownOutcome.UNKNOWN,
+                true,
+                id -> failure(id, "429 Busy", "Retry-After: 1"),
+                ConnectionAction.STAYS),
+        TOO_LATE(
+                PositionKind.SPLIT,
+                KnownOutcome.UNKNOWN,
+                true,
+                id -> failure(id, "408 Late", "X-A: a"),
+                ConnectionAction.STAYS),
+        FAILED(
+                PositionKind.SPLIT,
+                KnownOutcome.FAILED,
+                true,
+                id -> failure(id, "500 Failed", "X-A: a"),
+                ConnectionAction.STAYS),
+        FAILED_CUT(
+                PositionKind.CUT,
+                KnownOutcome.UNKNOWN,
+                false,
+                id -> failure(id, "500 Failed", "X-A: a"),
+                ConnectionAction.CLOSES),
+        FAILED_ODDLY(
+                PositionKind.SPLIT,
+                KnownOutcome.FAILED_ODDLY,
+                true,
+                id -> failure(id, ODD_STATUS + " Odd", "X-A: a"),
+                ConnectionAction.STAYS),
+        UNSEALED(
+                PositionKind.SPLIT,
+                KnownOutcome.UNKNOWN,
+                true,
+                id -> answer(id, "200 OK", "X-A: a"),
+                ConnectionAction.STAYS),
         ENCODED(
-                At.SPLIT,
-                Known.UNKNOWN,
+                PositionKind.SPLIT,
+                KnownOutcome.UNKNOWN,
                 true,
                 id -> answer(id, "200 OK", "Content-Encoding: gzip\r\nOrigin-Seal: s" + id),
-                Then.STAYS),
+                ConnectionAction.STAYS),
         UNFRAMED(
-                At.SPLIT,
-                Known.UNKNOWN,
+                PositionKind.SPLIT,
+                KnownOutcome.UNKNOWN,
                 false,
                 id -> "HTTP/1.1 200 OK\r\nAttempt-Id: " + id + "\r\nOrigin-Seal: s" + id + "\r\n\r\n" + body(id),
-                Then.CLOSES),
-        REQUEST_CUT(At.REQUEST, Known.UNKNOWN, false, id -> ".".repeat(LONGEST_REQUEST), Then.RESETS),
-        LEFT(At.CUT, Known.UNKNOWN, false, EndingHost::own, Then.IS_SILENT);
+                ConnectionAction.CLOSES),
+        REQUEST_CUT(
+                PositionKind.REQUEST,
+                KnownOutcome.UNKNOWN,
+                false,
+                id -> ".".repeat(LONGEST_REQUEST),
+                ConnectionAction.RESETS),
+        LEFT(PositionKind.CUT, KnownOutcome.UNKNOWN, false, FaultInjectingHost::own, ConnectionAction.IS_SILENT);
 
-        private final At at;
-        private final Known known;
+        private final PositionKind at;
+        private final KnownOutcome known;
         private final boolean lives;
 
         @SuppressWarnings("ImmutableEnumChecker") // Each of the functions is a lambda without state.
         private final Function<String, String> text;
 
-        private final Then then;
+        private final ConnectionAction then;
 
-        Ending(At at, Known known, boolean lives, Function<String, String> text, Then then) {
+        AttemptEnding(
+                PositionKind at,
+                KnownOutcome known,
+                boolean lives,
+                Function<String, String> text,
+                ConnectionAction then) {
             this.at = at;
             this.known = known;
             this.lives = lives;
@@ -145,19 +243,19 @@
 
         /** The positions are from 0, below this. */
         int positions() {
-            return text.apply(ID).length() + (at == At.CUT ? 1 : 0);
+            return text.apply(ID).length() + (at == PositionKind.CUT ? 1 : 0);
         }
 
         /** What can be known where it ends at this position; what is cut at its end is whole. */
-        Known known(int position) {
-            if (at != At.CUT || position < positions() - 1) {
+        KnownOutcome known(int position) {
+            if (at != PositionKind.CUT || position < positions() - 1) {
                 return known;
             }
             return switch (this) {
-                case CLOSE, CLOSE_CHUNKED, CLOSE_HINTED, SILENCE -> Known.SERVED;
-                case FAILED_CUT -> Known.FAILED;
-                case RESET -> Known.SERVED_OR_UNKNOWN;
-                case NOT_RUN_CUT, MISDIRECTED_CUT, NOT_RUN_RESET -> Known.NOT_RUN;
+                case CLOSE, CLOSE_CHUNKED, CLOSE_HINTED, SILENCE -> KnownOutcome.SERVED;
+                case FAILED_CUT -> KnownOutcome.FAILED;
+                case RESET -> KnownOutcome.SERVED_OR_UNKNOWN;
+                case NOT_RUN_CUT, MISDIRECTED_CUT, NOT_RUN_RESET -> KnownOutcome.NOT_RUN;
                 default -> known;
             };
         }
@@ -169,11 +267,11 @@
 
         /** Whether it can be played at more hosts than one: the edge goes on to another. */
         boolean mayBeEverywhere() {
-            return at != At.REQUEST && this != LEFT && !waitsLong();
+            return at != PositionKind.REQUEST && this != LEFT && !waitsLong();
         }
 
         boolean isCut() {
-            return at != At.SPLIT;
+            return at != PositionKind.SPLIT;
         }
 
         /** Whether the client must wait out its deadline. */
@@ -183,8 +281,8 @@
     }
 
     /** One attempt that is to end so: at the first host that it reaches. */
-    static final class Play {
-        final Ending ending;
+    static final class InjectedFault {
+        final AttemptEnding ending;
         final int position;
         final String id;
         final CountDownLatch begun = new CountDownLatch(1);
@@ -194,18 +292,18 @@
         private final boolean everywhere;
 
         private final AtomicBoolean taken = new AtomicBoolean();
-        volatile EndingHost host;
+        volatile FaultInjectingHost host;
         volatile Connection connection;
         volatile boolean reused;
 
-        Play(Ending ending, int position, String id, boolean everywhere) {
+        InjectedFault(AttemptEnding ending, int position, String id, boolean everywhere) {
             this.ending = ending;
             this.position = position;
             this.id = id;
             this.everywhere = everywhere;
         }
 
-        private boolean take(EndingHost at, Connection on) {
+        private boolean take(FaultInjectingHost at, Connection on) {
             if (!taken.compareAndSet(false, true)) {
                 return everywhere;
             }
@@ -250,12 +348,12 @@
 
     final Map<String, Integer> runs = new ConcurrentHashMap<>();
     final Map<String, Integer> arrivals = new ConcurrentHashMap<>();
-    volatile Play play;
+    volatile InjectedFault play;
     volatile Connection last;
     /** It drops connections that rested, without a word until something is sent on one. */
     volatile boolean forgets;
 
-    EndingHost(String id, Map<String, String> asked, List<String> faults) throws IOException {
+    FaultInjectingHost(String id, Map<String, String> asked, List<String> faults) throws IOException {
         this.id = id;
         this.asked = asked;
         this.faults = faults;
@@ -360,7 +458,7 @@
         StringBuilder bytes = new StringBuilder();
         int headEnd = -1;
         int bodyLength = 0;
-        Play cut = null;
+        InjectedFault cut = null;
         while (headEnd < 0 || bytes.length() < headEnd + bodyLength) {
             int read = in.read();
             if (read < 0) {
@@ -375,9 +473,10 @@
                     reset(connection);
                     return false;
                 }
-                Play now = play;
-                boolean cuts =
-                        now != null && now.ending.at == At.REQUEST && ahead(in).contains(now.id);
+                InjectedFault now = play;
+                boolean cuts = now != null
+                        && now.ending.at == PositionKind.REQUEST
+                        && ahead(in).contains(now.id);
                 cut = cuts && now.take(this, connection) ? now : null;
             }
             bytes.append((char) read);
@@ -407,9 +506,12 @@
             return true;
         }
         arrived(request, bytes.toString(), headEnd);
-        Play now = play;
+        InjectedFault now = play;
         boolean goesOn = true;
-        if (now != null && now.ending.at != At.REQUEST && request.equals(now.id) && now.take(this, connection)) {
+        if (now != null
+                && now.ending.at != PositionKind.REQUEST
+                && request.equals(now.id)
+                && now.take(this, connection)) {
             goesOn = end(connection, in, now);
             now.done.countDown();
         } else {
@@ -447,33 +549,33 @@
         if (!came.equals(asked.get(request))) {
             faults.add("UNASKED: " + came + " for " + asked.get(request));
         }
-        Play now = play;
+        InjectedFault now = play;
         boolean turnedAway = now != null
                 && now.id.equals(request)
                 && (now.everywhere || !now.isTaken())
-                && now.ending.known(now.position) == Known.NOT_RUN;
+                && now.ending.known(now.position) == KnownOutcome.NOT_RUN;
         if (!turnedAway) {
             runs.merge(request, 1, Integer::sum);
         }
     }
 
     @SuppressWarnings("ThreadPriorityCheck") // A yield makes two pieces likelier; no outcome depends on it.
-    private boolean end(Connection connection, InputStream in, Play now) throws IOException {
-        Ending ending = now.ending;
+    private boolean end(Connection connection, InputStream in, InjectedFault now) throws IOException {
+        AttemptEnding ending = now.ending;
         now.begun.countDown();
         if (!ending.lives(now.position)) {
             connection.spoiltBy = ending + " at " + now.position;
         }
         String text = ending.text.apply(now.id);
-        if (ending.at == At.SPLIT) {
+        if (ending.at == PositionKind.SPLIT) {
             write(connection, text.substring(0, now.position));
             Thread.yield();
             write(connection, text.substring(now.position));
         } else {
-            String first = ending == Ending.SURPLUS ? own(now.id) : "";
-            String behind = ending == Ending.GARBLED
+            String first = ending == AttemptEnding.SURPLUS ? own(now.id) : "";
+            String behind = ending == AttemptEnding.GARBLED
                     ? failure(now.id, "500 Failed", "X-A: a")
-                    : ending == Ending.GARBLED_PROMISE ? own(now.id) : "";
+                    : ending == AttemptEnding.GARBLED_PROMISE ? own(now.id) : "";
             write(connection, first + text.substring(0, now.position) + behind);
         }
         switch (ending.then) {
@@ -482,12 +584,12 @@
             case IS_SILENT -> awaitEnd(connection, in, now);
             default -> {}
         }
-        return ending.then == Then.STAYS;
+        return ending.then == ConnectionAction.STAYS;
     }
 
     /** The edge must close it; a whole answer that stays behind may be followed by another request. */
-    private void awaitEnd(Connection connection, InputStream in, Play now) throws IOException {
-        boolean whole = now.ending == Ending.SILENCE
+    private void awaitEnd(Connection connection, InputStream in, InjectedFault now) throws IOException {
+        boolean whole = now.ending == AttemptEnding.SILENCE
                 ? now.position == now.ending.positions() - 1
                 : now.ending.waitsLong() && now.position == 0;
         if (whole) {
--- a/src/test/java/tinworks/edge/EdgeEndTest.java
+++ b/src/test/java/tinworks/edge/GracefulShutdownTest.java
@@ -43,7 +43,7 @@
 
 /** A whole edge after its SIGTERM, with hosts at work on requests of both kinds. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
-class EdgeEndTest {
+class GracefulShutdownTest {
     private static final long GRACE_MILLIS = 6_000;
     private static final long FIRST_HALF_MILLIS = GRACE_MILLIS / 2;
     private static final long FIRST_HALF_NANOS = TimeUnit.MILLISECONDS.toNanos(FIRST_HALF_MILLIS);
@@ -138,8 +138,8 @@
             hosts.add(new Host("i-" + i, "s", "127.0.0.1:" + host.address().getPort(), "z", 3, false, 0));
         }
         NodeProcess.run(loop, () -> {
-            edge.listed(new HostList(new HostListVersion(1, 1), hosts));
-            edge.read(1, () -> configuration);
+            edge.hostListChanged(new HostList(new HostListVersion(1, 1), hosts));
+            edge.decode(1, () -> configuration);
         });
         await("the edge serves", () -> serves(ports.get(0), "first" + System.nanoTime()));
         return edge;
@@ -154,7 +154,7 @@
         try (ScriptedHost host = new ScriptedHost(this::host)) {
             EdgeNode edge = serving(ports, host);
             long signalledAt = SteadyClock.millis() - FIRST_HALF_MILLIS;
-            NodeProcess.call(loop, () -> edge.end(signalledAt));
+            NodeProcess.call(loop, () -> edge.shutDown(signalledAt));
             Map<String, Client> waiting = new LinkedHashMap<>();
             String id = ask(waiting, ports.get(0), "held-m-late");
             try (Client client = waiting.get(id)) {
@@ -176,7 +176,7 @@
             awaitSentElsewhere(http, "held-i-control");
             Map<String, Client> waiting = askBeforeAnyIsOverdue(http);
             long began = System.nanoTime();
-            CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.end(SteadyClock.millis()));
+            CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
             for (String id : List.of("held-i-after", "held-m-after", "turned-i-after", "turned-m-after")) {
                 ask(waiting, http, id);
             }
@@ -216,7 +216,7 @@
         List<Integer> ports = FreePorts.at("127.0.0.1", 4);
         try (ScriptedHost host = new ScriptedHost(this::host)) {
             EdgeNode edge = serving(ports, host, new GatewayClock(() -> TimeUnit.MILLISECONDS.toNanos(AIM_MILLIS)));
-            NodeProcess.call(loop, () -> edge.end(SteadyClock.millis()));
+            NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
             for (String route : List.of("i", "m")) {
                 try (Client client = new Client(ports.get(0))) {
                     String id = "held-" + route + "-" + System.nanoTime();
@@ -249,7 +249,7 @@
             await("requests are served", () -> told.size() > LAGGED_CLIENTS);
             NodeProcess.run(loop, this::lag);
             Set<String> before = Set.copyOf(came.keySet());
-            CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.end(SteadyClock.millis()));
+            CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
             ended.get(GRACE_MILLIS, TimeUnit.MILLISECONDS);
             for (Thread client : clients) {
                 client.join();
--- a/src/test/java/tinworks/edge/PlannedWorkTest.java
+++ b/src/test/java/tinworks/edge/PlannedMaintenanceTest.java
@@ -42,7 +42,7 @@
 
 /** A whole edge under load, with hosts that take tens of milliseconds, through each kind of planned work. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
-class PlannedWorkTest {
+class PlannedMaintenanceTest {
     private static final int CLIENTS = 16;
     private static final int HOSTS = 24;
     private static final int REQUESTS = 2_000;
@@ -87,8 +87,8 @@
             hosts.add(new Host("i-" + i, service, "127.0.0.1:" + host.address().getPort(), "z", 3, false, 0));
         }
         NodeProcess.run(loop, () -> {
-            edge.listed(new HostList(new HostListVersion(1, 1), hosts));
-            edge.read(1, () -> version(1));
+            edge.hostListChanged(new HostList(new HostListVersion(1, 1), hosts));
+            edge.decode(1, () -> version(1));
         });
         for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
                 !isServed("warm-" + ids.incrementAndGet()); ) {
@@ -266,7 +266,7 @@
         during(
                 "settings changed",
                 SETTINGS_EVERY_MILLIS,
-                times -> loop.execute(() -> edge.changed(times % 2 == 0 ? settings : other)));
+                times -> loop.execute(() -> edge.settingsChanged(times % 2 == 0 ? settings : other)));
         assertEquals(0, refused.get() + unread.get());
     }
 
@@ -275,7 +275,7 @@
         during(
                 "configuration changed",
                 VERSION_EVERY_MILLIS,
-                times -> loop.execute(() -> edge.read(1 + times, () -> version(1 + times))));
+                times -> loop.execute(() -> edge.decode(1 + times, () -> version(1 + times))));
         assertEquals(0, refused.get() + unread.get());
     }
 
@@ -290,7 +290,7 @@
             TimeUnit.MILLISECONDS.sleep(SETTINGS_EVERY_MILLIS);
         }
         ending = true;
-        CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.end(SteadyClock.millis()));
+        CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
         for (Thread client : clients) {
             client.join();
         }
--- a/src/test/java/tinworks/edge/CarelessFollower.java
+++ b/src/test/java/tinworks/edge/StaleVersionFollower.java
@@ -1,9 +1,9 @@
 package tinworks.edge;
 
 /** Broken on purpose: it takes whatever version comes. */
-public final class CarelessFollower extends CoreFollower {
+public final class StaleVersionFollower extends CoreFollower {
     /** One that knows nothing yet. */
-    public CarelessFollower(Owner owner) {
+    public StaleVersionFollower(Callbacks owner) {
         super(owner);
     }
 
--- a/src/test/java/tinworks/edge/UnreadableHostTest.java
+++ b/src/test/java/tinworks/edge/UnreadableHostTest.java
@@ -32,7 +32,7 @@
             Host unreadable = new Host("h-1", "s", "starting", "z", 4, false, 0);
             Host sound = new Host("h-2", "s", "127.0.0.1:8080", "z", 4, false, 0);
             HostList list = new HostList(new HostListVersion(1, 1), List.of(unreadable, sound));
-            NodeProcess.run(loop, () -> edge.listed(list));
+            NodeProcess.run(loop, () -> edge.hostListChanged(list));
             assertTrue(NodeProcess.call(loop, () -> edge.isReady("h-2")));
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(5, TimeUnit.SECONDS);
