--- a/src/main/java/tinworks/channel/SignalCodec.java
+++ b/src/main/java/tinworks/channel/SignalCodec.java
@@ -21,7 +21,7 @@
 import tinworks.channel.Signal.PullHosts;
 import tinworks.raft.Entry;
 import tinworks.raft.Member;
-import tinworks.raft.Members;
+import tinworks.raft.MemberListCodec;
 import tinworks.raft.Message;
 import tinworks.raft.Message.Append;
 import tinworks.raft.Message.AppendReply;
@@ -263,7 +263,7 @@
                     .eight(m.round())
                     .eight(label.index())
                     .eight(label.term())
-                    .bytes(Members.write(label.members()))
+                    .bytes(MemberListCodec.encode(label.members()))
                     .four(label.length())
                     .four(label.checksum())
                     .eight(m.sequence())
@@ -324,7 +324,8 @@
         long round = in.eight();
         long index = in.eight();
         long itsTerm = in.eight();
-        Snapshot.Metadata label = new Snapshot.Metadata(index, itsTerm, Members.read(in.bytes()), in.four(), in.four());
+        Snapshot.Metadata label =
+                new Snapshot.Metadata(index, itsTerm, MemberListCodec.decode(in.bytes()), in.four(), in.four());
         long number = in.eight();
         return new InstallSnapshot(term, label, in.four(), in.bytes(), number, round);
     }
--- a/src/main/java/tinworks/cli/CommandLineTool.java
+++ b/src/main/java/tinworks/cli/CommandLineTool.java
@@ -27,7 +27,7 @@
 import tinworks.node.BootSettings;
 import tinworks.raft.Entry;
 import tinworks.raft.Member;
-import tinworks.raft.Stored;
+import tinworks.raft.PersistentState;
 import tinworks.store.CoreStore;
 
 /** Commands that check files, ask running machines, and read a core machine's disk. */
@@ -190,7 +190,7 @@
             spec.commandLine().usage(spec.commandLine().getErr());
         }
 
-        private static Stored load(Path folder) throws IOException, CoreStore.Damaged {
+        private static PersistentState load(Path folder) throws IOException, CoreStore.Damaged {
             if (!Files.isDirectory(folder)) {
                 throw new IOException("no folder " + folder);
             }
@@ -200,7 +200,7 @@
         }
 
         /** The configuration that the snapshot and the entries on the disk come to, committed or not. */
-        private static ConfigurationHistory history(Stored stored) {
+        private static ConfigurationHistory history(PersistentState stored) {
             ConfigurationHistory history = new ConfigurationHistory();
             if (stored.snapshot().index() > 0) {
                 history.load(stored.snapshot().state());
@@ -228,7 +228,7 @@
                 }
             }
 
-            abstract int read(CommandSpec at, Stored stored);
+            abstract int read(CommandSpec at, PersistentState stored);
         }
 
         /** Checks a stopped core machine's store. */
@@ -238,10 +238,10 @@
                 description = "Checks every record's checksum and order.")
         static final class Verify extends Reading {
             @Override
-            int read(CommandSpec at, Stored stored) {
+            int read(CommandSpec at, PersistentState stored) {
                 say(
                         at,
-                        "term " + stored.hard().term() + ", snapshot at "
+                        "term " + stored.hardState().term() + ", snapshot at "
                                 + stored.snapshot().index() + ", "
                                 + stored.entries().size() + " entries, configuration "
                                 + history(stored).rev());
@@ -263,7 +263,7 @@
                         "Prints the newest configuration on the disk as it was sent; it may not have been acknowledged.")
         static final class Export extends Reading {
             @Override
-            int read(CommandSpec at, Stored stored) {
+            int read(CommandSpec at, PersistentState stored) {
                 ConfigurationHistory history = history(stored);
                 if (history.rev() == 0) {
                     return complain(at, "no configuration on this disk");
--- a/src/main/java/tinworks/control/Agreement.java
+++ b/src/main/java/tinworks/control/Agreement.java
@@ -107,7 +107,7 @@
     void pump() {
         Output output = raft.drain();
         if (!output.isEmpty()) {
-            if (output.writes() || writing > 0) {
+            if (output.mustSync() || writing > 0) {
                 writing++;
                 disk.write(output, () -> {
                     writing--;
@@ -142,7 +142,7 @@
                 told.accept(true);
             }
         });
-        if (appliedIndex - raft.snapshotIndex() > MOST_ENTRIES || raft.bytes(appliedIndex) > MOST_BYTES) {
+        if (appliedIndex - raft.snapshotIndex() > MOST_ENTRIES || raft.logBytes(appliedIndex) > MOST_BYTES) {
             raft.compact(appliedIndex, history.save());
         }
         if (output.restored() != null || !output.committed().isEmpty()) {
--- a/src/main/java/tinworks/control/Core.java
+++ b/src/main/java/tinworks/control/Core.java
@@ -17,8 +17,8 @@
 import tinworks.node.NodeProcess;
 import tinworks.raft.HardState;
 import tinworks.raft.Member;
+import tinworks.raft.PersistentState;
 import tinworks.raft.Snapshot;
-import tinworks.raft.Stored;
 import tinworks.store.CoreStore;
 import tinworks.store.DiskFolder;
 import tinworks.store.Folder;
@@ -44,7 +44,7 @@
         try {
             CoreStore store = open(new DiskFolder(settings.dataDir()));
             long id = identity(store, settings);
-            Stored stored = store.load();
+            PersistentState stored = store.load();
             CoreNode node = process.call(() -> new CoreNode(process.loop(), settings, store, id, stored));
             process.onChange(node::changed);
             process.onEnd(() -> end(process, node));
--- a/src/main/java/tinworks/control/CoreMachine.java
+++ b/src/main/java/tinworks/control/CoreMachine.java
@@ -28,9 +28,9 @@
 import tinworks.channel.Signal.PullHosts;
 import tinworks.raft.Member;
 import tinworks.raft.Message;
+import tinworks.raft.PersistentState;
 import tinworks.raft.Progress;
 import tinworks.raft.Raft;
-import tinworks.raft.Stored;
 import tinworks.raft.Timing;
 
 /**
@@ -118,14 +118,14 @@
     private long touchedAt;
 
     /** A machine with what its disk holds; it does nothing before its first {@link #tick}. */
-    CoreMachine(Identity self, Stored stored, Disk disk, Environment around) {
+    CoreMachine(Identity self, PersistentState stored, Disk disk, Environment around) {
         this(self, stored, disk, around, OperatorCalls::new);
     }
 
     /** One whose operator's calls are handled in this way. */
     CoreMachine(
             Identity self,
-            Stored stored,
+            PersistentState stored,
             Disk disk,
             Environment around,
             BiFunction<CoreMachine, LongSupplier, OperatorCalls> handled) {
@@ -154,11 +154,11 @@
                 .toList()
                 .forEach(c -> c.send(leave));
         if (raft.role() == Raft.Role.LEADER) {
-            raft.handOver();
+            raft.transferLeadership();
             agreement.pump();
-            return raft.members().size() == 1;
+            return raft.voters().size() == 1;
         }
-        return announced.size() <= raft.members().size() || !raft.isVoter(id);
+        return announced.size() <= raft.voters().size() || !raft.isVoter(id);
     }
 
     /** Ends all conversations. */
@@ -227,10 +227,10 @@
         if (fresh()) {
             touchedAt = now;
         }
-        around.fetchList(raft.ready());
+        around.fetchList(raft.hasCommittedInCurrentTerm());
         takeFetched();
         // One that was voted out while it was away doesn't know it, and nobody sends it the log.
-        if (raft.isLeftOut() && now >= joinAt) {
+        if (raft.shouldRequestJoin() && now >= joinAt) {
             joinAt = now + JOIN_MILLIS;
             Signal join = new Join(new Member(id, self.address()));
             around.links().open().forEach(c -> c.send(join));
@@ -247,7 +247,7 @@
 
     /** An acknowledgement that came late, or never, is explained by who led when. */
     private void logRole() {
-        boolean candidate = raft.role() == Raft.Role.ASKING || raft.role() == Raft.Role.CANDIDATE;
+        boolean candidate = raft.role() == Raft.Role.PRE_CANDIDATE || raft.role() == Raft.Role.CANDIDATE;
         Raft.Role role = candidate ? Raft.Role.CANDIDATE : raft.role();
         if (role == loggedRole && raft.term() == loggedTerm && raft.leader() == loggedLeader) {
             return;
@@ -256,13 +256,13 @@
         loggedTerm = raft.term();
         loggedLeader = raft.leader();
         around.log("role " + role + " in term " + loggedTerm + ", leader "
-                + (loggedLeader == 0 ? "unknown" : Long.toHexString(loggedLeader)) + ", commit " + raft.commit());
+                + (loggedLeader == 0 ? "unknown" : Long.toHexString(loggedLeader)) + ", commit " + raft.commitIndex());
     }
 
     /** The core machines that this one should be linked with. */
     private Set<String> wantedCores(long now) {
         Set<String> wanted = new TreeSet<>(announced);
-        raft.members().forEach(m -> wanted.add(m.address()));
+        raft.voters().forEach(m -> wanted.add(m.address()));
         raft.followers().forEach(p -> wanted.add(p.member().address()));
         if (wanted.size() <= 1 || now - touchedAt > LOST_MILLIS) {
             wanted.addAll(around.seeds());
@@ -292,7 +292,7 @@
                     leaves.containsKey(p.member().id())));
         }
         if (raft.mayChangeMembers()) {
-            List<Member> before = raft.members();
+            List<Member> before = raft.voters();
             plan.next(now, id, before, seen).ifPresent(next -> {
                 if (raft.changeMembers(next)) {
                     around.log("voters change from " + before + " to " + next);
@@ -305,14 +305,14 @@
     private long silentMillis(Progress p, long now) {
         // Of one that isn't remembered nothing was heard for longer than that, or since the start.
         long lastHeardAt = heardAt.getOrDefault(p.member().id(), startedAt);
-        return VoterPlan.silentMillis(now - p.heardAt(), now - lastHeardAt);
+        return VoterPlan.silentMillis(now - p.lastReceivedMillis(), now - lastHeardAt);
     }
 
     // ---- what it tells
 
     @Override
     public void changed() {
-        around.fetchList(raft.ready());
+        around.fetchList(raft.hasCommittedInCurrentTerm());
         if (announcedRev != agreement.history().rev()) {
             // First the news, so that the bytes are made while it travels.
             announce();
@@ -329,7 +329,7 @@
     }
 
     private void takeFetched() {
-        if (!raft.ready()) {
+        if (!raft.hasCommittedInCurrentTerm()) {
             fetched = null;
         } else if (fetched != null && mayNumber()) {
             HostListVersion old = hosts().version();
@@ -366,7 +366,7 @@
             cores.clear();
             raft.followers().forEach(p -> cores.add(p.member().address()));
         }
-        raft.members().forEach(m -> cores.add(m.address()));
+        raft.voters().forEach(m -> cores.add(m.address()));
         cores.add(self.address());
         return new Announce(
                 raft.term(), agreement.history().rev(), hosts().version(), fresh(), leads, List.copyOf(cores), edges());
--- a/src/main/java/tinworks/control/CoreNode.java
+++ b/src/main/java/tinworks/control/CoreNode.java
@@ -16,7 +16,7 @@
 import tinworks.node.BootSettings;
 import tinworks.node.StallWatch;
 import tinworks.platform.HostPoller;
-import tinworks.raft.Stored;
+import tinworks.raft.PersistentState;
 import tinworks.store.CoreStore;
 
 /** A {@link CoreMachine} with its sockets, its disk and its clock. All on one event loop. */
@@ -36,7 +36,7 @@
     private BootSettings current;
 
     /** A machine with what its disk holds. */
-    public CoreNode(EventLoop loop, BootSettings settings, CoreStore store, long id, Stored stored) {
+    public CoreNode(EventLoop loop, BootSettings settings, CoreStore store, long id, PersistentState stored) {
         this.loop = loop;
         this.settings = settings;
         current = settings;
@@ -54,7 +54,7 @@
                 Long.toHexString(id),
                 machine.agreement().raft().term(),
                 machine.agreement().raft().lastIndex(),
-                machine.agreement().raft().members().size());
+                machine.agreement().raft().voters().size());
     }
 
     /** Starts to listen and to dial; on the event loop. */
--- a/src/main/java/tinworks/control/OperatorCalls.java
+++ b/src/main/java/tinworks/control/OperatorCalls.java
@@ -254,7 +254,7 @@
             done(number, verdict(now, rev));
         } else if (now == Verdict.FORGOTTEN || isAhead(base, history.rev())) {
             done(number, null);
-        } else if (!agreement.raft().hasRoom(call.command.length)) {
+        } else if (!agreement.raft().fitsUncommittedLimit(call.command.length)) {
             // Until what is written before it is committed, or its time is over.
             call.atWork = false;
         } else {
--- a/src/main/java/tinworks/control/OperatorServer.java
+++ b/src/main/java/tinworks/control/OperatorServer.java
@@ -201,9 +201,9 @@
                 .gauge("leads", "1 at the leader", raft.role() == Raft.Role.LEADER ? 1 : 0)
                 .gauge("in_touch", "1 where the leader's lease vouches for the state", machine.fresh() ? 1 : 0)
                 .gauge("term", "The present term of the agreement", (double) raft.term())
-                .gauge("commit_index", "The last entry known to be committed", (double) raft.commit())
-                .gauge("log_entries", "Entries behind the snapshot", (double) raft.length())
-                .gauge("voters", "Machines that vote", raft.members().size())
+                .gauge("commit_index", "The last entry known to be committed", (double) raft.commitIndex())
+                .gauge("log_entries", "Entries behind the snapshot", (double) raft.logLength())
+                .gauge("voters", "Machines that vote", raft.voters().size())
                 .gauge("configuration_version", "The newest version that was applied here", (double)
                         machine.agreement().history().rev())
                 .gauge("hosts", "Hosts on the list", machine.hosts().hosts().size())
@@ -231,7 +231,7 @@
                 .append(",\"term\":")
                 .append(raft.term())
                 .append(",\"commit\":")
-                .append(raft.commit())
+                .append(raft.commitIndex())
                 .append(",\"rev\":")
                 .append(machine.agreement().history().rev())
                 .append(",\"hosts\":")
@@ -239,7 +239,7 @@
                 .append(",\"edges\":")
                 .append(machine.edges())
                 .append(",\"voters\":[");
-        Iterator<tinworks.raft.Member> members = raft.members().iterator();
+        Iterator<tinworks.raft.Member> members = raft.voters().iterator();
         while (members.hasNext()) {
             json.append('"').append(members.next().address()).append('"').append(members.hasNext() ? "," : "");
         }
--- a/src/main/java/tinworks/raft/Entry.java
+++ b/src/main/java/tinworks/raft/Entry.java
@@ -7,14 +7,14 @@
  *
  * @param index its place, from 1
  * @param term the term of the leader that wrote it
- * @param body for {@link Kind#COMMAND} the state machine's bytes, for {@link Kind#MEMBERS} {@link Voters}'s
+ * @param body for {@link Kind#COMMAND} the state machine's bytes, for {@link Kind#MEMBERSHIP} {@link Voters}'s
  */
 public record Entry(long index, long term, Kind kind, byte[] body) {
     /** What an entry is for: a leader's first, a command to the state machine, or the voters from here on. */
     public enum Kind {
-        LEAD,
+        NO_OP,
         COMMAND,
-        MEMBERS
+        MEMBERSHIP
     }
 
     @Override
--- a/src/main/java/tinworks/raft/Log.java
+++ b/src/main/java/tinworks/raft/Log.java
@@ -122,8 +122,8 @@
      */
     Voters votersAt(long index) {
         for (long i = Math.min(index, lastIndex()); i > base.index(); i--) {
-            if (entry(i).kind() == Entry.Kind.MEMBERS) {
-                return Voters.read(entry(i).body());
+            if (entry(i).kind() == Entry.Kind.MEMBERSHIP) {
+                return Voters.decode(entry(i).body());
             }
         }
         return Voters.of(base.members());
@@ -137,7 +137,7 @@
     /** The index of the latest list of voters. */
     long membersIndex() {
         for (long i = lastIndex(); i > base.index(); i--) {
-            if (entry(i).kind() == Entry.Kind.MEMBERS) {
+            if (entry(i).kind() == Entry.Kind.MEMBERSHIP) {
                 return i;
             }
         }
--- a/src/main/java/tinworks/raft/Members.java
+++ b/src/main/java/tinworks/raft/MemberListCodec.java
@@ -6,14 +6,14 @@
 import java.util.List;
 
 /** The bytes of a list of voters: a count, then for each an id, and an address behind its length. */
-public final class Members {
+public final class MemberListCodec {
     private static final int MOST = 64;
     private static final int LONGEST_ADDRESS = 64;
 
-    private Members() {}
+    private MemberListCodec() {}
 
     /** The list as bytes. */
-    public static byte[] write(List<Member> members) {
+    public static byte[] encode(List<Member> members) {
         ByteBuffer out =
                 ByteBuffer.allocate(Integer.BYTES + members.size() * (Long.BYTES + Integer.BYTES + LONGEST_ADDRESS));
         out.putInt(members.size());
@@ -26,16 +26,16 @@
         return bytes;
     }
 
-    /** Reads what {@link #write} wrote; anything else is an {@link IllegalArgumentException}. */
-    public static List<Member> read(byte[] bytes) {
+    /** Reads what {@link #encode} wrote; anything else is an {@link IllegalArgumentException}. */
+    public static List<Member> decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
-        List<Member> members = read(in);
+        List<Member> members = decode(in);
         require(!in.hasRemaining(), "bytes left over", in.remaining());
         return members;
     }
 
     /** Reads one list and leaves what stands behind it. */
-    static List<Member> read(ByteBuffer in) {
+    static List<Member> decode(ByteBuffer in) {
         List<Member> members = new ArrayList<>();
         int count = in.remaining() < Integer.BYTES ? -1 : in.getInt();
         require(count >= 0 && count <= MOST, "voters", count);
--- a/src/main/java/tinworks/raft/Progress.java
+++ b/src/main/java/tinworks/raft/Progress.java
@@ -35,7 +35,7 @@
     }
 
     /** The last index that it has for certain, 0 where none. */
-    public long match() {
+    public long matchIndex() {
         return match;
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** When it last said anything, in the machine's milliseconds. */
-    public long heardAt() {
+    public long lastReceivedMillis() {
         return heardAt;
     }
 }
--- a/src/main/java/tinworks/raft/Raft.java
+++ b/src/main/java/tinworks/raft/Raft.java
@@ -37,7 +37,7 @@
     /** What a member is at the moment. */
     public enum Role {
         FOLLOWER,
-        ASKING,
+        PRE_CANDIDATE,
         CANDIDATE,
         LEADER
     }
@@ -104,16 +104,16 @@
     private final List<Long> readable = new ArrayList<>();
 
     /** A member with what its disk holds; whoever isn't among the voters listens until a leader makes it one. */
-    public Raft(long self, Stored stored, Timing timing, long seed, long now) {
+    public Raft(long self, PersistentState stored, Timing timing, long seed, long now) {
         this.self = self;
         this.timing = timing;
         this.now = now;
         random = new SplittableRandom(seed);
         log = new Log(stored.snapshot(), stored.entries());
-        term = stored.hard().term();
-        votedFor = stored.hard().votedFor();
-        lastLeader = stored.hard().lastLeader();
-        written = stored.hard();
+        term = stored.hardState().term();
+        votedFor = stored.hardState().votedFor();
+        lastLeader = stored.hardState().lastLeader();
+        written = stored.hardState();
         commit = stored.snapshot().index();
         restore = commit > 0 ? stored.snapshot() : null;
         applied = commit;
@@ -188,7 +188,7 @@
      * Whether a command of so many bytes may be written ahead of the commit index: one at least, and then by their
      * bytes.
      */
-    public boolean hasRoom(int bytes) {
+    public boolean fitsUncommittedLimit(int bytes) {
         long uncommitted = log.bytes(commit, log.lastIndex());
         return commit == log.lastIndex() || uncommitted + bytes <= MOST_UNCOMMITTED;
     }
@@ -210,13 +210,13 @@
                 || Set.copyOf(wanted).equals(Set.copyOf(voters.current()))) {
             return false;
         }
-        write(Kind.MEMBERS, new Voters(wanted, voters.current()).write());
+        write(Kind.MEMBERSHIP, new Voters(wanted, voters.current()).encode());
         return true;
     }
 
     /** Whether a change of voters may be written now. */
     public boolean mayChangeMembers() {
-        return ready() && !leaves() && !voters.joint() && commit >= log.membersIndex();
+        return hasCommittedInCurrentTerm() && !leaves() && !voters.joint() && commit >= log.membersIndex();
     }
 
     /** Sends the log to one who doesn't vote. */
@@ -260,7 +260,7 @@
      * again. Once it has handed over it takes no proposals, has no lease, and steps down if nobody leads an election
      * time later.
      */
-    public boolean handOver() {
+    public boolean transferLeadership() {
         if (role != Role.LEADER || leaves()) {
             return true;
         }
@@ -357,7 +357,7 @@
     }
 
     /** The last index known to be committed. */
-    public long commit() {
+    public long commitIndex() {
         return commit;
     }
 
@@ -367,7 +367,7 @@
     }
 
     /** How many entries the log holds behind its snapshot. */
-    public long length() {
+    public long logLength() {
         return log.lastIndex() - log.base().index();
     }
 
@@ -377,12 +377,12 @@
     }
 
     /** What the entries behind the snapshot and up to an index take in memory. */
-    public long bytes(long upTo) {
+    public long logBytes(long upTo) {
         return log.bytes(log.base().index(), upTo);
     }
 
     /** The voters as this member's log has them, committed or not; during a change those to come and those before. */
-    public List<Member> members() {
+    public List<Member> voters() {
         return voters.all();
     }
 
@@ -392,7 +392,7 @@
      * that, and denies its vote for an election time.
      */
     public long leaseUntil() {
-        return ready() && !leaves() ? Math.max(0, confirmedFrom() + timing.leaseMillis()) : 0;
+        return hasCommittedInCurrentTerm() && !leaves() ? Math.max(0, confirmedFrom() + timing.leaseMillis()) : 0;
     }
 
     /** Whether this member leads and no other can at the time of the last event. */
@@ -429,7 +429,7 @@
     }
 
     /** Whether this member leads and all of its predecessors' commitments are known to it. */
-    public boolean ready() {
+    public boolean hasCommittedInCurrentTerm() {
         return role == Role.LEADER && commit >= firstOfTerm;
     }
 
@@ -452,7 +452,7 @@
      * that was voted out while it was away doesn't know it, so it has to ask to be sent the log whether or not it has a
      * vote.
      */
-    public boolean isLeftOut() {
+    public boolean shouldRequestJoin() {
         return role != Role.LEADER && (!isVoter(self) || now - heardLeaderAt >= 2 * timing.electionMillis());
     }
 
@@ -570,7 +570,7 @@
             leader = 0;
             return;
         }
-        role = Role.ASKING;
+        role = Role.PRE_CANDIDATE;
         leader = 0;
         granted.clear();
         granted.add(self);
@@ -642,7 +642,7 @@
 
     private void voteReplied(long from, VoteReply m) {
         if (m.preVote() && m.granted()) {
-            if (role == Role.ASKING && m.term() == term + 1) {
+            if (role == Role.PRE_CANDIDATE && m.term() == term + 1) {
                 granted.add(from);
                 if (majority(granted)) {
                     stand(false);
@@ -692,10 +692,10 @@
         progress.values().forEach(p -> p.heardAt = now);
         firstOfTerm = log.lastIndex() + 1;
         beginRound();
-        write(Kind.LEAD, new byte[0]);
+        write(Kind.NO_OP, new byte[0]);
         if (log.membersIndex() == 0) {
             // The first voters are known to themselves alone until the log tells of them.
-            write(Kind.MEMBERS, voters.write());
+            write(Kind.MEMBERSHIP, voters.encode());
         }
     }
 
@@ -724,8 +724,8 @@
         Entry entry = new Entry(log.lastIndex() + 1, term, kind, body);
         log.append(entry);
         unwrittenFrom = unwrittenFrom > 0 ? Math.min(unwrittenFrom, entry.index()) : entry.index();
-        if (kind == Kind.MEMBERS) {
-            voters = Voters.read(body);
+        if (kind == Kind.MEMBERSHIP) {
+            voters = Voters.decode(body);
             syncProgress();
         }
         broadcast();
@@ -845,7 +845,7 @@
         }
         log.append(entry);
         unwrittenFrom = unwrittenFrom > 0 ? Math.min(unwrittenFrom, entry.index()) : entry.index();
-        if (cuts || entry.kind() == Kind.MEMBERS) {
+        if (cuts || entry.kind() == Kind.MEMBERSHIP) {
             voters = log.votersAt(log.lastIndex());
         }
     }
@@ -974,7 +974,7 @@
             return;
         }
         if (voters.joint()) {
-            write(Kind.MEMBERS, Voters.of(voters.current()).write());
+            write(Kind.MEMBERSHIP, Voters.of(voters.current()).encode());
         } else if (!isVoter(self)) {
             stepDown();
         }
--- a/src/main/java/tinworks/raft/Voters.java
+++ b/src/main/java/tinworks/raft/Voters.java
@@ -9,8 +9,8 @@
  * Who votes. While a change is under way, both the voters to come and those before have to agree, each by a majority of
  * its own; whoever stands in both lists counts in both.
  *
- * <p>Its bytes are a list as {@link Members} writes it, and while a change is under way a second one behind it, of
- * those before. The bytes of an entry from before there were two lists are therefore read as ever.
+ * <p>Its bytes are a list as {@link MemberListCodec} writes it, and while a change is under way a second one behind it,
+ * of those before. The bytes of an entry from before there were two lists are therefore read as ever.
  *
  * @param current who votes, or is about to
  * @param outgoing who voted before the change that is under way, empty where none is
@@ -54,26 +54,26 @@
     }
 
     /** As bytes. */
-    public byte[] write() {
-        byte[] first = Members.write(current);
+    public byte[] encode() {
+        byte[] first = MemberListCodec.encode(current);
         if (!joint()) {
             return first;
         }
-        byte[] second = Members.write(outgoing);
+        byte[] second = MemberListCodec.encode(outgoing);
         return ByteBuffer.allocate(first.length + second.length)
                 .put(first)
                 .put(second)
                 .array();
     }
 
-    /** Reads what {@link #write} wrote; anything else is an {@link IllegalArgumentException}. */
-    public static Voters read(byte[] bytes) {
+    /** Reads what {@link #encode} wrote; anything else is an {@link IllegalArgumentException}. */
+    public static Voters decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
-        List<Member> current = Members.read(in);
+        List<Member> current = MemberListCodec.decode(in);
         if (!in.hasRemaining()) {
             return of(current);
         }
-        List<Member> outgoing = Members.read(in);
+        List<Member> outgoing = MemberListCodec.decode(in);
         if (outgoing.isEmpty() || in.hasRemaining()) {
             throw new IllegalArgumentException(
                     "voters: " + outgoing.size() + " outgoing, " + in.remaining() + " bytes left over");
--- a/src/main/java/tinworks/store/CoreStore.java
+++ b/src/main/java/tinworks/store/CoreStore.java
@@ -22,10 +22,10 @@
 import org.h2.mvstore.type.StringDataType;
 import tinworks.raft.Entry;
 import tinworks.raft.HardState;
-import tinworks.raft.Members;
+import tinworks.raft.MemberListCodec;
 import tinworks.raft.Output;
+import tinworks.raft.PersistentState;
 import tinworks.raft.Snapshot;
-import tinworks.raft.Stored;
 
 /**
  * A core machine's part of the agreed log, and who the machine is. Each record carries a checksum of its own beside
@@ -311,9 +311,9 @@
     }
 
     /** All that has been synced. */
-    public Stored load() throws Damaged {
+    public PersistentState load() throws Damaged {
         if (number < 0) {
-            return Stored.NOTHING;
+            return PersistentState.EMPTY;
         }
         try {
             HardState hard = hard();
@@ -326,7 +326,7 @@
                 }
             }
             checkOrder(snapshot, entries);
-            return new Stored(hard, snapshot, entries);
+            return new PersistentState(hard, snapshot, entries);
         } catch (RuntimeException | AssertionError e) {
             throw damaged(e);
         }
@@ -395,15 +395,15 @@
             throw new IllegalStateException("the store isn't open");
         }
         try {
-            if (output.hard() != null) {
-                writeHard(output.hard());
+            if (output.hardState() != null) {
+                writeHard(output.hardState());
             }
             if (output.snapshot() != null) {
                 writeSnapshot(output.snapshot());
             }
-            if (output.cutFrom() > 0) {
+            if (output.truncateFrom() > 0) {
                 for (Long last = records.log.lastKey();
-                        last != null && last >= output.cutFrom();
+                        last != null && last >= output.truncateFrom();
                         last = records.log.lastKey()) {
                     removeEntry(last);
                 }
@@ -502,7 +502,7 @@
     }
 
     private void writeSnapshot(Snapshot snapshot) {
-        byte[] members = Members.write(snapshot.members());
+        byte[] members = MemberListCodec.encode(snapshot.members());
         putMeta(
                 SNAPSHOT,
                 sealed(record(2 * Long.BYTES + Integer.BYTES + members.length + snapshot.state().length)
@@ -579,7 +579,7 @@
         in.get(members);
         byte[] state = new byte[in.remaining()];
         in.get(state);
-        return new Snapshot(index, term, Members.read(members), state);
+        return new Snapshot(index, term, MemberListCodec.decode(members), state);
     }
 
     private static Entry entry(long index, byte[] record) throws Damaged {
--- a/src/test/java/tinworks/control/CoreMachineTest.java
+++ b/src/test/java/tinworks/control/CoreMachineTest.java
@@ -87,7 +87,7 @@
         assertTrue(edge.last().fresh() && edge.last().leads());
         network.cutOff(leader);
         network.run(network.now + LEASE_MILLIS);
-        assertTrue(leader.raft().ready(), "it doesn't know yet that another may lead");
+        assertTrue(leader.raft().hasCommittedInCurrentTerm(), "it doesn't know yet that another may lead");
         assertFalse(leader.machine.leads() || leader.machine.fresh());
         Caller late = new Caller(Part.EDGE, 78);
         leader.machine.opened(late);
--- a/src/test/java/tinworks/control/CoreNetwork.java
+++ b/src/test/java/tinworks/control/CoreNetwork.java
@@ -26,8 +26,8 @@
 import tinworks.raft.HardState;
 import tinworks.raft.Member;
 import tinworks.raft.Output;
+import tinworks.raft.PersistentState;
 import tinworks.raft.Snapshot;
-import tinworks.raft.Stored;
 
 /**
  * Core machines on a simulated network, with simulated disks and one steady clock, all chance from one seed. Machines
@@ -37,7 +37,7 @@
 final class CoreNetwork {
     /** A machine as the test wants it, sound or flawed. */
     interface Maker {
-        CoreMachine make(CoreMachine.Identity self, Stored stored, Disk disk, CoreMachine.Environment around);
+        CoreMachine make(CoreMachine.Identity self, PersistentState stored, Disk disk, CoreMachine.Environment around);
     }
 
     private static final int SILENCE_MILLIS = 2_600;
@@ -85,7 +85,7 @@
     /** The machine that leads the highest term, null where none does. */
     Node leader() {
         return nodes.stream()
-                .filter(n -> n.up() && n.raft().ready())
+                .filter(n -> n.up() && n.raft().hasCommittedInCurrentTerm())
                 .max(Comparator.comparingLong(n -> n.raft().term()))
                 .orElse(null);
     }
@@ -317,7 +317,7 @@
     final class Node extends SimulatedProcess implements CoreMachine.Environment, Disk {
         private final Member member;
         private final ArrayDeque<Output> unsynced = new ArrayDeque<>();
-        private Stored synced;
+        private PersistentState synced;
         private long diskFreeAt;
         CoreMachine machine;
         private boolean fetching;
@@ -327,7 +327,7 @@
 
         private Node(Member member) {
             this.member = member;
-            synced = new Stored(HardState.NONE, new Snapshot(0, 0, voters, new byte[0]), List.of());
+            synced = new PersistentState(HardState.NONE, new Snapshot(0, 0, voters, new byte[0]), List.of());
         }
 
         tinworks.raft.Raft raft() {
@@ -360,7 +360,7 @@
         @Override
         public void write(Output output, Runnable done) {
             unsynced.add(output);
-            diskFreeAt = Math.max(diskFreeAt, now) + (output.writes() ? 1 + random.nextInt(syncMillis) : 0);
+            diskFreeAt = Math.max(diskFreeAt, now) + (output.mustSync() ? 1 + random.nextInt(syncMillis) : 0);
             long mine = life;
             later(diskFreeAt - now, () -> {
                 if (life == mine && up()) {
@@ -498,12 +498,13 @@
         }
     }
 
-    private static Stored written(Stored before, Output output) {
-        HardState hard = output.hard() != null ? output.hard() : before.hard();
+    private static PersistentState written(PersistentState before, Output output) {
+        HardState hard = output.hardState() != null ? output.hardState() : before.hardState();
         Snapshot snapshot = output.snapshot() != null ? output.snapshot() : before.snapshot();
         List<tinworks.raft.Entry> entries = new ArrayList<>(before.entries());
-        entries.removeIf(e -> e.index() <= snapshot.index() || (output.cutFrom() > 0 && e.index() >= output.cutFrom()));
+        entries.removeIf(e ->
+                e.index() <= snapshot.index() || (output.truncateFrom() > 0 && e.index() >= output.truncateFrom()));
         entries.addAll(output.entries());
-        return new Stored(hard, snapshot, entries);
+        return new PersistentState(hard, snapshot, entries);
     }
 }
--- a/src/test/java/tinworks/control/DiskThreadTest.java
+++ b/src/test/java/tinworks/control/DiskThreadTest.java
@@ -109,7 +109,7 @@
                     if (++times[0] == 1) {
                         throw new IllegalStateException("disk full");
                     }
-                    return new Entry(1, 1, Entry.Kind.LEAD, new byte[0]);
+                    return new Entry(1, 1, Entry.Kind.NO_OP, new byte[0]);
                 }),
                 () -> written.add("written"));
         assertEquals("written", written.poll(10, TimeUnit.SECONDS));
--- a/src/test/java/tinworks/control/LogMemoryTest.java
+++ b/src/test/java/tinworks/control/LogMemoryTest.java
@@ -18,8 +18,8 @@
 import tinworks.raft.HardState;
 import tinworks.raft.Member;
 import tinworks.raft.Output;
+import tinworks.raft.PersistentState;
 import tinworks.raft.Snapshot;
-import tinworks.raft.Stored;
 
 /**
  * What a core machine's log and its operators' calls take of the memory, with a disk that keeps up and with one that
@@ -40,10 +40,10 @@
         Machine() {
             core = new CoreMachine(
                     new CoreMachine.Identity(1, "10.0.0.1:7", 0),
-                    new Stored(HardState.NONE, new Snapshot(0, 0, ALONE, new byte[0]), List.of()),
+                    new PersistentState(HardState.NONE, new Snapshot(0, 0, ALONE, new byte[0]), List.of()),
                     this::write,
                     this);
-            while (!core.agreement().raft().ready()) {
+            while (!core.agreement().raft().hasCommittedInCurrentTerm()) {
                 tick();
             }
         }
@@ -118,7 +118,7 @@
         int changes = 100;
         for (long rev = 1; rev <= changes; rev++) {
             assertEquals(200, send(machine, rev - 1, body(rev, 400_000)).get(0).status());
-            most = Math.max(most, machine.core.agreement().raft().bytes(Long.MAX_VALUE));
+            most = Math.max(most, machine.core.agreement().raft().logBytes(Long.MAX_VALUE));
         }
         assertTrue(most <= Agreement.MOST_BYTES + 2 * packed, most + " bytes of log");
         assertTrue(machine.snapshots * 4 <= changes, machine.snapshots + " snapshots for " + changes + " changes");
@@ -133,7 +133,7 @@
         Machine machine = new Machine();
         for (long rev = 1; rev <= 300; rev++) {
             assertEquals(200, send(machine, rev - 1, body(rev, 100)).get(0).status());
-            assertTrue(machine.core.agreement().raft().length() <= Agreement.MOST_ENTRIES + 2);
+            assertTrue(machine.core.agreement().raft().logLength() <= Agreement.MOST_ENTRIES + 2);
         }
         assertTrue(machine.snapshots <= 5, machine.snapshots + " snapshots");
     }
@@ -158,7 +158,7 @@
         assertTrue(atOnce > 0 && atOnce < 8, atOnce + " told at once");
         assertTrue(held <= OperatorCalls.MOST_HELD, held + " bytes held");
         assertTrue(
-                machine.core.agreement().raft().bytes(Long.MAX_VALUE) <= 2 * OperatorCalls.LONGEST_COMMAND,
+                machine.core.agreement().raft().logBytes(Long.MAX_VALUE) <= 2 * OperatorCalls.LONGEST_COMMAND,
                 "written ahead");
         for (int i = 0; i < 40; i++) {
             machine.tick();
--- a/src/test/java/tinworks/control/OrdersTest.java
+++ b/src/test/java/tinworks/control/OrdersTest.java
@@ -93,7 +93,7 @@
             byte[] body = Operators.configuration(3, "a");
             List<CallAnswer> lost = replace(leader, 0, body);
             Node next = other(network, leader);
-            while (next.raft().lastIndex() == leader.raft().commit()) {
+            while (next.raft().lastIndex() == leader.raft().commitIndex()) {
                 network.run(network.now + 1);
             }
             long first = next.raft().lastIndex();
@@ -110,7 +110,7 @@
                 answers.forEach(a -> assertTrue(a.status() != 200 || Operators.rev(a) == 3));
             }
             Node led = network.ready(3_000);
-            assertTrue(led.raft().commit() > first);
+            assertTrue(led.raft().commitIndex() > first);
             assertEquals(3, led.machine.agreement().history().rev());
             long confirmed = again.stream()
                     .filter(a -> !a.isEmpty() && a.get(0).status() == 200)
@@ -161,7 +161,7 @@
         List<CallAnswer> shown = new ArrayList<>();
         network.cut(next, other(network, next, old));
         next.machine.calls().show(shown::add);
-        assertFalse(next.raft().ready());
+        assertFalse(next.raft().hasCommittedInCurrentTerm());
         network.run(network.now + 300);
         assertEquals(0, shown.size());
         network.heal();
@@ -174,7 +174,10 @@
     private static void check(CoreNetwork network, Operators operators, Node node, Announce s) {
         if (s.leads()) {
             network.nodes.forEach(n -> assertTrue(
-                    n == node || !n.up() || !n.raft().ready() || n.raft().term() < s.term(),
+                    n == node
+                            || !n.up()
+                            || !n.raft().hasCommittedInCurrentTerm()
+                            || n.raft().term() < s.term(),
                     node.hello().node() + " leads beside " + n.hello().node()));
         }
         long told = operators.newestTold(network.now - LEASE_MILLIS);
@@ -338,7 +341,7 @@
         assertCaught((self, stored, disk, around) -> new CoreMachine(self, stored, disk, around) {
             @Override
             boolean leads() {
-                return agreement().raft().ready();
+                return agreement().raft().hasCommittedInCurrentTerm();
             }
         });
     }
--- a/src/test/java/tinworks/control/SimulatedCore.java
+++ b/src/test/java/tinworks/control/SimulatedCore.java
@@ -22,8 +22,8 @@
 import tinworks.config.ForgetfulHistory;
 import tinworks.raft.HardState;
 import tinworks.raft.Output;
+import tinworks.raft.PersistentState;
 import tinworks.raft.Raft;
-import tinworks.raft.Stored;
 import tinworks.simulation.Machine;
 import tinworks.simulation.World;
 
@@ -125,9 +125,9 @@
             return;
         }
         knownId = found.id();
-        Stored stored = found.stored();
+        PersistentState stored = found.stored();
         if (flaw == Flaw.VOTE_FORGOTTEN) {
-            stored = new Stored(HardState.NONE, stored.snapshot(), stored.entries());
+            stored = new PersistentState(HardState.NONE, stored.snapshot(), stored.entries());
         }
         writer = new Writer(machine.life());
         core = new CoreMachine(new CoreMachine.Identity(found.id(), machine.address(), losses), stored, writer, this);
--- a/src/test/java/tinworks/control/SimulatedStore.java
+++ b/src/test/java/tinworks/control/SimulatedStore.java
@@ -10,8 +10,8 @@
 import tinworks.raft.Entry;
 import tinworks.raft.HardState;
 import tinworks.raft.Output;
+import tinworks.raft.PersistentState;
 import tinworks.raft.Snapshot;
-import tinworks.raft.Stored;
 import tinworks.store.CoreStore;
 import tinworks.store.Folder;
 import tinworks.store.SimulatedDisk;
@@ -19,7 +19,7 @@
 /** The disk of a simulated core machine, and what a start of the process finds on it. */
 interface SimulatedStore {
     /** Who the machine is, and what it has agreed to. */
-    record Found(long id, Stored stored) {}
+    record Found(long id, PersistentState stored) {}
 
     /**
      * What {@link Core} does first; {@code newId} is for a machine whose disk is empty. Null where the disk takes
@@ -48,7 +48,7 @@
     final class Memory implements SimulatedStore {
         private final SplittableRandom random;
         private long id;
-        private Stored stored = Stored.NOTHING;
+        private PersistentState stored = PersistentState.EMPTY;
         private boolean full;
 
         Memory(long seed) {
@@ -63,7 +63,8 @@
             if (id == 0) {
                 boolean first = bootstrap && seeds.contains(address);
                 id = first ? Core.firstId(address) : newId;
-                stored = new Stored(HardState.NONE, first ? Core.firstVoters(seeds) : Snapshot.NONE, List.of());
+                stored =
+                        new PersistentState(HardState.NONE, first ? Core.firstVoters(seeds) : Snapshot.NONE, List.of());
             }
             return new Found(id, stored);
         }
@@ -91,7 +92,7 @@
         @Override
         public void wipe() {
             id = 0;
-            stored = Stored.NOTHING;
+            stored = PersistentState.EMPTY;
         }
 
         @Override
@@ -99,14 +100,14 @@
             full = nowFull;
         }
 
-        private static Stored written(Stored before, Output output) {
-            HardState hard = output.hard() != null ? output.hard() : before.hard();
+        private static PersistentState written(PersistentState before, Output output) {
+            HardState hard = output.hardState() != null ? output.hardState() : before.hardState();
             Snapshot snapshot = output.snapshot() != null ? output.snapshot() : before.snapshot();
             List<Entry> entries = new ArrayList<>(before.entries());
-            entries.removeIf(
-                    e -> e.index() <= snapshot.index() || (output.cutFrom() > 0 && e.index() >= output.cutFrom()));
+            entries.removeIf(e ->
+                    e.index() <= snapshot.index() || (output.truncateFrom() > 0 && e.index() >= output.truncateFrom()));
             entries.addAll(output.entries());
-            return new Stored(hard, snapshot, entries);
+            return new PersistentState(hard, snapshot, entries);
         }
     }
 
--- a/src/test/java/tinworks/fuzz/DecodersTest.java
+++ b/src/test/java/tinworks/fuzz/DecodersTest.java
@@ -27,7 +27,7 @@
 import tinworks.json.Json;
 import tinworks.node.BootSettings;
 import tinworks.raft.Member;
-import tinworks.raft.Members;
+import tinworks.raft.MemberListCodec;
 import tinworks.raft.Voters;
 
 /** Whatever comes in, a decoder reads it or refuses it in its own words; nothing else comes out of it. */
@@ -145,25 +145,25 @@
 
     @Property(tries = 500, seed = SEED)
     void votersComeBackAsTheyWereWritten(@ForAll("voters") List<Member> voters) {
-        assertEquals(voters, Members.read(Members.write(voters)));
+        assertEquals(voters, MemberListCodec.decode(MemberListCodec.encode(voters)));
     }
 
     @Property(tries = 500, seed = SEED)
     void votersBeforeAndAfterAChangeComeBackAsTheyWereWritten(
             @ForAll("voters") List<Member> current, @ForAll("voters") List<Member> outgoing) {
         Voters voters = new Voters(current, outgoing);
-        assertEquals(voters, Voters.read(voters.write()));
+        assertEquals(voters, Voters.decode(voters.encode()));
     }
 
     @Property(tries = TRIES, seed = SEED, shrinking = ShrinkingMode.BOUNDED)
     void anyBytesAreVotersOrRefused(@ForAll @Size(max = 120) byte[] bytes) {
         try {
-            assertArrayEquals(bytes, Members.write(Members.read(bytes)));
+            assertArrayEquals(bytes, MemberListCodec.encode(MemberListCodec.decode(bytes)));
         } catch (IllegalArgumentException e) {
             assertFalse(e.getMessage().isEmpty());
         }
         try {
-            assertArrayEquals(bytes, Voters.read(bytes).write());
+            assertArrayEquals(bytes, Voters.decode(bytes).encode());
         } catch (IllegalArgumentException e) {
             assertFalse(e.getMessage().isEmpty());
         }
--- a/src/test/java/tinworks/raft/Cluster.java
+++ b/src/test/java/tinworks/raft/Cluster.java
@@ -28,7 +28,7 @@
 
     /** Makes a member; a flawed one is caught by the invariants. */
     interface Maker {
-        Raft make(long id, Stored stored, Timing timing, long seed, long now);
+        Raft make(long id, PersistentState stored, Timing timing, long seed, long now);
     }
 
     /** What a broken invariant ends as. */
@@ -91,7 +91,7 @@
         }
         for (int i = 0; i < voters; i++) {
             Node node = new Node(i, i + 1);
-            node.synced = new Stored(HardState.NONE, new Snapshot(0, 0, members, new byte[0]), List.of());
+            node.synced = new PersistentState(HardState.NONE, new Snapshot(0, 0, members, new byte[0]), List.of());
             nodes.add(node);
             node.start();
         }
@@ -215,7 +215,7 @@
         final int number;
         long id;
         Raft raft;
-        Stored synced = Stored.NOTHING;
+        PersistentState synced = PersistentState.EMPTY;
         /** The commands that have been applied, in order. */
         List<Integer> state = new ArrayList<>();
 
@@ -289,7 +289,7 @@
         /** The machine comes back without its disk, as somebody else. */
         void wipe() {
             crash();
-            synced = Stored.NOTHING;
+            synced = PersistentState.EMPTY;
             id = ++ids;
             start();
         }
@@ -316,7 +316,7 @@
             }
             long mine = life;
             // The flaw of a skipped sync: what is said to be on the disk reaches it much later.
-            diskFreeAt = Math.max(diskFreeAt, now) + (output.writes() ? random.nextInt(8) : 0);
+            diskFreeAt = Math.max(diskFreeAt, now) + (output.mustSync() ? random.nextInt(8) : 0);
             unsynced.add(output);
             later(
                     diskFreeAt - now,
@@ -361,7 +361,7 @@
                     }
                 }
             }
-            if (last > 0 && raft.length() > 12 && random.nextInt(3) == 0) {
+            if (last > 0 && raft.logLength() > 12 && random.nextInt(3) == 0) {
                 ByteBuffer saved = ByteBuffer.allocate(state.size() * Integer.BYTES);
                 state.forEach(saved::putInt);
                 raft.compact(last, saved.array());
@@ -391,12 +391,13 @@
         }
     }
 
-    static Stored written(Stored before, Output output) {
-        HardState hard = output.hard() != null ? output.hard() : before.hard();
+    static PersistentState written(PersistentState before, Output output) {
+        HardState hard = output.hardState() != null ? output.hardState() : before.hardState();
         Snapshot snapshot = output.snapshot() != null ? output.snapshot() : before.snapshot();
         List<Entry> entries = new ArrayList<>(before.entries());
-        entries.removeIf(e -> e.index() <= snapshot.index() || (output.cutFrom() > 0 && e.index() >= output.cutFrom()));
+        entries.removeIf(e ->
+                e.index() <= snapshot.index() || (output.truncateFrom() > 0 && e.index() >= output.truncateFrom()));
         entries.addAll(output.entries());
-        return new Stored(hard, snapshot, entries);
+        return new PersistentState(hard, snapshot, entries);
     }
 }
--- a/src/test/java/tinworks/raft/LeaseTest.java
+++ b/src/test/java/tinworks/raft/LeaseTest.java
@@ -51,7 +51,7 @@
                 case 5 -> {
                     cluster.run(cluster.now + 40);
                     if (leader != null && leader.raft != null && !leader.isFrozen()) {
-                        leader.raft.handOver();
+                        leader.raft.transferLeadership();
                         leader.pump();
                         cluster.run(cluster.now + 5);
                         leader.freeze(cluster.random.nextInt(100));
@@ -117,7 +117,7 @@
     void aLeaseBeforeAnEntryOfItsOwnTermIsCommittedIsCaught() {
         assertTrue(firstCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
-                    public boolean ready() {
+                    public boolean hasCommittedInCurrentTerm() {
                         return role() == Role.LEADER;
                     }
 
@@ -181,7 +181,11 @@
 
     private static Raft voter(long now, Timing timing) {
         return new Raft(
-                1, new Stored(new HardState(3, 0), new Snapshot(0, 0, VOTERS, new byte[0]), List.of()), timing, 1, now);
+                1,
+                new PersistentState(new HardState(3, 0), new Snapshot(0, 0, VOTERS, new byte[0]), List.of()),
+                timing,
+                1,
+                now);
     }
 
     /** Elected at 1,000 by the second's votes; nothing is committed yet. */
@@ -285,12 +289,12 @@
     @Test
     void aLeaderHandsOverToAnotherAndNotToItself() {
         Raft raft = elected();
-        raft.handOver();
+        raft.transferLeadership();
         assertTrue(
                 raft.drain().messages().stream().noneMatch(e -> e.message() instanceof Message.TimeoutNow),
                 "nobody has all");
         raft.receive(1_020, 3, new AppendReply(4, true, raft.lastIndex(), 1));
-        raft.handOver();
+        raft.transferLeadership();
         assertEquals(
                 List.of(3L),
                 raft.drain().messages().stream()
@@ -304,7 +308,7 @@
         Raft raft = elected();
         raft.receive(1_020, 2, new AppendReply(4, true, raft.lastIndex(), 1));
         raft.persisted(raft.drain());
-        raft.handOver();
+        raft.transferLeadership();
         assertFalse(raft.holdsLease());
         raft.tick(1_070);
         raft.receive(1_075, 2, new AppendReply(4, true, raft.lastIndex(), roundTo(2, raft)));
@@ -342,7 +346,7 @@
         assertFalse(raft.fresh(1_150));
         raft.receive(1_120, 2, new Append(4, 0, 0, 3, 3, List.of(), reply.sentAt() + 50, 150));
         assertFalse(raft.fresh(), "it has yet to apply what was committed then");
-        Raft again = new Raft(1, Stored.NOTHING, Cluster.TIMING, 2, 900);
+        Raft again = new Raft(1, PersistentState.EMPTY, Cluster.TIMING, 2, 900);
         again.receive(1_100, 2, new Append(4, 0, 0, 0, 2, List.of(), reply.sentAt(), 150));
         assertFalse(again.fresh(), "another life, another clock");
     }
--- a/src/test/java/tinworks/raft/MembershipTest.java
+++ b/src/test/java/tinworks/raft/MembershipTest.java
@@ -27,7 +27,8 @@
 
     /** A leader of A, B and C in term 4, with an entry of it committed; D and E learn. */
     private static Raft leader() {
-        Stored stored = new Stored(new HardState(3, 0), new Snapshot(0, 0, List.of(A, B, C), new byte[0]), List.of());
+        PersistentState stored =
+                new PersistentState(new HardState(3, 0), new Snapshot(0, 0, List.of(A, B, C), new byte[0]), List.of());
         Raft raft = new Raft(1, stored, Cluster.TIMING, 1, 0);
         raft.tick(1_000);
         raft.receive(1_000, 2, new VoteReply(4, true, true));
@@ -35,7 +36,7 @@
         raft.addLearner(D);
         raft.addLearner(E);
         took(raft, 2);
-        assertTrue(raft.ready());
+        assertTrue(raft.hasCommittedInCurrentTerm());
         return raft;
     }
 
@@ -51,25 +52,25 @@
         Raft raft = leader();
         assertTrue(raft.changeMembers(List.of(A, D, E)));
         long first = raft.lastIndex();
-        assertEquals(Set.of(A, B, C, D, E), Set.copyOf(raft.members()));
+        assertEquals(Set.of(A, B, C, D, E), Set.copyOf(raft.voters()));
         took(raft, 4, 5);
-        assertTrue(raft.commit() < first, "of those before, the leader alone has it");
+        assertTrue(raft.commitIndex() < first, "of those before, the leader alone has it");
         took(raft, 2);
-        assertTrue(raft.commit() >= first);
-        assertEquals(List.of(A, D, E), raft.members(), "the leader ends the change by itself");
+        assertTrue(raft.commitIndex() >= first);
+        assertEquals(List.of(A, D, E), raft.voters(), "the leader ends the change by itself");
         assertFalse(raft.mayChangeMembers());
         long last = raft.lastIndex();
         took(raft, 2, 3);
-        assertTrue(raft.commit() < last, "those before have no say any more");
+        assertTrue(raft.commitIndex() < last, "those before have no say any more");
         took(raft, 4);
-        assertEquals(last, raft.commit());
+        assertEquals(last, raft.commitIndex());
         assertTrue(raft.mayChangeMembers());
 
         raft = leader();
         raft.changeMembers(List.of(A, D, E));
         first = raft.lastIndex();
         took(raft, 2, 3);
-        assertTrue(raft.commit() < first, "of those to come, the leader alone has it");
+        assertTrue(raft.commitIndex() < first, "of those to come, the leader alone has it");
     }
 
     @Test
@@ -77,7 +78,7 @@
         Raft raft = leader();
         assertTrue(raft.changeMembers(List.of(B, C, D)));
         took(raft, 2, 3);
-        assertEquals(List.of(B, C, D), raft.members());
+        assertEquals(List.of(B, C, D), raft.voters());
         assertEquals(Raft.Role.LEADER, raft.role());
         took(raft, 2, 4);
         assertEquals(Raft.Role.FOLLOWER, raft.role());
@@ -126,27 +127,28 @@
         took(raft, 2, 4);
         raft.drain();
         raft.compact(first, new byte[0]);
-        assertEquals(raft.lastIndex(), raft.length(), "the log is whole");
+        assertEquals(raft.lastIndex(), raft.logLength(), "the log is whole");
         took(raft, 2);
         raft.drain();
-        raft.compact(raft.commit(), new byte[0]);
-        assertEquals(0, raft.length());
-        assertEquals(List.of(A, B, D), raft.members());
+        raft.compact(raft.commitIndex(), new byte[0]);
+        assertEquals(0, raft.logLength());
+        assertEquals(List.of(A, B, D), raft.voters());
     }
 
     /** Those before need its vote, and it denies it to all who don't have the change's second entry. */
     @Test
     void aMemberThatIsVotedOutStandsUntilThatIsCommitted() {
         List<Entry> entries = List.of(
-                new Entry(1, 1, Entry.Kind.LEAD, new byte[0]),
-                new Entry(2, 1, Entry.Kind.MEMBERS, new Voters(List.of(B, C), List.of(A, B)).write()),
-                new Entry(3, 1, Entry.Kind.MEMBERS, Voters.of(List.of(B, C)).write()));
-        Stored stored = new Stored(new HardState(1, 1), new Snapshot(0, 0, List.of(A, B), new byte[0]), entries);
+                new Entry(1, 1, Entry.Kind.NO_OP, new byte[0]),
+                new Entry(2, 1, Entry.Kind.MEMBERSHIP, new Voters(List.of(B, C), List.of(A, B)).encode()),
+                new Entry(3, 1, Entry.Kind.MEMBERSHIP, Voters.of(List.of(B, C)).encode()));
+        PersistentState stored =
+                new PersistentState(new HardState(1, 1), new Snapshot(0, 0, List.of(A, B), new byte[0]), entries);
         Raft raft = new Raft(1, stored, Cluster.TIMING, 1, 0);
         raft.tick(1_000);
-        assertEquals(Raft.Role.ASKING, raft.role());
+        assertEquals(Raft.Role.PRE_CANDIDATE, raft.role());
         raft.receive(1_000, 2, new VoteReply(2, true, true));
-        assertEquals(Raft.Role.ASKING, raft.role(), "its own vote no longer counts");
+        assertEquals(Raft.Role.PRE_CANDIDATE, raft.role(), "its own vote no longer counts");
         raft.receive(1_000, 3, new VoteReply(2, true, true));
         raft.receive(1_000, 2, new VoteReply(2, false, true));
         raft.receive(1_000, 3, new VoteReply(2, false, true));
@@ -204,7 +206,7 @@
             assertTrue(
                     next != null && next.raft.mayChangeMembers(),
                     "seed " + seed + ": the change is under way for ever");
-            done += Set.copyOf(next.raft.members()).equals(Set.copyOf(wanted)) ? 1 : 0;
+            done += Set.copyOf(next.raft.voters()).equals(Set.copyOf(wanted)) ? 1 : 0;
             leader.start();
             cluster.propose();
             cluster.run(cluster.now + 1_500);
@@ -345,9 +347,9 @@
         learn(cluster);
         Node leader = cluster.leader();
         Node away = cluster.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
-        assertFalse(away.raft.isLeftOut() || leader.raft.isLeftOut());
+        assertFalse(away.raft.shouldRequestJoin() || leader.raft.shouldRequestJoin());
         away.crash();
-        List<Member> wanted = new ArrayList<>(leader.raft.members());
+        List<Member> wanted = new ArrayList<>(leader.raft.voters());
         wanted.set(wanted.indexOf(away.member()), cluster.nodes.get(3).member());
         change(cluster, wanted);
         cluster.run(cluster.now + 300);
@@ -355,11 +357,11 @@
         away.start();
         cluster.run(cluster.now + 1_000);
         assertTrue(away.raft.isVoter(away.id), "as far as it knows");
-        assertTrue(away.raft.isLeftOut());
+        assertTrue(away.raft.shouldRequestJoin());
         leader.raft.addLearner(away.member());
         cluster.run(cluster.now + 500);
-        assertEquals(Set.copyOf(wanted), Set.copyOf(away.raft.members()));
-        assertEquals(leader.raft.commit(), away.raft.commit());
+        assertEquals(Set.copyOf(wanted), Set.copyOf(away.raft.voters()));
+        assertEquals(leader.raft.commitIndex(), away.raft.commitIndex());
     }
 
     // ---- promotion
@@ -380,9 +382,9 @@
             raft.propose(new byte[1]);
             took(raft, 2);
             raft.receive(1_010, 4, new AppendReply(4, true, before - 1, 1));
-            assertTrue(learner.match() < raft.commit(), "as was asked for before, it would never be ready");
+            assertTrue(learner.matchIndex() < raft.commitIndex(), "as was asked for before, it would never be ready");
             ready += learner.caughtUp() ? 1 : 0;
-            assertEquals(learner.match() >= target, learner.caughtUp());
+            assertEquals(learner.matchIndex() >= target, learner.caughtUp());
         }
         assertTrue(ready >= 98, "ready " + ready + " times of 100");
     }
@@ -413,14 +415,14 @@
     void aLeaderStaysUntilAnotherHasAllAndThenTakesNoProposals() {
         Raft raft = leader();
         raft.propose(new byte[1]);
-        assertFalse(raft.handOver(), "nobody has it");
+        assertFalse(raft.transferLeadership(), "nobody has it");
         assertTrue(raft.propose(new byte[1]) > 0);
         long last = raft.lastIndex();
         raft.drain();
         raft.receive(1_010, 3, new AppendReply(4, true, last, 1));
-        assertFalse(raft.handOver(), "on one disk of three it isn't committed");
+        assertFalse(raft.transferLeadership(), "on one disk of three it isn't committed");
         took(raft, 3);
-        assertTrue(raft.handOver());
+        assertTrue(raft.transferLeadership());
         assertEquals(0, raft.propose(new byte[1]));
         assertFalse(raft.mayChangeMembers());
         assertEquals(
@@ -429,7 +431,7 @@
                         .filter(e -> e.message() instanceof Message.TimeoutNow)
                         .map(Output.Envelope::to)
                         .toList());
-        assertTrue(raft.handOver(), "asked again, it doesn't ask another");
+        assertTrue(raft.transferLeadership(), "asked again, it doesn't ask another");
         assertEquals(List.of(), raft.drain().messages());
     }
 
@@ -451,7 +453,7 @@
             cluster.run(cluster.now + 30);
             cluster.join();
             long term = leader.raft.term();
-            for (int i = 0; i < 40 && !leader.raft.handOver(); i++) {
+            for (int i = 0; i < 40 && !leader.raft.transferLeadership(); i++) {
                 leader.pump();
                 cluster.run(cluster.now + 5);
             }
--- a/src/test/java/tinworks/raft/Model.java
+++ b/src/test/java/tinworks/raft/Model.java
@@ -42,7 +42,7 @@
 
     /** Makes a member; a flawed one is caught by the invariants. */
     interface Maker {
-        Raft make(long id, Stored stored, long now);
+        Raft make(long id, PersistentState stored, long now);
     }
 
     /** What a whole search found. */
@@ -99,11 +99,11 @@
     }
 
     /** Members whose promises have lapsed at any start. */
-    static Raft plain(long id, Stored stored, long now) {
+    static Raft plain(long id, PersistentState stored, long now) {
         return new Raft(id, stored, TIMING, 1, 0);
     }
 
-    static Raft leased(long id, Stored stored, long now) {
+    static Raft leased(long id, PersistentState stored, long now) {
         return new Raft(id, stored, TIMING, 1, now);
     }
 
@@ -172,9 +172,9 @@
         }
         World first = new World(bounds);
         for (int i = 0; i < machines; i++) {
-            Stored disk = i < voters
-                    ? new Stored(HardState.NONE, new Snapshot(0, 0, members, new byte[0]), List.of())
-                    : Stored.NOTHING;
+            PersistentState disk = i < voters
+                    ? new PersistentState(HardState.NONE, new Snapshot(0, 0, members, new byte[0]), List.of())
+                    : PersistentState.EMPTY;
             first.nodes.add(new Node(i + 1, disk, maker.make(i + 1, disk, 0)));
         }
         return first;
@@ -218,12 +218,12 @@
     /** A member; only one that a step is about to change is copied, and the others are shared between worlds. */
     private static final class Node {
         private final long id;
-        private final Stored disk;
+        private final PersistentState disk;
         private final Raft raft;
         private long describedAt = -1;
         private String description;
 
-        Node(long id, Stored disk, Raft raft) {
+        Node(long id, PersistentState disk, Raft raft) {
             this.id = id;
             this.disk = disk;
             this.raft = raft;
@@ -377,7 +377,7 @@
         private void change(int leader, int other) {
             left[5]--;
             Raft raft = nodes.get(leader).raft;
-            List<Member> wanted = new ArrayList<>(raft.members());
+            List<Member> wanted = new ArrayList<>(raft.voters());
             wanted.remove(member(other));
             for (int i = 0; i < nodes.size(); i++) {
                 if (!raft.isVoter(nodes.get(i).id) && (i == other || raft.isVoter(nodes.get(other).id))) {
@@ -526,7 +526,7 @@
             }
             text.append(';');
         }
-        return text.append(node.disk.hard())
+        return text.append(node.disk.hardState())
                 .append(node.disk.snapshot().index())
                 .append(node.disk.entries())
                 .append('|')
@@ -587,7 +587,7 @@
         }
     }
 
-    private Raft copy(Raft raft, long id, Stored disk) {
+    private Raft copy(Raft raft, long id, PersistentState disk) {
         Raft copy = maker.make(id, disk, 0);
         try {
             for (Field field : FIELDS) {
--- a/src/test/java/tinworks/raft/RaftTest.java
+++ b/src/test/java/tinworks/raft/RaftTest.java
@@ -39,12 +39,14 @@
         assertTrue(caught > 0, "skipped syncs were never noticed");
     }
 
-    private static Stored stored(HardState hard) {
+    private static PersistentState stored(HardState hard) {
         List<Member> voters = List.of(new Member(1, "a"), new Member(2, "b"), new Member(3, "c"));
-        return new Stored(
+        return new PersistentState(
                 hard,
                 new Snapshot(0, 0, voters, new byte[0]),
-                List.of(new Entry(1, 1, Entry.Kind.LEAD, new byte[0]), new Entry(2, 2, Entry.Kind.LEAD, new byte[0])));
+                List.of(
+                        new Entry(1, 1, Entry.Kind.NO_OP, new byte[0]),
+                        new Entry(2, 2, Entry.Kind.NO_OP, new byte[0])));
     }
 
     /** The commit index of a new leader of term 4 once a majority has the entry of term 2, but none of its own. */
@@ -55,7 +57,7 @@
         assertEquals(Raft.Role.LEADER, raft.role());
         raft.persisted(raft.drain());
         raft.receive(10_000, 2, new Message.AppendReply(4, true, 2, 0));
-        return raft.commit();
+        return raft.commitIndex();
     }
 
     @Test
@@ -158,7 +160,7 @@
             }
             boolean caughtUp =
                     leader.raft.followers().stream().anyMatch(p -> p.member().id() == fresh.id && p.caughtUp());
-            List<Member> voters = new ArrayList<>(leader.raft.members());
+            List<Member> voters = new ArrayList<>(leader.raft.voters());
             voters.removeIf(m -> m.address().equals(fresh.member().address()));
             voters.add(fresh.member());
             if (caughtUp && !leader.raft.isVoter(fresh.id)) {
@@ -233,7 +235,7 @@
     }
 
     private static Raft.Role notLeading(Raft.Role role) {
-        return role == Raft.Role.ASKING ? Raft.Role.FOLLOWER : role;
+        return role == Raft.Role.PRE_CANDIDATE ? Raft.Role.FOLLOWER : role;
     }
 
     @Test
@@ -329,7 +331,7 @@
         Cluster cluster = new Cluster(11, 3, Flaw.NONE);
         cluster.run(1_500);
         Node old = cluster.leader();
-        old.raft.handOver();
+        old.raft.transferLeadership();
         old.pump();
         cluster.run(cluster.now + 100);
         assertTrue(cluster.leader() != null && cluster.leader() != old);
--- a/src/test/java/tinworks/raft/ReplicationTest.java
+++ b/src/test/java/tinworks/raft/ReplicationTest.java
@@ -38,7 +38,7 @@
         private final Mutant mutant;
         private final Map<Long, Raft> rafts = new HashMap<>();
         private final Map<Long, byte[]> states = new HashMap<>();
-        private final Map<Long, Stored> disks = new HashMap<>();
+        private final Map<Long, PersistentState> disks = new HashMap<>();
         private final ArrayDeque<Output.Envelope> wire = new ArrayDeque<>();
         private final ArrayDeque<Long> senders = new ArrayDeque<>();
         private final Map<Long, Long> sentTo = new HashMap<>();
@@ -49,7 +49,9 @@
         Trio(Mutant mutant) {
             this.mutant = mutant;
             for (Member member : VOTERS) {
-                disks.put(member.id(), new Stored(HardState.NONE, new Snapshot(0, 0, VOTERS, new byte[0]), List.of()));
+                disks.put(
+                        member.id(),
+                        new PersistentState(HardState.NONE, new Snapshot(0, 0, VOTERS, new byte[0]), List.of()));
                 start(member.id());
             }
             now = 10_000;
@@ -148,13 +150,13 @@
 
         /** The applied state in place of the log. */
         void compact(byte[] state) {
-            leader().compact(leader().commit(), state);
+            leader().compact(leader().commitIndex(), state);
             pump(1);
         }
 
         void assertAlike(long id) {
             assertArrayEquals(states.get(1L), states.get(id));
-            assertEquals(leader().commit(), rafts.get(id).commit());
+            assertEquals(leader().commitIndex(), rafts.get(id).commitIndex());
         }
     }
 
@@ -168,7 +170,7 @@
             trio.heartbeat();
             trio.run();
         }
-        assertEquals(trio.leader().lastIndex(), trio.leader().commit());
+        assertEquals(trio.leader().lastIndex(), trio.leader().commitIndex());
         long ahead = trio.sentTo.get(3L);
         trio.silent = 0;
         trio.heartbeat();
@@ -196,7 +198,7 @@
         trio.propose(BODY);
         trio.run();
         trio.compact(trio.states.get(1L));
-        assertEquals(0, trio.leader().length());
+        assertEquals(0, trio.leader().logLength());
         trio.silent = 0;
         for (int i = 0; i < 4; i++) {
             trio.heartbeat();
@@ -360,7 +362,7 @@
         trio.silent = 2;
         trio.run();
         int written = 0;
-        while (trio.leader().hasRoom(BODY)) {
+        while (trio.leader().fitsUncommittedLimit(BODY)) {
             trio.propose(BODY);
             trio.wire.clear();
             trio.senders.clear();
@@ -376,7 +378,7 @@
             SplittableRandom random = new SplittableRandom(seed);
             Trio trio = new Trio(Mutant.NONE);
             for (int i = 0; i < 120; i++) {
-                if (trio.leader().hasRoom(300_000)) {
+                if (trio.leader().fitsUncommittedLimit(300_000)) {
                     trio.propose(random.nextInt(300_000));
                 }
                 for (int n = random.nextInt(6); n > 0; n--) {
@@ -396,7 +398,7 @@
                 trio.heartbeat();
                 trio.run();
             }
-            assertEquals(trio.leader().lastIndex(), trio.leader().commit(), "seed " + seed);
+            assertEquals(trio.leader().lastIndex(), trio.leader().commitIndex(), "seed " + seed);
             trio.assertAlike(2);
             trio.assertAlike(3);
         }
--- a/src/test/java/tinworks/raft/RestartedVoterTest.java
+++ b/src/test/java/tinworks/raft/RestartedVoterTest.java
@@ -28,7 +28,7 @@
         Raft raft = LeaseTest.voter(5_000);
         raft.tick(5_000 + ELECTION - 1);
         assertEquals(Raft.Role.FOLLOWER, raft.role());
-        Raft first = new Raft(1, Stored.NOTHING, Cluster.TIMING, 1, 0);
+        Raft first = new Raft(1, PersistentState.EMPTY, Cluster.TIMING, 1, 0);
         assertTrue(LeaseTest.grants(first, 1, 1), "one that never answered anybody needn't wait");
     }
 
@@ -39,7 +39,8 @@
 
     private static Raft startedAgain(long lastLeader, Maker maker) {
         Snapshot none = new Snapshot(0, 0, LeaseTest.VOTERS, new byte[0]);
-        return maker.make(1, new Stored(new HardState(3, 0, lastLeader), none, List.of()), Cluster.TIMING, 1, 5_000);
+        return maker.make(
+                1, new PersistentState(new HardState(3, 0, lastLeader), none, List.of()), Cluster.TIMING, 1, 5_000);
     }
 
     private static LeaseQuery askedAt(long now, Raft raft) {
@@ -59,7 +60,7 @@
         askedAt(5_015, raft);
         raft.receive(5_020, 2, new LeaseEnded(3, query.incarnation()));
         raft.tick(5_020 + Cluster.TIMING.heartbeatMillis());
-        assertEquals(Raft.Role.ASKING, raft.role(), "and it stands within a heartbeat");
+        assertEquals(Raft.Role.PRE_CANDIDATE, raft.role(), "and it stands within a heartbeat");
         assertTrue(LeaseTest.grants(raft, 5_100, 4));
         assertEquals(4, raft.term());
     }
@@ -127,13 +128,15 @@
         raft.receive(1_000, 2, new Append(3, 9, 3, 0, 1, List.of()));
         Output output = raft.drain();
         assertEquals(
-                new HardState(3, 0, 2), output.hard(), "though the term was written before, and nothing was taken");
+                new HardState(3, 0, 2),
+                output.hardState(),
+                "though the term was written before, and nothing was taken");
         assertEquals(1, output.messages().size());
         Raft leader = LeaseTest.voter(0);
         leader.tick(1_000);
         leader.receive(1_000, 2, new VoteReply(4, true, true));
         leader.receive(1_000, 2, new VoteReply(4, false, true));
-        assertEquals(new HardState(4, 1, 1), leader.drain().hard());
+        assertEquals(new HardState(4, 1, 1), leader.drain().hardState());
     }
 
     @Test
--- a/src/test/java/tinworks/raft/StrengthTest.java
+++ b/src/test/java/tinworks/raft/StrengthTest.java
@@ -49,7 +49,7 @@
         }
         if (cluster.now % JOIN < LOOK) {
             cluster.nodes.stream()
-                    .filter(n -> n.raft != null && n.raft.isLeftOut())
+                    .filter(n -> n.raft != null && n.raft.shouldRequestJoin())
                     .forEach(n -> leader.raft.addLearner(n.member()));
         }
         if (cluster.now % PLAN < LOOK && leader.raft.mayChangeMembers()) {
@@ -62,7 +62,7 @@
         List<Progress> learners = new ArrayList<>();
         List<Progress> gone = new ArrayList<>();
         for (Progress p : leader.raft.followers()) {
-            long silent = leader.clock() - p.heardAt();
+            long silent = leader.clock() - p.lastReceivedMillis();
             if (!leader.raft.isVoter(p.member().id()) && silent < 1_000) {
                 learners.add(p);
             } else if (leader.raft.isVoter(p.member().id()) && silent > GONE) {
@@ -77,7 +77,7 @@
                 gone.add(0, p);
             }
         }
-        List<Member> voters = new ArrayList<>(leader.raft.members());
+        List<Member> voters = new ArrayList<>(leader.raft.voters());
         learners.stream()
                 .filter(Progress::caughtUp)
                 .findFirst()
--- a/src/test/java/tinworks/store/CoreStoreTest.java
+++ b/src/test/java/tinworks/store/CoreStoreTest.java
@@ -17,8 +17,8 @@
 import tinworks.raft.HardState;
 import tinworks.raft.Member;
 import tinworks.raft.Output;
+import tinworks.raft.PersistentState;
 import tinworks.raft.Snapshot;
-import tinworks.raft.Stored;
 
 /** What a core machine keeps on its disk comes back after a restart. */
 class CoreStoreTest {
@@ -43,8 +43,8 @@
         // No close: the process is killed.
         CoreStore again = CoreStore.open(Files.createDirectories(copy("killed")));
         assertEquals(42, again.identity());
-        Stored stored = again.load();
-        assertEquals(new HardState(2, 3), stored.hard());
+        PersistentState stored = again.load();
+        assertEquals(new HardState(2, 3), stored.hardState());
         assertEquals(first.members(), stored.snapshot().members());
         assertEquals(List.of(entry(1, 1), entry(2, 2)), stored.entries());
         again.write(output(null, new Snapshot(1, 1, first.members(), new byte[] {9}), 0));
@@ -114,7 +114,7 @@
         Path place = folder.resolve("a").resolve("b");
         CoreStore store = CoreStore.open(place);
         assertTrue(store.untouched());
-        assertEquals(Stored.NOTHING, store.load());
+        assertEquals(PersistentState.EMPTY, store.load());
         store.found(7, HardState.NONE, Snapshot.NONE);
         store.close();
         CoreStore again = CoreStore.open(place);
--- a/src/test/java/tinworks/store/CrashTest.java
+++ b/src/test/java/tinworks/store/CrashTest.java
@@ -19,8 +19,8 @@
 import tinworks.raft.HardState;
 import tinworks.raft.Member;
 import tinworks.raft.Output;
+import tinworks.raft.PersistentState;
 import tinworks.raft.Snapshot;
-import tinworks.raft.Stored;
 
 /** What a store has on its disk after losses of power, kills and refused writes, at every operation of the disk. */
 class CrashTest {
@@ -36,7 +36,7 @@
         private final SplittableRandom random;
         private final SimulatedDisk disk;
         /** What the store holds after each write. */
-        private final List<Stored> states = new ArrayList<>();
+        private final List<PersistentState> states = new ArrayList<>();
 
         private CoreStore store;
         private int synced;
@@ -49,7 +49,7 @@
         /** Founds the store and writes; false where the disk refused or stopped. */
         boolean start() throws CoreStore.Damaged {
             states.clear();
-            states.add(new Stored(HardState.NONE, FIRST, List.of()));
+            states.add(new PersistentState(HardState.NONE, FIRST, List.of()));
             try {
                 store = CoreStore.open(disk.folder(), SPARE_BYTES);
                 if (store.identity() == 0) {
@@ -76,10 +76,11 @@
             return true;
         }
 
-        private Output next(Stored now) {
+        private Output next(PersistentState now) {
             List<Entry> entries = now.entries();
             long last = now.snapshot().index() + entries.size();
-            HardState hard = random.nextInt(3) == 0 ? new HardState(now.hard().term() + 1, random.nextInt(9)) : null;
+            HardState hard =
+                    random.nextInt(3) == 0 ? new HardState(now.hardState().term() + 1, random.nextInt(9)) : null;
             if (entries.size() > 3 && random.nextInt(3) == 0) {
                 Entry upTo = entries.get(random.nextInt(entries.size()));
                 Snapshot snapshot = new Snapshot(upTo.index(), upTo.term(), FIRST.members(), bytes());
@@ -101,15 +102,16 @@
             return bytes;
         }
 
-        private static Stored after(Stored now, Output output) {
+        private static PersistentState after(PersistentState now, Output output) {
             Snapshot snapshot = output.snapshot() == null ? now.snapshot() : output.snapshot();
             List<Entry> entries = new ArrayList<>(now.entries());
-            if (output.cutFrom() > 0) {
-                entries.removeIf(entry -> entry.index() >= output.cutFrom());
+            if (output.truncateFrom() > 0) {
+                entries.removeIf(entry -> entry.index() >= output.truncateFrom());
                 entries.addAll(output.entries());
             }
             entries.removeIf(entry -> entry.index() <= snapshot.index());
-            return new Stored(output.hard() == null ? now.hard() : output.hard(), snapshot, entries);
+            return new PersistentState(
+                    output.hardState() == null ? now.hardState() : output.hardState(), snapshot, entries);
         }
 
         /** Comes back and checks that all that was acknowledged is there, whole and in one piece. */
@@ -122,7 +124,7 @@
                     return;
                 }
                 assertEquals(ID, id, "identity " + when);
-                Stored found = store.load();
+                PersistentState found = store.load();
                 for (int i = states.size() - 1; i >= synced; i--) {
                     if (same(states.get(i), found)) {
                         states.subList(i + 1, states.size()).clear();
@@ -142,8 +144,8 @@
         }
     }
 
-    private static boolean same(Stored one, Stored other) {
-        return one.hard().equals(other.hard())
+    private static boolean same(PersistentState one, PersistentState other) {
+        return one.hardState().equals(other.hardState())
                 && one.entries().equals(other.entries())
                 && one.snapshot().index() == other.snapshot().index()
                 && one.snapshot().term() == other.snapshot().term()
@@ -151,8 +153,8 @@
                 && Arrays.equals(one.snapshot().state(), other.snapshot().state());
     }
 
-    private static String describe(Stored stored) {
-        return stored.hard() + " snapshot " + stored.snapshot().index() + " " + stored.entries();
+    private static String describe(PersistentState stored) {
+        return stored.hardState() + " snapshot " + stored.snapshot().index() + " " + stored.entries();
     }
 
     /** A name that was never synced with its folder is lost by itself, and all of a founded store with it. */
--- a/src/test/java/tinworks/store/DamageTest.java
+++ b/src/test/java/tinworks/store/DamageTest.java
@@ -20,8 +20,8 @@
 import tinworks.raft.Entry;
 import tinworks.raft.HardState;
 import tinworks.raft.Output;
+import tinworks.raft.PersistentState;
 import tinworks.raft.Snapshot;
-import tinworks.raft.Stored;
 
 /** A file whose bytes were changed or lost on the disk is found out, or read as it was. */
 class DamageTest {
@@ -64,8 +64,8 @@
         return disk.read(FILE);
     }
 
-    private static String describe(Stored stored) {
-        return stored.hard() + " " + stored.snapshot().index() + " "
+    private static String describe(PersistentState stored) {
+        return stored.hardState() + " " + stored.snapshot().index() + " "
                 + Arrays.hashCode(stored.snapshot().state()) + " " + stored.entries();
     }
 
--- a/src/test/java/tinworks/store/DiskUseTest.java
+++ b/src/test/java/tinworks/store/DiskUseTest.java
@@ -14,8 +14,8 @@
 import tinworks.raft.Entry;
 import tinworks.raft.HardState;
 import tinworks.raft.Output;
+import tinworks.raft.PersistentState;
 import tinworks.raft.Snapshot;
-import tinworks.raft.Stored;
 
 /**
  * How much of a real disk a store takes, and how long it takes to open, after many changes of a large configuration.
@@ -31,7 +31,8 @@
     private Path folder;
 
     /** What one run came to. */
-    private record Figures(long mostBytes, long lastBytes, long slowestWriteMillis, long openingMillis, Stored found) {}
+    private record Figures(
+            long mostBytes, long lastBytes, long slowestWriteMillis, long openingMillis, PersistentState found) {}
 
     private static Figures run(Path folder, int writes, int bodyBytes, int kept) throws IOException, CoreStore.Damaged {
         CoreStore store = CoreStore.open(folder);
@@ -57,7 +58,7 @@
         long begun = System.nanoTime();
         CoreStore again = CoreStore.open(folder);
         long opening = System.nanoTime() - begun;
-        Stored found = again.load();
+        PersistentState found = again.load();
         again.close();
         assertEquals(entries, found.entries());
         return new Figures(most, bytes(folder), slowest / 1_000_000, opening / 1_000_000, found);
