--- a/src/main/java/tinworks/edge/EdgeMetrics.java
+++ b/src/main/java/tinworks/edge/EdgeMetrics.java
@@ -9,7 +9,7 @@
 import tinworks.net.Forwarding;
 import tinworks.net.Tally;
 import tinworks.node.StallWatch;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.Outcome;
 import tinworks.policy.Reason;
 
 /** An edge's figures; docs/metrics.md explains each. */
--- a/src/main/java/tinworks/edge/EdgeNode.java
+++ b/src/main/java/tinworks/edge/EdgeNode.java
@@ -35,13 +35,13 @@
 import tinworks.node.BootSettings;
 import tinworks.node.StallWatch;
 import tinworks.platform.HostPoller;
-import tinworks.policy.Protocol.Ending;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.ListReceived;
-import tinworks.policy.Protocol.Readiness;
-import tinworks.policy.Protocol.Reconfigured;
-import tinworks.policy.Protocol.RequestClass;
-import tinworks.policy.Protocol.ServerInfo;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.Reconfigured;
+import tinworks.policy.LoadBalancerApi.RequestClass;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
+import tinworks.policy.LoadBalancerApi.ServerListReceived;
+import tinworks.policy.LoadBalancerApi.ShutdownStarted;
 
 /**
  * An edge gateway at work. It keeps a link to every core machine and follows them ({@link CoreFollower}); what it knows
@@ -223,7 +223,8 @@
     }
 
     private void tellOfEnd(Forwarding service) {
-        service.tell(new Ending(TimeUnit.MILLISECONDS.toNanos(Math.max(0, endsAtMillis - SteadyClock.millis()))));
+        service.tell(
+                new ShutdownStarted(TimeUnit.MILLISECONDS.toNanos(Math.max(0, endsAtMillis - SteadyClock.millis()))));
     }
 
     private void endWhenIdle() {
@@ -352,7 +353,7 @@
                         style,
                         this);
                 services.put(service, made);
-                made.tell(new ListReceived(ListKind.WHOLE, servers(service)));
+                made.tell(new ServerListReceived(ServerListKind.FULL, servers(service)));
                 if (ending) {
                     tellOfEnd(made);
                 }
@@ -411,7 +412,7 @@
             next.put(host.id(), host);
             if (old != null && !old.service().equals(host.service())) {
                 changed.computeIfAbsent(old.service(), service -> new ArrayList<>())
-                        .add(server(old, Readiness.GONE));
+                        .add(server(old, Readiness.REMOVED));
             }
             if (old == null || !old.sameAs(host)) {
                 startedAt.computeIfAbsent(host.id(), id -> startOf(host));
@@ -426,7 +427,7 @@
                 places.add(new HostPool.Place(
                         old.id(), Address.read(old.address()), startedAt.get(old.id()), false, true));
                 changed.computeIfAbsent(old.service(), service -> new ArrayList<>())
-                        .add(server(old, Readiness.GONE));
+                        .add(server(old, Readiness.REMOVED));
             }
         }
         startedAt.keySet().retainAll(next.keySet());
@@ -435,7 +436,7 @@
         changed.forEach((service, servers) -> {
             Forwarding forwarding = services.get(service);
             if (forwarding != null) {
-                forwarding.tell(new ListReceived(ListKind.CHANGES, servers));
+                forwarding.tell(new ServerListReceived(ServerListKind.CHANGES, servers));
             }
         });
         if (!listed) {
--- a/src/main/java/tinworks/edge/EdgeProtocol.java
+++ b/src/main/java/tinworks/edge/EdgeProtocol.java
@@ -21,8 +21,8 @@
 import tinworks.net.HostPool;
 import tinworks.net.HostPool.Answer;
 import tinworks.net.HostPool.Whose;
-import tinworks.policy.Protocol.LoadReport;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.LoadReport;
+import tinworks.policy.LoadBalancerApi.Outcome;
 
 /** How requests and answers look in the system's protocol. */
 class EdgeProtocol implements ForwardingStyle, HostPool.Dialect {
--- a/src/main/java/tinworks/edge/EdgeWarmUp.java
+++ b/src/main/java/tinworks/edge/EdgeWarmUp.java
@@ -33,11 +33,11 @@
 import tinworks.net.GatewayClock;
 import tinworks.net.HostPool;
 import tinworks.net.Transport;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.ListReceived;
-import tinworks.policy.Protocol.Outcome;
-import tinworks.policy.Protocol.Readiness;
-import tinworks.policy.Protocol.ServerInfo;
+import tinworks.policy.LoadBalancerApi.Outcome;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
+import tinworks.policy.LoadBalancerApi.ServerListReceived;
 
 /**
  * Made-up requests through parts of an edge's own, over loopback, while the whole system starts for the first time and
@@ -153,7 +153,7 @@
                 this);
         services.put(SERVICE, forwarding);
         pool.update(places, true);
-        forwarding.tell(new ListReceived(ListKind.WHOLE, servers));
+        forwarding.tell(new ServerListReceived(ServerListKind.FULL, servers));
         requests.use(new RouteTable(made.routes()));
         clients.listen(new InetSocketAddress(LOOPBACK, 0)).addListener(bound -> {
             if (bound.isSuccess()) {
--- a/src/main/java/tinworks/edge/PreparedConfiguration.java
+++ b/src/main/java/tinworks/edge/PreparedConfiguration.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import tinworks.config.Configuration;
 import tinworks.config.Configuration.Route;
-import tinworks.policy.Protocol.RequestClass;
+import tinworks.policy.LoadBalancerApi.RequestClass;
 
 /**
  * A version of the configuration with all that an edge makes of it. Made off the event loop: with a thousand routes it
--- a/src/main/java/tinworks/edge/RequestRouter.java
+++ b/src/main/java/tinworks/edge/RequestRouter.java
@@ -17,7 +17,7 @@
 import tinworks.net.Forwarding;
 import tinworks.net.GatewayClock;
 import tinworks.net.RunLimit;
-import tinworks.policy.Protocol.RequestArrived;
+import tinworks.policy.LoadBalancerApi.RequestArrived;
 
 /** Takes clients' requests: finds each one's route, draws its service, and hands it to that service's module. */
 final class RequestRouter implements ClientServer.Listener {
--- a/src/main/java/tinworks/edge/ServiceSettings.java
+++ b/src/main/java/tinworks/edge/ServiceSettings.java
@@ -8,12 +8,12 @@
 import tinworks.config.Configuration;
 import tinworks.config.Configuration.Route;
 import tinworks.config.Configuration.Split;
-import tinworks.policy.Protocol.Allowed;
-import tinworks.policy.Protocol.Effect;
-import tinworks.policy.Protocol.Group;
-import tinworks.policy.Protocol.RequestClass;
-import tinworks.policy.Protocol.Rules;
-import tinworks.policy.Protocol.Settings;
+import tinworks.policy.LoadBalancerApi.DedupScope;
+import tinworks.policy.LoadBalancerApi.Idempotency;
+import tinworks.policy.LoadBalancerApi.Permissions;
+import tinworks.policy.LoadBalancerApi.PolicyParameters;
+import tinworks.policy.LoadBalancerApi.RequestClass;
+import tinworks.policy.LoadBalancerApi.Settings;
 
 /** The decision module's settings for one service, made from the operator's routes. */
 final class ServiceSettings {
@@ -68,8 +68,8 @@
         long timeout = TimeUnit.MILLISECONDS.toNanos(route.timeoutMs());
         return new RequestClass(
                 className(route),
-                route.type() == Configuration.Type.MUTATING ? Effect.UNSAFE : Effect.SAFE,
-                Group.ALL,
+                route.type() == Configuration.Type.MUTATING ? Idempotency.UNSAFE : Idempotency.SAFE,
+                DedupScope.ALL,
                 0,
                 TimeUnit.MILLISECONDS.toNanos(route.targetMs()),
                 timeout,
@@ -82,7 +82,7 @@
 
     /** What a service's module starts with. */
     static Settings settings(List<RequestClass> classes, int gateways, String zone) {
-        Rules rules = new Rules(
+        PolicyParameters rules = new PolicyParameters(
                 0,
                 0,
                 Long.MAX_VALUE,
@@ -102,7 +102,7 @@
                 classes,
                 List.of(),
                 1,
-                new Allowed(MOST_TRIES, true, false),
+                new Permissions(MOST_TRIES, true, false),
                 rules);
     }
 }
--- a/src/main/java/tinworks/load/LoadClients.java
+++ b/src/main/java/tinworks/load/LoadClients.java
@@ -25,8 +25,8 @@
 import tinworks.net.HostPool.Answer;
 import tinworks.net.HostPool.Place;
 import tinworks.net.Transport;
-import tinworks.policy.Protocol.LoadReport;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.LoadReport;
+import tinworks.policy.LoadBalancerApi.Outcome;
 
 /**
  * Clients by the published protocol, in an open loop: when a request is due does not depend on how earlier ones fare,
@@ -236,7 +236,7 @@
             if (promised) {
                 watcher.promisedNotRun(id);
             }
-            boolean mayRepeat = !kind.once() || promised || (answer == null && outcome.provesItNeverRan());
+            boolean mayRepeat = !kind.once() || promised || (answer == null && outcome.provesNotExecuted());
             if (mayRepeat && !FINAL.contains(status) && tries < MOST_TRIES) {
                 again(promised, answer == null ? 0 : pauseMillis(answer.head().headers()));
             } else {
--- a/src/main/java/tinworks/net/AttemptList.java
+++ b/src/main/java/tinworks/net/AttemptList.java
@@ -35,7 +35,7 @@
     /** Whether each has ended, and proves that the request didn't run. */
     boolean proveItNeverRan() {
         for (HostPool.Attempt attempt : attempts) {
-            if (attempt.outcome() == null || !attempt.outcome().provesItNeverRan()) {
+            if (attempt.outcome() == null || !attempt.outcome().provesNotExecuted()) {
                 return false;
             }
         }
--- a/src/main/java/tinworks/net/BalancerStyle.java
+++ b/src/main/java/tinworks/net/BalancerStyle.java
@@ -6,8 +6,8 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import tinworks.net.ClientServer.Reply;
 import tinworks.net.HostPool.Answer;
-import tinworks.policy.Protocol.LoadReport;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.LoadReport;
+import tinworks.policy.LoadBalancerApi.Outcome;
 
 /** How requests and answers look in the earlier protocol. */
 final class BalancerStyle implements ForwardingStyle, HostPool.Dialect {
--- a/src/main/java/tinworks/net/EndedRequest.java
+++ b/src/main/java/tinworks/net/EndedRequest.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.Outcome;
 import tinworks.policy.Reason;
 
 /**
--- a/src/main/java/tinworks/net/EndpointList.java
+++ b/src/main/java/tinworks/net/EndpointList.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import tinworks.json.Address;
 import tinworks.json.Json;
-import tinworks.policy.Protocol.Readiness;
-import tinworks.policy.Protocol.ServerInfo;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
 
 /** The list of hosts, or changes to it, in discovery's form. */
 record EndpointList(long index, boolean snapshot, List<Endpoint> endpoints) {
@@ -14,7 +14,7 @@
     /** A host: what the module is told of it, and where this gateway reaches it. */
     record Endpoint(ServerInfo info, SocketAddress address) {
         boolean gone() {
-            return info.readiness() == Readiness.GONE;
+            return info.readiness() == Readiness.REMOVED;
         }
     }
 
@@ -61,7 +61,7 @@
                 entry.field("weight").number(1).doubleValue(),
                 GatewayClock.ofUnixMillis(entry.field("since_ms").number(0).longValue()));
         // One that is removed may come without an address: nothing goes there any more.
-        SocketAddress address = readiness == Readiness.GONE
+        SocketAddress address = readiness == Readiness.REMOVED
                 ? null
                 : Address.read(entry.required("address").text());
         return new Endpoint(info, address);
@@ -71,7 +71,7 @@
         return switch (status) {
             case "up" -> Readiness.READY;
             case "draining" -> Readiness.DRAINING;
-            case "removed" -> Readiness.GONE;
+            case "removed" -> Readiness.REMOVED;
             default -> throw new IllegalArgumentException("unknown status '" + status + "'");
         };
     }
--- a/src/main/java/tinworks/net/Forwarding.java
+++ b/src/main/java/tinworks/net/Forwarding.java
@@ -14,16 +14,16 @@
 import tinworks.net.EndedRequest.AttemptSummary;
 import tinworks.net.EndedRequest.Ending;
 import tinworks.net.HostPool.Answer;
-import tinworks.policy.Choice;
-import tinworks.policy.Protocol.Actions;
-import tinworks.policy.Protocol.AttemptEnded;
-import tinworks.policy.Protocol.ClientLeft;
-import tinworks.policy.Protocol.Event;
-import tinworks.policy.Protocol.LoadReport;
-import tinworks.policy.Protocol.Outcome;
-import tinworks.policy.Protocol.RequestArrived;
-import tinworks.policy.Protocol.Settings;
-import tinworks.policy.Protocol.TimerFired;
+import tinworks.policy.LoadBalancer;
+import tinworks.policy.LoadBalancerApi.Actions;
+import tinworks.policy.LoadBalancerApi.AttemptEnded;
+import tinworks.policy.LoadBalancerApi.ClientDisconnected;
+import tinworks.policy.LoadBalancerApi.Event;
+import tinworks.policy.LoadBalancerApi.LoadReport;
+import tinworks.policy.LoadBalancerApi.Outcome;
+import tinworks.policy.LoadBalancerApi.RequestArrived;
+import tinworks.policy.LoadBalancerApi.Settings;
+import tinworks.policy.LoadBalancerApi.TimerFired;
 import tinworks.policy.Reason;
 
 /**
@@ -61,7 +61,7 @@
     private final HostPool hosts;
     private final ForwardingStyle style;
     private final Owner owner;
-    private final Choice choice;
+    private final LoadBalancer choice;
     private final Map<String, OpenRequest> open = new HashMap<>();
     private final ArrayDeque<Stamped> events = new ArrayDeque<>();
     private final Tally tally = new Tally();
@@ -88,7 +88,7 @@
         this.hosts = hosts;
         this.style = style;
         this.owner = owner;
-        choice = new Choice(settings, seed, this);
+        choice = new LoadBalancer(settings, seed, this);
     }
 
     /** Takes on a request, which from here on gets one answer; the limit is only checked, not decided by. */
@@ -132,7 +132,7 @@
             }
             Invariant.ANSWERED_IN_TIME.violated(r.id + " of " + r.requestClass + " has no answer");
             fail(r.id, Reason.FAULT);
-            tell(new ClientLeft(r.id));
+            tell(new ClientDisconnected(r.id));
         }
     }
 
@@ -167,7 +167,7 @@
     private void decide(Event event) {
         acting = null;
         try {
-            choice.on(last, event);
+            choice.onEvent(last, event);
         } catch (RuntimeException e) {
             Invariant.NO_FAULT.violatedBy(
                     e, "the decision on " + event.getClass().getSimpleName());
@@ -183,7 +183,7 @@
         OpenRequest r = open.get(id);
         if (r != null && !r.reply.isDone()) {
             fail(id, Reason.FAULT);
-            tell(new ClientLeft(id));
+            tell(new ClientDisconnected(id));
         }
     }
 
@@ -258,7 +258,7 @@
     }
 
     @Override
-    public void tellAll(byte[] body) {
+    public void sendToPeers(byte[] body) {
         owner.tellAll(body);
     }
 
@@ -290,7 +290,7 @@
             this.limit = limit;
             id = arrived.id();
             requestClass = arrived.requestClass();
-            heldUpNanos = arrived.heldUpNanos();
+            heldUpNanos = arrived.queueingDelayNanos();
             this.request = request;
             this.reply = reply;
         }
@@ -385,7 +385,7 @@
             tally.clientLeft();
             ends(Ending.CLIENT_LEFT, null);
             forgetIfOver();
-            tell(new ClientLeft(id));
+            tell(new ClientDisconnected(id));
         }
 
         private void forgetIfOver() {
--- a/src/main/java/tinworks/net/Gateway.java
+++ b/src/main/java/tinworks/net/Gateway.java
@@ -13,12 +13,12 @@
 import java.util.function.ToLongFunction;
 import tinworks.net.ClientServer.BadRequest;
 import tinworks.net.ClientServer.Reply;
-import tinworks.policy.Protocol.Ending;
-import tinworks.policy.Protocol.Event;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.ListReceived;
-import tinworks.policy.Protocol.PeerSaid;
-import tinworks.policy.Protocol.RequestClass;
+import tinworks.policy.LoadBalancerApi.Event;
+import tinworks.policy.LoadBalancerApi.PeerMessageReceived;
+import tinworks.policy.LoadBalancerApi.RequestClass;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
+import tinworks.policy.LoadBalancerApi.ServerListReceived;
+import tinworks.policy.LoadBalancerApi.ShutdownStarted;
 
 /**
  * One real gateway of the earlier protocol: clients, hosts, the watch on the list and messages to other gateways round
@@ -75,8 +75,8 @@
                 : new Peers(
                         loop,
                         config.peers(),
-                        config.settings().gatewayNumber(),
-                        (gateway, body) -> tell(new PeerSaid(gateway, body)),
+                        config.settings().gatewayIndex(),
+                        (gateway, body) -> tell(new PeerMessageReceived(gateway, body)),
                         log);
     }
 
@@ -96,7 +96,8 @@
         loop.loop().execute(() -> {
             Gateway gateway = new Gateway(loop, config, transport, log);
             gateway.hosts.update(config.known().places(), config.known().snapshot());
-            gateway.tell(new ListReceived(ListKind.CACHED, config.known().servers()));
+            gateway.tell(
+                    new ServerListReceived(ServerListKind.CACHED, config.known().servers()));
             opened.complete(gateway);
         });
         return opened;
@@ -132,10 +133,10 @@
             if (!ending) {
                 ending = true;
                 long within = longest(RequestClass::deadlineNanos) + KILLED_AFTER_NANOS - END_MARGIN_NANOS;
-                tell(new Ending(within));
+                tell(new ShutdownStarted(within));
                 loop.schedule(
                         this::stopAccepting,
-                        Math.min(LONGEST_TAKING_NANOS, within - longest(RequestClass::aimNanos)),
+                        Math.min(LONGEST_TAKING_NANOS, within - longest(RequestClass::targetNanos)),
                         TimeUnit.NANOSECONDS);
             }
         });
@@ -199,13 +200,14 @@
         public void listed(EndpointList list) {
             askedForList = true;
             hosts.update(list.places(), list.snapshot());
-            tell(new ListReceived(list.snapshot() ? ListKind.WHOLE : ListKind.CHANGES, list.servers()));
+            tell(new ServerListReceived(
+                    list.snapshot() ? ServerListKind.FULL : ServerListKind.CHANGES, list.servers()));
         }
 
         @Override
         public void failed() {
             askedForList = true;
-            tell(new ListReceived(ListKind.FAILED, List.of()));
+            tell(new ServerListReceived(ServerListKind.FAILED, List.of()));
         }
     }
 
--- a/src/main/java/tinworks/net/GatewayConfig.java
+++ b/src/main/java/tinworks/net/GatewayConfig.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import tinworks.json.Address;
 import tinworks.json.Json;
-import tinworks.policy.Protocol.Settings;
+import tinworks.policy.LoadBalancerApi.Settings;
 import tinworks.policy.SettingsReader;
 
 /**
--- a/src/main/java/tinworks/net/HostPool.java
+++ b/src/main/java/tinworks/net/HostPool.java
@@ -23,8 +23,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import tinworks.policy.Protocol.LoadReport;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.LoadReport;
+import tinworks.policy.LoadBalancerApi.Outcome;
 
 /**
  * Kept-alive connections to the hosts, and the attempts on them. A connection carries one request at a time. Nothing is
--- a/src/main/java/tinworks/net/LoadReports.java
+++ b/src/main/java/tinworks/net/LoadReports.java
@@ -1,7 +1,7 @@
 package tinworks.net;
 
 import java.util.List;
-import tinworks.policy.Protocol.LoadReport;
+import tinworks.policy.LoadBalancerApi.LoadReport;
 
 /** Reads a host's account of its load, as {@code tps=140,load_share=0.62,err_ps=0.5}. */
 final class LoadReports {
--- a/src/main/java/tinworks/net/Rehearsal.java
+++ b/src/main/java/tinworks/net/Rehearsal.java
@@ -26,10 +26,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import tinworks.net.EndpointList.Endpoint;
-import tinworks.policy.Protocol.Effect;
-import tinworks.policy.Protocol.Readiness;
-import tinworks.policy.Protocol.RequestClass;
-import tinworks.policy.Protocol.ServerInfo;
+import tinworks.policy.LoadBalancerApi.Idempotency;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.RequestClass;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
 
 /**
  * Made-up requests through a gateway of its own, over sockets that nobody else can reach, before the real one listens.
@@ -231,14 +231,14 @@
         private void ask(ChannelHandlerContext ctx) {
             List<RequestClass> classes = config.settings().classes();
             RequestClass c = classes.get(asked++ % classes.size());
-            boolean safe = c.effect() == Effect.SAFE;
+            boolean safe = c.idempotency() == Idempotency.SAFE;
             String head = (safe ? "GET /" : "POST /") + c.name() + "/" + asked + " HTTP/1.1\r\nHost: localhost\r\n"
                     + "X-Request-ID: rehearsal-" + asked + "\r\nX-Timeout: "
                     + TimeUnit.NANOSECONDS.toMillis(c.deadlineNanos()) + "m\r\n";
             if (!config.settings().tenants().isEmpty()) {
                 head += "X-Tenant-Id: " + config.settings().tenants().get(0).name() + "\r\n";
             }
-            if (c.effect() == Effect.KEYED) {
+            if (c.idempotency() == Idempotency.KEYED) {
                 head += "Idempotency-Key: rehearsal-" + asked + "\r\n";
             }
             write(ctx, safe ? head : head + "Content-Length: " + BODY.length + "\r\n", safe ? NOTHING : BODY);
--- a/src/main/java/tinworks/net/RequestReader.java
+++ b/src/main/java/tinworks/net/RequestReader.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
 import tinworks.net.ClientServer.BadRequest;
-import tinworks.policy.Protocol.Effect;
-import tinworks.policy.Protocol.RequestArrived;
-import tinworks.policy.Protocol.RequestClass;
+import tinworks.policy.LoadBalancerApi.Idempotency;
+import tinworks.policy.LoadBalancerApi.RequestArrived;
+import tinworks.policy.LoadBalancerApi.RequestClass;
 
 /** Reads a client's request as the module's event, and makes the request that goes on to a host. */
 final class RequestReader {
@@ -49,7 +49,7 @@
         if (requestClass == null) {
             throw new BadRequest(HttpResponseStatus.NOT_FOUND, "no such class of requests");
         }
-        checkMethod(request, requestClass.effect());
+        checkMethod(request, requestClass.idempotency());
         if (!UNCHANGED.matcher(request.uri()).matches()) {
             throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "can't read the path");
         }
@@ -70,13 +70,13 @@
     }
 
     /** Guards against asking a host for what it turns away, and against passing an unsafe request for a safe one. */
-    private static void checkMethod(FullHttpRequest request, Effect effect) throws BadRequest {
+    private static void checkMethod(FullHttpRequest request, Idempotency effect) throws BadRequest {
         boolean keyed = request.headers().contains(KEY);
-        if (!request.method().equals(effect == Effect.SAFE ? HttpMethod.GET : HttpMethod.POST)) {
+        if (!request.method().equals(effect == Idempotency.SAFE ? HttpMethod.GET : HttpMethod.POST)) {
             throw new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "not the method of its class");
         }
-        if (keyed != (effect == Effect.KEYED)
-                || (effect == Effect.SAFE && request.content().isReadable())) {
+        if (keyed != (effect == Idempotency.KEYED)
+                || (effect == Idempotency.SAFE && request.content().isReadable())) {
             throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "a key or a body that its class has not, or no key");
         }
         if (keyed) {
--- a/src/main/java/tinworks/net/Tally.java
+++ b/src/main/java/tinworks/net/Tally.java
@@ -4,7 +4,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.Outcome;
 import tinworks.policy.Reason;
 
 /** What became of one service's requests since the process started, and of the attempts made for them. One thread's. */
--- a/src/main/java/tinworks/platform/HostPoller.java
+++ b/src/main/java/tinworks/platform/HostPoller.java
@@ -25,8 +25,8 @@
 import tinworks.net.HostPool.Answer;
 import tinworks.net.HostPool.Place;
 import tinworks.net.Transport;
-import tinworks.policy.Protocol.LoadReport;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.LoadReport;
+import tinworks.policy.LoadBalancerApi.Outcome;
 
 /**
  * Fetches the platform's list, page by page, again and again while it is on: once a second, and after a failure or a
--- a/src/main/java/tinworks/policy/Choice.java
+++ b/src/main/java/tinworks/policy/LoadBalancer.java
@@ -11,27 +11,27 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import tinworks.policy.Protocol.Actions;
-import tinworks.policy.Protocol.AttemptEnded;
-import tinworks.policy.Protocol.ClientLeft;
-import tinworks.policy.Protocol.Effect;
-import tinworks.policy.Protocol.Ending;
-import tinworks.policy.Protocol.Event;
-import tinworks.policy.Protocol.Group;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.ListReceived;
-import tinworks.policy.Protocol.Outcome;
-import tinworks.policy.Protocol.PeerSaid;
-import tinworks.policy.Protocol.Readiness;
-import tinworks.policy.Protocol.Reconfigured;
-import tinworks.policy.Protocol.RequestArrived;
-import tinworks.policy.Protocol.RequestClass;
-import tinworks.policy.Protocol.Rules;
-import tinworks.policy.Protocol.ServerInfo;
-import tinworks.policy.Protocol.Settings;
-import tinworks.policy.Protocol.StreamStarted;
-import tinworks.policy.Protocol.Tenant;
-import tinworks.policy.Protocol.TimerFired;
+import tinworks.policy.LoadBalancerApi.Actions;
+import tinworks.policy.LoadBalancerApi.AttemptEnded;
+import tinworks.policy.LoadBalancerApi.ClientDisconnected;
+import tinworks.policy.LoadBalancerApi.DedupScope;
+import tinworks.policy.LoadBalancerApi.Event;
+import tinworks.policy.LoadBalancerApi.Idempotency;
+import tinworks.policy.LoadBalancerApi.Outcome;
+import tinworks.policy.LoadBalancerApi.PeerMessageReceived;
+import tinworks.policy.LoadBalancerApi.PolicyParameters;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.Reconfigured;
+import tinworks.policy.LoadBalancerApi.RequestArrived;
+import tinworks.policy.LoadBalancerApi.RequestClass;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
+import tinworks.policy.LoadBalancerApi.ServerListReceived;
+import tinworks.policy.LoadBalancerApi.Settings;
+import tinworks.policy.LoadBalancerApi.ShutdownStarted;
+import tinworks.policy.LoadBalancerApi.StreamStarted;
+import tinworks.policy.LoadBalancerApi.Tenant;
+import tinworks.policy.LoadBalancerApi.TimerFired;
 import tinworks.policy.State.Attempt;
 import tinworks.policy.State.Bucket;
 import tinworks.policy.State.ClassHealth;
@@ -52,7 +52,7 @@
  * it. Every send passes {@link #maySend} and the conditions in {@link #draw}, every refusal {@link #mayRefuse}.
  * Single-threaded, without a clock of its own, all chance from one seed.
  */
-public class Choice {
+public class LoadBalancer {
     /** The paper's learning rate, and a fifth of its interval: unlike machines are told apart in seconds. */
     private static final double ETA = 0.2;
 
@@ -145,7 +145,7 @@
     private static final long ASK_TOKEN = 3;
 
     private final Settings settings;
-    private final Rules rules;
+    private final PolicyParameters rules;
     private final Actions actions;
     private final SplittableRandom random;
     private final long sweepNanos;
@@ -188,14 +188,14 @@
     private boolean started;
 
     /** A gateway that has just started and knows its settings alone. */
-    public Choice(Settings settings, long seed, Actions actions) {
+    public LoadBalancer(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
-        rules = settings.rules();
-        gateways = settings.gateways();
+        rules = settings.parameters();
+        gateways = settings.gatewayCount();
         extra = mostExtra();
         random = new SplittableRandom(seed);
-        sweepNanos = Math.max(settings.resolutionNanos(), SWEEP_NANOS);
+        sweepNanos = Math.max(settings.timerResolutionNanos(), SWEEP_NANOS);
         takeClasses(settings.classes());
         for (Tenant t : settings.tenants()) {
             double part = t.quotaPerSecond() / gateways;
@@ -204,7 +204,7 @@
     }
 
     /** Takes one event; times never go back. */
-    public void on(long nowNanos, Event event) {
+    public void onEvent(long nowNanos, Event event) {
         if (started && nowNanos < now) {
             throw new IllegalArgumentException("nowNanos: " + nowNanos + " lies before " + now);
         }
@@ -223,19 +223,19 @@
         } else if (event instanceof AttemptEnded e) {
             ended(e);
         } else if (event instanceof TimerFired e) {
-            heardUpTo = now - e.heldUpNanos();
+            heardUpTo = now - e.queueingDelayNanos();
             timer(e.token());
-        } else if (event instanceof ListReceived e) {
+        } else if (event instanceof ServerListReceived e) {
             list(e);
-        } else if (event instanceof ClientLeft e && open.containsKey(e.id())) {
+        } else if (event instanceof ClientDisconnected e && open.containsKey(e.id())) {
             conclude(open.get(e.id()));
         } else if (event instanceof StreamStarted e && open.containsKey(e.id())) {
             open.get(e.id()).streaming = true;
-        } else if (event instanceof PeerSaid e) {
+        } else if (event instanceof PeerMessageReceived e) {
             heard(e);
         } else if (event instanceof Reconfigured e) {
             reconfigured(e);
-        } else if (event instanceof Ending e) {
+        } else if (event instanceof ShutdownStarted e) {
             endsAt = now + e.answerWithinNanos();
         }
     }
@@ -248,24 +248,26 @@
         Map<String, Kind> known = new HashMap<>(kinds);
         kinds.clear();
         for (RequestClass c : classes) {
-            Kind kind = known.getOrDefault(c.name(), new Kind(c, c.aimNanos() * BUDGET_OF_AIM));
+            Kind kind = known.getOrDefault(c.name(), new Kind(c, c.targetNanos() * BUDGET_OF_AIM));
             kind.spec = c;
             kinds.put(c.name(), kind);
         }
         erring.retainAll(kinds.values());
         rankClasses();
-        double aim =
-                kinds.values().stream().mapToLong(k -> k.spec.aimNanos()).min().orElse(0);
-        calmSweepNanos = settings.allowed().peers()
+        double aim = kinds.values().stream()
+                .mapToLong(k -> k.spec.targetNanos())
+                .min()
+                .orElse(0);
+        calmSweepNanos = settings.permissions().peerMessages()
                 ? sweepNanos
-                : Math.max(sweepNanos, (long) (aim * CALM_SWEEP_OF_AIM * rules.longWork()));
+                : Math.max(sweepNanos, (long) (aim * CALM_SWEEP_OF_AIM * rules.overdueFactor()));
     }
 
     /** What the best of the classes is worth for its work; with {@link #took} between, looked for once a tick. */
     private void rankClasses() {
         bestValue = 0;
         for (Kind k : kinds.values()) {
-            bestValue = Math.max(bestValue, k.spec.worth() / k.latency);
+            bestValue = Math.max(bestValue, k.spec.value() / k.latency);
         }
     }
 
@@ -278,7 +280,7 @@
                 restrict(r, kind.spec);
             }
         }
-        gateways = e.gateways();
+        gateways = e.gatewayCount();
         cutPortions();
         dispatch();
         sweepLater();
@@ -289,8 +291,8 @@
      * a second run of what must not run twice, or a promise that it never ran.
      */
     void restrict(Request r, RequestClass version) {
-        r.tries = Math.min(r.tries, version.tries());
-        if (version.effect().compareTo(r.strictest.effect()) > 0) {
+        r.tries = Math.min(r.tries, version.maxAttempts());
+        if (version.idempotency().compareTo(r.strictest.idempotency()) > 0) {
             r.strictest = version;
         }
     }
@@ -321,7 +323,7 @@
         long deadline = Math.min(now + e.expiresInNanos(), endsAt);
         Request r = new Request(e.id(), kind, overShare(e.tenant()), firstAsked(e, kind), deadline);
         // Guards against holding a request past its time-out by the time that it lay here, unread.
-        r.waitsUntil = Math.min(now + e.expiresInNanos() - e.heldUpNanos(), endsAt);
+        r.waitsUntil = Math.min(now + e.expiresInNanos() - e.queueingDelayNanos(), endsAt);
         open.put(r.id, r);
         arrivals++;
         kind.asked++;
@@ -353,19 +355,19 @@
      * all that there is: of each goes out a part of what goes out of all.
      */
     private boolean starved(Kind kind) {
-        return rules.leastPart() > 0 && kind.sent + 1 < rules.leastPart() * kind.asked * sent / asked;
+        return rules.minClassFraction() > 0 && kind.sent + 1 < rules.minClassFraction() * kind.asked * sent / asked;
     }
 
     /** Worth for work: less of it outside the tenant's share, or when it can only be answered late. */
     private double value(Request r) {
         RequestClass c = r.kind.spec;
-        double part = hopeless(r) ? c.lateWorth() : r.overShare ? settings.overShareWorth() : 1;
-        return part * c.worth() / r.kind.latency;
+        double part = hopeless(r) ? c.lateValue() : r.overShare ? settings.overQuotaValue() : 1;
+        return part * c.value() / r.kind.latency;
     }
 
     /** Half the answers taking half their aim means more work than the servers drawn on can do in time. */
     private void feel(Kind kind, Outcome outcome, long elapsedNanos) {
-        boolean late = outcome != Outcome.SERVED || elapsedNanos > kind.spec.aimNanos() * PATIENCE_OF_AIM;
+        boolean late = outcome != Outcome.SERVED || elapsedNanos > kind.spec.targetNanos() * PATIENCE_OF_AIM;
         pressure = Math.max(
                 leastPressure,
                 Math.min(1 + ZONES_OPEN - leastAdmitted(), pressure + (late ? PRESSURE_STEP : -PRESSURE_STEP)));
@@ -424,7 +426,7 @@
      * ever tell that this time is over.
      */
     private boolean hopeless(Request r) {
-        double aim = r.kind.spec.aimNanos();
+        double aim = r.kind.spec.targetNanos();
         double needs = Math.min(aim * MOST_OF_AIM, Math.max(r.kind.latency, aim * PATIENCE_OF_AIM));
         return now + needs > r.arrivedAt + aim;
     }
@@ -511,18 +513,18 @@
 
     /** Tells the other gateways what is out at which server, when that has changed, and anew after a while. */
     private void tellPeers() {
-        if (!settings.allowed().peers() || !sparse() || now < toldAt + TELL_NANOS) {
+        if (!settings.permissions().peerMessages() || !sparse() || now < toldAt + TELL_NANOS) {
             return;
         }
         byte[] counts = InFlightReport.write(ready);
         if (now >= toldAt + REPEAT_NANOS || !Arrays.equals(counts, told)) {
             told = counts;
             toldAt = now;
-            actions.tellAll(counts);
+            actions.sendToPeers(counts);
         }
     }
 
-    private void heard(PeerSaid e) {
+    private void heard(PeerMessageReceived e) {
         forget(peers.remove(e.gateway()));
         Heard heard = new Heard(now, InFlightReport.read(e.body(), byCode));
         heard.counts().forEach((s, n) -> s.elsewhere += n);
@@ -559,7 +561,7 @@
      * Fewer samples of a server in a tick than make a mean of its own; before the first tick's end, by what has come.
      */
     private boolean sparse() {
-        if (settings.gatewayNumber() < 0) {
+        if (settings.gatewayIndex() < 0) {
             return false;
         }
         double seconds = Math.max(LEAST_SEEN_NANOS, now - tickStart) / SECOND_NANOS;
@@ -572,13 +574,13 @@
      * capacity for each gateway. A server on a border belongs to both sides in part.
      */
     private void cutPortions() {
-        if (settings.gatewayNumber() < 0) {
+        if (settings.gatewayIndex() < 0) {
             return;
         }
         List<Server> order = new ArrayList<>(ready);
         order.sort(Comparator.<Server>comparingLong(s -> mixed(s.info.id())).thenComparing(s -> s.info.id()));
         double capacity = order.stream().mapToDouble(s -> s.info.capacityHint()).sum();
-        double from = capacity * settings.gatewayNumber() / gateways;
+        double from = capacity * settings.gatewayIndex() / gateways;
         double to = from + capacity / gateways;
         double at = 0;
         for (Server s : order) {
@@ -605,10 +607,11 @@
     /** Guards against toppling a server after its start: rises as its capacity does, at the slowest. */
     private double coldGate(Server s) {
         long age = now - s.info.startedAtNanos();
-        if (s.info.startedAtNanos() == 0 || age >= rules.warmUpNanos()) {
+        if (s.info.startedAtNanos() == 0 || age >= rules.slowStartNanos()) {
             return 1;
         }
-        return rules.coldFrom() + (1 - rules.coldFrom()) * Math.max(0, age) / rules.warmUpNanos();
+        return rules.slowStartInitialFraction()
+                + (1 - rules.slowStartInitialFraction()) * Math.max(0, age) / rules.slowStartNanos();
     }
 
     /**
@@ -658,18 +661,18 @@
     }
 
     private int mostAttempts(Request r) {
-        return Math.min(Math.min(settings.allowed().maxAttempts(), r.tries), Long.SIZE - 1);
+        return Math.min(Math.min(settings.permissions().maxAttempts(), r.tries), Long.SIZE - 1);
     }
 
     private boolean effectAllows(Request r, Server s) {
         RequestClass c = r.strictest;
         Attempt first = r.firstThatMayRun();
-        if (c.effect() == Effect.SAFE || first == null) {
+        if (c.idempotency() == Idempotency.SAFE || first == null) {
             return true;
         }
-        boolean dropped = c.effect() == Effect.KEYED && now - first.sentAt() < c.dedupWindowNanos();
+        boolean dropped = c.idempotency() == Idempotency.KEYED && now - first.sentAt() < c.dedupWindowNanos();
         return dropped
-                && switch (c.group()) {
+                && switch (c.dedupScope()) {
                     case ALL -> true;
                     case ZONE -> s.info.zone().equals(first.server().info.zone());
                     case CELL -> s.info.cell() == first.server().info.cell();
@@ -679,9 +682,9 @@
     /** The one guard that every refusal passes: it tells the client that a further try is harmless. */
     private static boolean mayRefuse(Request r) {
         RequestClass c = r.strictest;
-        return c.effect() == Effect.SAFE
+        return c.idempotency() == Idempotency.SAFE
                 || r.firstThatMayRun() == null
-                || (c.effect() == Effect.KEYED && c.group() == Group.ALL);
+                || (c.idempotency() == Idempotency.KEYED && c.dedupScope() == DedupScope.ALL);
     }
 
     /** Requests that may go to a cold server now, by what a warm one was seen to bear. */
@@ -692,7 +695,7 @@
         }
         double fleetRate = warmRate() * gateways;
         double perNano = COLD_SAFETY * rules.overloadFactor() * gate * fleetRate * part(s) / SECOND_NANOS;
-        return s.cold.refill(now, perNano, Math.max(1, perNano * rules.overloadForNanos() / 2));
+        return s.cold.refill(now, perNano, Math.max(1, perNano * rules.overloadWindowNanos() / 2));
     }
 
     private double warmRate() {
@@ -726,7 +729,7 @@
             return;
         }
         r.ended |= 1L << a.number();
-        r.neverRan |= (e.outcome().provesItNeverRan() ? 1L : 0) << a.number();
+        r.neverRan |= (e.outcome().provesNotExecuted() ? 1L : 0) << a.number();
         r.outstanding--;
         if ((r.lost >> a.number() & 1) == 0) {
             a.server().inFlight--;
@@ -734,7 +737,7 @@
         }
         if (e.outcome() != Outcome.NOT_SENT) {
             // Guards against judging a server by the time that its answer lay here, unread.
-            learn(a, e.outcome(), Math.max(0, e.elapsedNanos() - e.heldUpNanos()));
+            learn(a, e.outcome(), Math.max(0, e.elapsedNanos() - e.queueingDelayNanos()));
         }
         if (e.concluded() || r.concluded) {
             conclude(r);
@@ -746,8 +749,8 @@
 
     /** A further try; one that may repeat work comes out of the budget. {@link #maySend} decides where to. */
     private void tryAgain(Request r, Outcome outcome) {
-        boolean arrived = outcome == Outcome.FULL && rules.furtherArrivals() > 0;
-        double cost = outcome.provesItNeverRan() && !arrived ? 0 : 1;
+        boolean arrived = outcome == Outcome.FULL && rules.totalRetryBudget() > 0;
+        double cost = outcome.provesNotExecuted() && !arrived ? 0 : 1;
         Reason obstacle = obstacle(r, cost);
         if (obstacle == null) {
             extra -= cost;
@@ -759,7 +762,7 @@
 
     /** Why a request gets no further try that costs this much of the budget; null where it may have one. */
     private Reason obstacle(Request r, double cost) {
-        if (r.strictest.effect() == Effect.UNSAFE && r.firstThatMayRun() != null) {
+        if (r.strictest.idempotency() == Idempotency.UNSAFE && r.firstThatMayRun() != null) {
             return Reason.MAY_HAVE_RUN;
         } else if (now >= r.waitsUntil) {
             return Reason.OUT_OF_TIME;
@@ -771,7 +774,7 @@
 
     /** Guards against a storm that all gateways make together: each saves up its part, and is safe when cut off. */
     private double mostExtra() {
-        return rules.furtherArrivals() > 0 ? Math.max(1, rules.furtherArrivals() / gateways) : MOST_EXTRA;
+        return rules.totalRetryBudget() > 0 ? Math.max(1, rules.totalRetryBudget() / gateways) : MOST_EXTRA;
     }
 
     private void finish(Request r, Reason reason) {
@@ -790,7 +793,7 @@
             if (!r.concluded
                     && !a.ended()
                     && (r.calledOff >> a.number() & 1) == 0
-                    && settings.allowed().cancel()
+                    && settings.permissions().cancel()
                     && !r.streaming) {
                 actions.cancel(r.id, a.number());
             }
@@ -812,7 +815,7 @@
         if (served) {
             took(kind, elapsedNanos);
         }
-        boolean inTime = elapsedNanos <= kind.spec.aimNanos();
+        boolean inTime = elapsedNanos <= kind.spec.targetNanos();
         if ((inTime || !rare()) && (served || outcome == Outcome.ERROR || outcome == Outcome.FULL)) {
             s.answeredAt = now;
             s.answeredSentAt = Math.max(s.answeredSentAt, a.sentAt());
@@ -841,7 +844,7 @@
     /** Guards against fast failures, which would pass for fast answers and gain share. */
     private static double sample(Kind kind, Outcome outcome, long elapsedNanos) {
         boolean whole = outcome == Outcome.SERVED || outcome == Outcome.CANCELLED;
-        return whole ? elapsedNanos : Math.max(elapsedNanos, kind.spec.failureNanos());
+        return whole ? elapsedNanos : Math.max(elapsedNanos, kind.spec.minFailureLatencyNanos());
     }
 
     /** The class's mean over about the last hundred answers, and the least it has been once known. */
@@ -849,12 +852,12 @@
         kind.served++;
         kind.latency += (nanos - kind.latency) * Math.max(1 / MEAN_SAMPLES, 1.0 / kind.served);
         kind.calmest = kind.served < LEAST_SAMPLES ? kind.latency : Math.min(kind.calmest, kind.latency);
-        bestValue = Math.max(bestValue, kind.spec.worth() / kind.latency);
+        bestValue = Math.max(bestValue, kind.spec.value() / kind.latency);
     }
 
     /** Guards against aims that are short for the work: never below the mean answer at the calmest. */
     private static double budget(Kind kind) {
-        double aim = kind.spec.aimNanos();
+        double aim = kind.spec.targetNanos();
         return Math.max(aim * BUDGET_OF_AIM, Math.min(aim * PATIENCE_OF_AIM, kind.calmest));
     }
 
@@ -901,7 +904,7 @@
             r.value = value(r);
             if (endsBeforeSweep(r)) {
                 finish(r, Reason.NO_ROOM_IN_TIME);
-            } else if (hopeless(r) && r.kind.spec.lateWorth() == 0) {
+            } else if (hopeless(r) && r.kind.spec.lateValue() == 0) {
                 finish(r, Reason.TOO_LATE_TO_COUNT);
             }
         }
@@ -926,8 +929,8 @@
             }
             // Guards against calling off long work, which would only begin anew elsewhere.
             double outOfAim = (heardUpTo - a.sentAt())
-                    / (slowness * rules.longWork() * a.request().kind.spec.aimNanos());
-            boolean atSilent = s.silent && rules.longWork() > 1;
+                    / (slowness * rules.overdueFactor() * a.request().kind.spec.targetNanos());
+            boolean atSilent = s.silent && rules.overdueFactor() > 1;
             if (outOfAim > OVERTAKEN_OF_AIM && (a.sentAt() < s.answeredSentAt || atSilent)) {
                 lose(a);
                 if (!mayCallOff(a.request())) {
@@ -963,7 +966,10 @@
     }
 
     private boolean mayCallOff(Request r) {
-        return r.strictest.effect() == Effect.SAFE && settings.allowed().cancel() && !r.concluded && !r.streaming;
+        return r.strictest.idempotency() == Idempotency.SAFE
+                && settings.permissions().cancel()
+                && !r.concluded
+                && !r.streaming;
     }
 
     /**
@@ -1051,16 +1057,16 @@
         }
     }
 
-    private void list(ListReceived e) {
-        failedAsks = e.kind() == ListKind.FAILED ? failedAsks + 1 : 0;
-        if (e.kind() == ListKind.FAILED) {
+    private void list(ServerListReceived e) {
+        failedAsks = e.kind() == ServerListKind.FAILED ? failedAsks + 1 : 0;
+        if (e.kind() == ServerListKind.FAILED) {
             // Guards against failing list calls: asks again, with jitter, before the list counts as told.
             double backoff = SECOND_NANOS / 5 * (1 << Math.min(failedAsks, 8));
-            double wait = Math.min(rules.askWithinNanos() / 2.0, backoff);
+            double wait = Math.min(rules.resubscribeWithinNanos() / 2.0, backoff);
             actions.setTimer((long) (wait * (1 + random.nextDouble()) / 2), ASK_TOKEN);
             return;
         }
-        if (e.kind() != ListKind.CHANGES) {
+        if (e.kind() != ServerListKind.CHANGES) {
             servers.values().forEach(s -> s.ready = false);
         }
         double mean = ready.stream().mapToDouble(s -> s.share).average().orElse(1);
@@ -1076,7 +1082,7 @@
                 servers.put(info.id(), s);
             }
             s.info = info;
-            s.likes = info.zone() + ' ' + info.kind();
+            s.likes = info.zone() + ' ' + info.machineType();
             s.ready = info.readiness() == Readiness.READY;
         }
         // Guards against remembering for ever each machine that was once in the list.
--- a/src/main/java/tinworks/policy/Protocol.java
+++ b/src/main/java/tinworks/policy/LoadBalancerApi.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * The interface of the decision module {@link Choice}: what a gateway tells it and what it may ask for. All times are
- * nanoseconds; the clock starts anywhere and only moves forward.
+ * The interface of the decision module {@link LoadBalancer}: what a gateway tells it and what it may ask for. All times
+ * are nanoseconds; the clock starts anywhere and only moves forward.
  *
- * <p>A gateway owns one {@link Choice} and calls it from one thread, each event as it happens. It delivers each request
- * once, under an id that is not used again; exactly one {@link AttemptEnded} for each send; a {@link TimerFired} for
- * each timer, never early; and the server list whenever it changes. In return each request gets one final answer: the
- * first SERVED outcome, which the host passes to the client itself, a refusal or a failure, all before the request
- * expires. Equal settings, seed and events give equal actions.
+ * <p>A gateway owns one {@link LoadBalancer} and calls it from one thread, each event as it happens. It delivers each
+ * request once, under an id that is not used again; exactly one {@link AttemptEnded} for each send; a
+ * {@link TimerFired} for each timer, never early; and the server list whenever it changes. In return each request gets
+ * one final answer: the first SERVED outcome, which the host passes to the client itself, a refusal or a failure, all
+ * before the request expires. Equal settings, seed and events give equal actions.
  */
-public interface Protocol {
+public interface LoadBalancerApi {
 
     /** How an attempt ended. */
     enum Outcome {
@@ -32,20 +32,20 @@
         }
 
         /** Whether this outcome proves that the server never ran the request. */
-        public boolean provesItNeverRan() {
+        public boolean provesNotExecuted() {
             return neverRan;
         }
     }
 
     /** What a second run of the same request would do. */
-    enum Effect {
+    enum Idempotency {
         SAFE,
         KEYED,
         UNSAFE
     }
 
     /** Which servers drop a repeat of a keyed request: all, those of one zone, or those of one cell. */
-    enum Group {
+    enum DedupScope {
         ALL,
         ZONE,
         CELL
@@ -55,13 +55,13 @@
     enum Readiness {
         READY,
         DRAINING,
-        GONE
+        REMOVED
     }
 
     /** Changes only, the whole list, the list as last held by a gateway that starts, or a failed call. */
-    enum ListKind {
+    enum ServerListKind {
         CHANGES,
-        WHOLE,
+        FULL,
         CACHED,
         FAILED
     }
@@ -70,26 +70,27 @@
      * A class of requests.
      *
      * @param dedupWindowNanos counts from the first send that may have run
-     * @param tries the most attempts for one of its requests, within what the gateway allows
-     * @param failureNanos what an attempt without a whole answer counts as in the loop at least; 0 for the time it took
+     * @param maxAttempts the most attempts for one of its requests, within what the gateway allows
+     * @param minFailureLatencyNanos what an attempt without a whole answer counts as in the loop at least; 0 for the
+     *     time it took
      */
     record RequestClass(
             String name,
-            Effect effect,
-            Group group,
+            Idempotency idempotency,
+            DedupScope dedupScope,
             long dedupWindowNanos,
-            long aimNanos,
+            long targetNanos,
             long deadlineNanos,
-            double worth,
-            double lateWorth,
+            double value,
+            double lateValue,
             boolean stream,
-            int tries,
-            long failureNanos) {
+            int maxAttempts,
+            long minFailureLatencyNanos) {
         /** One whose tries are the gateway's, and whose failures count as long as they took. */
         public RequestClass(
                 String name,
-                Effect effect,
-                Group group,
+                Idempotency effect,
+                DedupScope group,
                 long dedupWindowNanos,
                 long aimNanos,
                 long deadlineNanos,
@@ -115,31 +116,31 @@
     record Tenant(String name, double quotaPerSecond) {}
 
     /** What a gateway may do. */
-    record Allowed(int maxAttempts, boolean cancel, boolean peers) {}
+    record Permissions(int maxAttempts, boolean cancel, boolean peerMessages) {}
 
     /**
      * The figures of the rules.
      *
-     * @param furtherArrivals arrivals beyond the first of each request that all gateways together may save up for one
+     * @param totalRetryBudget arrivals beyond the first of each request that all gateways together may save up for one
      *     service, and then every arrival counts, turned away or not; 0 where only those count that may have run
-     * @param longWork how many times as long an attempt may take, before it counts as overdue, as where work hardly
-     *     differs; above 1 also what is overdue at a silent server is called off
-     * @param leastPart of each class so much of the part of all requests that is sent goes out at least; 0 where
+     * @param overdueFactor how many times as long an attempt may take, before it counts as overdue, as where work
+     *     hardly differs; above 1 also what is overdue at a silent server is called off
+     * @param minClassFraction of each class so much of the part of all requests that is sent goes out at least; 0 where
      *     nothing asks for that
      */
-    record Rules(
+    record PolicyParameters(
             long answerSlackNanos,
             long drainGraceNanos,
-            long askWithinNanos,
-            double coldFrom,
-            long warmUpNanos,
+            long resubscribeWithinNanos,
+            double slowStartInitialFraction,
+            long slowStartNanos,
             double overloadFactor,
-            long overloadForNanos,
-            double furtherArrivals,
-            double longWork,
-            double leastPart) {
+            long overloadWindowNanos,
+            double totalRetryBudget,
+            double overdueFactor,
+            double minClassFraction) {
         /** Those of a deployment that doesn't count arrivals, and whose requests need about the same work. */
-        public Rules(
+        public PolicyParameters(
                 long answerSlackNanos,
                 long drainGraceNanos,
                 long askWithinNanos,
@@ -164,41 +165,47 @@
     /**
      * What a gateway is told at its start.
      *
-     * @param gatewayNumber its place among the gateways, from 0; below 0 where they have none, and then it keeps to no
+     * @param gatewayIndex its place among the gateways, from 0; below 0 where they have none, and then it keeps to no
      *     portion of the servers
      */
     record Settings(
-            int gateways,
-            int gatewayNumber,
+            int gatewayCount,
+            int gatewayIndex,
             String zone,
             boolean subscribe,
-            long resolutionNanos,
+            long timerResolutionNanos,
             List<RequestClass> classes,
             List<Tenant> tenants,
-            double overShareWorth,
-            Allowed allowed,
-            Rules rules) {
+            double overQuotaValue,
+            Permissions permissions,
+            PolicyParameters parameters) {
         /** Checks each figure that a decision divides by or waits for. */
         public Settings {
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
-            require(gateways >= 1, "gateways", gateways);
+            require(gatewayCount >= 1, "gateways", gatewayCount);
             require(!classes.isEmpty(), "classes", "none");
             for (RequestClass c : classes) {
-                require(c.aimNanos() > 0, c.name() + ".aimNanos", c.aimNanos());
+                require(c.targetNanos() > 0, c.name() + ".aimNanos", c.targetNanos());
                 require(c.deadlineNanos() > 0, c.name() + ".deadlineNanos", c.deadlineNanos());
-                require(c.worth() >= 0, c.name() + ".worth", c.worth());
+                require(c.value() >= 0, c.name() + ".worth", c.value());
             }
-            require(resolutionNanos > 0, "resolutionNanos", resolutionNanos);
-            require(allowed.maxAttempts() >= 1, "maxAttempts", allowed.maxAttempts());
-            require(rules.coldFrom() > 0 && rules.coldFrom() <= 1, "coldFrom", rules.coldFrom());
-            require(rules.furtherArrivals() >= 0, "furtherArrivals", rules.furtherArrivals());
-            require(rules.longWork() >= 1, "longWork", rules.longWork());
-            require(rules.leastPart() >= 0 && rules.leastPart() < 1, "leastPart", rules.leastPart());
-            require(rules.warmUpNanos() >= 0, "warmUpNanos", rules.warmUpNanos());
-            require(rules.drainGraceNanos() >= 0, "drainGraceNanos", rules.drainGraceNanos());
-            require(rules.overloadFactor() > 0, "overloadFactor", rules.overloadFactor());
-            require(rules.overloadForNanos() > 0, "overloadForNanos", rules.overloadForNanos());
+            require(timerResolutionNanos > 0, "resolutionNanos", timerResolutionNanos);
+            require(permissions.maxAttempts() >= 1, "maxAttempts", permissions.maxAttempts());
+            require(
+                    parameters.slowStartInitialFraction() > 0 && parameters.slowStartInitialFraction() <= 1,
+                    "coldFrom",
+                    parameters.slowStartInitialFraction());
+            require(parameters.totalRetryBudget() >= 0, "furtherArrivals", parameters.totalRetryBudget());
+            require(parameters.overdueFactor() >= 1, "longWork", parameters.overdueFactor());
+            require(
+                    parameters.minClassFraction() >= 0 && parameters.minClassFraction() < 1,
+                    "leastPart",
+                    parameters.minClassFraction());
+            require(parameters.slowStartNanos() >= 0, "warmUpNanos", parameters.slowStartNanos());
+            require(parameters.drainGraceNanos() >= 0, "drainGraceNanos", parameters.drainGraceNanos());
+            require(parameters.overloadFactor() > 0, "overloadFactor", parameters.overloadFactor());
+            require(parameters.overloadWindowNanos() > 0, "overloadForNanos", parameters.overloadWindowNanos());
         }
 
         private static void require(boolean holds, String field, Object value) {
@@ -212,7 +219,7 @@
     record ServerInfo(
             String id,
             String zone,
-            String kind,
+            String machineType,
             int cell,
             Readiness readiness,
             double capacityHint,
@@ -231,12 +238,13 @@
     sealed interface Event {}
 
     /** The server list, or changes to it; empty where a call failed. */
-    record ListReceived(ListKind kind, List<ServerInfo> servers) implements Event {}
+    record ServerListReceived(ServerListKind kind, List<ServerInfo> servers) implements Event {}
 
     /**
      * A request; {@code tenant} and {@code key} may be null, {@code workNanos} is 0 where unknown.
      *
-     * @param heldUpNanos the part of {@code expiresInNanos} that may have passed here before the request was read
+     * @param queueingDelayNanos the part of {@code expiresInNanos} that may have passed here before the request was
+     *     read
      */
     record RequestArrived(
             String id,
@@ -246,7 +254,7 @@
             long expiresInNanos,
             long workNanos,
             boolean retry,
-            long heldUpNanos)
+            long queueingDelayNanos)
             implements Event {
         /** One that was read as soon as it came. */
         public RequestArrived(
@@ -262,7 +270,7 @@
     }
 
     /** The client left, or the answer is overdue: nothing is owed any more. */
-    record ClientLeft(String id) implements Event {}
+    record ClientDisconnected(String id) implements Event {}
 
     /** A streamed answer has begun: the attempt is the client's and no time-out runs any more. */
     record StreamStarted(String id, int attempt, String server) implements Event {}
@@ -270,8 +278,8 @@
     /**
      * An attempt ended; {@code concluded} says that the request has its final answer.
      *
-     * @param heldUpNanos the part of {@code elapsedNanos} that the news may have waited here, while the gateway was
-     *     busy
+     * @param queueingDelayNanos the part of {@code elapsedNanos} that the news may have waited here, while the gateway
+     *     was busy
      */
     record AttemptEnded(
             String id,
@@ -281,7 +289,7 @@
             long elapsedNanos,
             boolean concluded,
             LoadReport load,
-            long heldUpNanos)
+            long queueingDelayNanos)
             implements Event {
         /** One that was told of as soon as it ended. */
         public AttemptEnded(
@@ -300,21 +308,21 @@
     record Probed(String server, Outcome outcome, long elapsedNanos, LoadReport load) implements Event {}
 
     /** Another gateway's message. */
-    record PeerSaid(int gateway, byte[] body) implements Event {}
+    record PeerMessageReceived(int gateway, byte[] body) implements Event {}
 
     /** The gateway is to end: what comes from now on needs its final answer within this time. */
-    record Ending(long answerWithinNanos) implements Event {}
+    record ShutdownStarted(long answerWithinNanos) implements Event {}
 
     /**
      * Other classes, or another number of gateways, from now on. A class of a name that was there keeps what was
      * learned of it, and requests under way end by the classes that they came with.
      */
-    record Reconfigured(List<RequestClass> classes, int gateways) implements Event {
+    record Reconfigured(List<RequestClass> classes, int gatewayCount) implements Event {
         /** Keeps its own list. */
         public Reconfigured {
             classes = List.copyOf(classes);
-            if (gateways < 1) {
-                throw new IllegalArgumentException("gateways: " + gateways);
+            if (gatewayCount < 1) {
+                throw new IllegalArgumentException("gateways: " + gatewayCount);
             }
         }
     }
@@ -322,9 +330,9 @@
     /**
      * A timer that the module set.
      *
-     * @param heldUpNanos what came from hosts within so much time before now may not have been told yet
+     * @param queueingDelayNanos what came from hosts within so much time before now may not have been told yet
      */
-    record TimerFired(long token, long heldUpNanos) implements Event {
+    record TimerFired(long token, long queueingDelayNanos) implements Event {
         /** One that fired when all that had come was told. */
         public TimerFired(long token) {
             this(token, 0);
@@ -332,9 +340,9 @@
     }
 
     /**
-     * What the module asks of its host. Each is called from within {@link Choice#on}, on its thread, and takes effect
-     * at the time of the event under way; none may call the module. Those with a default body are no-ops unless a host
-     * implements them.
+     * What the module asks of its host. Each is called from within {@link LoadBalancer#onEvent}, on its thread, and
+     * takes effect at the time of the event under way; none may call the module. Those with a default body are no-ops
+     * unless a host implements them.
      */
     interface Actions {
         /**
@@ -365,7 +373,7 @@
         /** Asks for a {@link TimerFired}; timers can't be taken back. */
         void setTimer(long delayNanos, long token);
 
-        /** Asks for changes to the server list from now on; a {@link ListReceived} answers. */
+        /** Asks for changes to the server list from now on; a {@link ServerListReceived} answers. */
         void subscribe();
 
         /** Asks for the whole server list once. */
@@ -375,7 +383,7 @@
         default void probe(String server) {}
 
         /** Sends a message to all other gateways. */
-        default void tellAll(byte[] body) {}
+        default void sendToPeers(byte[] body) {}
 
         /** A line for the operators. */
         default void log(String line) {}
--- a/src/main/java/tinworks/policy/SettingsReader.java
+++ b/src/main/java/tinworks/policy/SettingsReader.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import tinworks.policy.Protocol.Allowed;
-import tinworks.policy.Protocol.Effect;
-import tinworks.policy.Protocol.Group;
-import tinworks.policy.Protocol.RequestClass;
-import tinworks.policy.Protocol.Rules;
-import tinworks.policy.Protocol.Settings;
-import tinworks.policy.Protocol.Tenant;
+import tinworks.policy.LoadBalancerApi.DedupScope;
+import tinworks.policy.LoadBalancerApi.Idempotency;
+import tinworks.policy.LoadBalancerApi.Permissions;
+import tinworks.policy.LoadBalancerApi.PolicyParameters;
+import tinworks.policy.LoadBalancerApi.RequestClass;
+import tinworks.policy.LoadBalancerApi.Settings;
+import tinworks.policy.LoadBalancerApi.Tenant;
 
 /**
  * Reads a deployment's settings from path and value pairs such as {@code grades.0.name}, the form of the simulator's
@@ -68,22 +68,22 @@
         return classes;
     }
 
-    private Effect effect(String at) {
+    private Idempotency effect(String at) {
         String value = text(at + "semantics");
         return switch (value) {
-            case "safe" -> Effect.SAFE;
-            case "keyed" -> Effect.KEYED;
-            case "unsafe" -> Effect.UNSAFE;
+            case "safe" -> Idempotency.SAFE;
+            case "keyed" -> Idempotency.KEYED;
+            case "unsafe" -> Idempotency.UNSAFE;
             default -> throw new IllegalArgumentException("unknown semantics '" + value + "'");
         };
     }
 
-    private Group group(String at) {
+    private DedupScope group(String at) {
         String value = text(at + "dedup_scope", "all");
         return switch (value) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
+            case "all" -> DedupScope.ALL;
+            case "zone" -> DedupScope.ZONE;
+            case "cell" -> DedupScope.CELL;
             default -> throw new IllegalArgumentException("unknown dedup_scope '" + value + "'");
         };
     }
@@ -99,15 +99,15 @@
         return tenants;
     }
 
-    private Allowed allowed() {
-        return new Allowed(
+    private Permissions allowed() {
+        return new Permissions(
                 (int) number("allowed.max_attempts", 1),
                 flag("allowed.may_cancel", false),
                 flag("allowed.peers", false));
     }
 
-    private Rules rules() {
-        return new Rules(
+    private PolicyParameters rules() {
+        return new PolicyParameters(
                 number("obligations.answer_slack_ns", 0),
                 number("obligations.drain_grace_ns"),
                 number("obligations.ask_within_ns", Long.MAX_VALUE),
--- a/src/main/java/tinworks/policy/State.java
+++ b/src/main/java/tinworks/policy/State.java
@@ -5,10 +5,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import tinworks.policy.Protocol.RequestClass;
-import tinworks.policy.Protocol.ServerInfo;
+import tinworks.policy.LoadBalancerApi.RequestClass;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
 
-/** What a gateway remembers: plain holders without a decision, all of which are in {@link Choice}. */
+/** What a gateway remembers: plain holders without a decision, all of which are in {@link LoadBalancer}. */
 interface State {
 
     /** A server as this gateway has seen it since its last start. */
@@ -119,7 +119,7 @@
             this.overShare = overShare;
             arrivedAt = firstAsked;
             this.deadline = deadline;
-            tries = kind.spec.tries();
+            tries = kind.spec.maxAttempts();
             strictest = kind.spec;
         }
 
--- a/src/main/java/tinworks/sim/EventReader.java
+++ b/src/main/java/tinworks/sim/EventReader.java
@@ -5,20 +5,20 @@
 import java.util.Collections;
 import java.util.HexFormat;
 import java.util.List;
-import tinworks.policy.Protocol.AttemptEnded;
-import tinworks.policy.Protocol.ClientLeft;
-import tinworks.policy.Protocol.Event;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.ListReceived;
-import tinworks.policy.Protocol.LoadReport;
-import tinworks.policy.Protocol.Outcome;
-import tinworks.policy.Protocol.PeerSaid;
-import tinworks.policy.Protocol.Probed;
-import tinworks.policy.Protocol.Readiness;
-import tinworks.policy.Protocol.RequestArrived;
-import tinworks.policy.Protocol.ServerInfo;
-import tinworks.policy.Protocol.StreamStarted;
-import tinworks.policy.Protocol.TimerFired;
+import tinworks.policy.LoadBalancerApi.AttemptEnded;
+import tinworks.policy.LoadBalancerApi.ClientDisconnected;
+import tinworks.policy.LoadBalancerApi.Event;
+import tinworks.policy.LoadBalancerApi.LoadReport;
+import tinworks.policy.LoadBalancerApi.Outcome;
+import tinworks.policy.LoadBalancerApi.PeerMessageReceived;
+import tinworks.policy.LoadBalancerApi.Probed;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.RequestArrived;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
+import tinworks.policy.LoadBalancerApi.ServerListReceived;
+import tinworks.policy.LoadBalancerApi.StreamStarted;
+import tinworks.policy.LoadBalancerApi.TimerFired;
 
 /** Reads the simulator's messages as events, and keeps the lists of servers that they name by their slots. */
 final class EventReader {
@@ -46,12 +46,12 @@
                         message.number("expires_in_ns"),
                         message.number("weight_hint_ns", 0),
                         message.number("is_retry", 0) == 1);
-            case "EXPIRED" -> new ClientLeft(message.text("rid"));
+            case "EXPIRED" -> new ClientDisconnected(message.text("rid"));
             case "STREAMING" ->
                 new StreamStarted(message.text("rid"), message.integer("send_no"), message.text("host"));
             case "PING_RESULT" ->
                 new Probed(message.text("host"), outcome(), message.number("delay_seen_ns"), load(gateway));
-            case "WHISPER" -> new PeerSaid(message.integer("neighbour"), body());
+            case "WHISPER" -> new PeerMessageReceived(message.integer("neighbour"), body());
             case "DONE" ->
                 new AttemptEnded(
                         message.text("rid"),
@@ -113,21 +113,21 @@
 
     private Event listReceived() {
         int scope = message.integer("scope");
-        ListKind kind = switch (scope) {
-            case 0 -> ListKind.FAILED;
-            case 1 -> ListKind.WHOLE;
-            case 2 -> ListKind.CHANGES;
-            case 3 -> ListKind.CACHED;
+        ServerListKind kind = switch (scope) {
+            case 0 -> ServerListKind.FAILED;
+            case 1 -> ServerListKind.FULL;
+            case 2 -> ServerListKind.CHANGES;
+            case 3 -> ServerListKind.CACHED;
             default -> throw message.malformed("unknown scope " + scope);
         };
-        if (kind == ListKind.FAILED) {
-            return new ListReceived(kind, List.of());
+        if (kind == ServerListKind.FAILED) {
+            return new ServerListReceived(kind, List.of());
         }
         List<ServerInfo> servers = lists.get(slot());
         if (servers == null) {
             throw message.malformed("FLEET names slot " + message.text("slot") + ", never filled");
         }
-        return new ListReceived(kind, servers);
+        return new ServerListReceived(kind, servers);
     }
 
     /** Keeps a list of servers in the slot that the message names. */
@@ -159,7 +159,7 @@
     private Readiness readiness() {
         int status = message.integer("status");
         return switch (status) {
-            case 0 -> Readiness.GONE;
+            case 0 -> Readiness.REMOVED;
             case 1 -> Readiness.READY;
             case 2 -> Readiness.DRAINING;
             default -> throw message.malformed("unknown status " + status);
--- a/src/main/java/tinworks/sim/ReportColumn.java
+++ b/src/main/java/tinworks/sim/ReportColumn.java
@@ -1,6 +1,6 @@
 package tinworks.sim;
 
-import tinworks.policy.Protocol.LoadReport;
+import tinworks.policy.LoadBalancerApi.LoadReport;
 
 /** A column of a load report, one for each value, in the order of {@link LoadReport}'s fields. */
 enum ReportColumn {
--- a/src/main/java/tinworks/sim/SimulatedGateway.java
+++ b/src/main/java/tinworks/sim/SimulatedGateway.java
@@ -2,10 +2,10 @@
 
 import java.util.HexFormat;
 import java.util.List;
-import tinworks.policy.Choice;
-import tinworks.policy.Protocol.Actions;
-import tinworks.policy.Protocol.Event;
-import tinworks.policy.Protocol.Settings;
+import tinworks.policy.LoadBalancer;
+import tinworks.policy.LoadBalancerApi.Actions;
+import tinworks.policy.LoadBalancerApi.Event;
+import tinworks.policy.LoadBalancerApi.Settings;
 
 /** One gateway of the simulation: its decision module, and the messages that its actions become. */
 final class SimulatedGateway implements Actions {
@@ -14,14 +14,14 @@
     private final String prefix;
     private final List<ReportColumn> reportColumns;
     private final StringBuilder reply;
-    private final Choice choice;
+    private final LoadBalancer choice;
     private boolean failed;
 
     SimulatedGateway(int number, Settings settings, long seed, List<ReportColumn> reportColumns, StringBuilder reply) {
         this.prefix = "\tgateway=" + number;
         this.reportColumns = reportColumns;
         this.reply = reply;
-        this.choice = new Choice(settings, seed, this);
+        this.choice = new LoadBalancer(settings, seed, this);
     }
 
     /** Passes an event to the module; one that throws ends this gateway with a message. */
@@ -30,7 +30,7 @@
             return;
         }
         try {
-            choice.on(now, event);
+            choice.onEvent(now, event);
         } catch (RuntimeException e) {
             failed = true;
             line("GIVE_IN").append("\tmessage=").append(oneLine(e.toString())).append('\n');
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public void tellAll(byte[] body) {
+    public void sendToPeers(byte[] body) {
         line("WRITE_PEER")
                 .append("\tpeer=all\tbody=")
                 .append(body.length == 0 ? "-" : HEX.formatHex(body))
--- a/src/main/java/tinworks/sim/SimulatorAdapter.java
+++ b/src/main/java/tinworks/sim/SimulatorAdapter.java
@@ -9,14 +9,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import tinworks.policy.Choice;
-import tinworks.policy.Protocol.ServerInfo;
-import tinworks.policy.Protocol.Settings;
+import tinworks.policy.LoadBalancer;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
+import tinworks.policy.LoadBalancerApi.Settings;
 import tinworks.policy.SettingsReader;
 
 /**
- * Plays gateways for the simulator: reads its batches of messages, passes them as events to one {@link Choice} for each
- * gateway, and writes the actions as messages. It decides nothing.
+ * Plays gateways for the simulator: reads its batches of messages, passes them as events to one {@link LoadBalancer}
+ * for each gateway, and writes the actions as messages. It decides nothing.
  */
 public final class SimulatorAdapter {
     private static final int REPLY_CHARS = 1 << 16;
--- a/src/main/java/tinworks/soak/Books.java
+++ b/src/main/java/tinworks/soak/Books.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import tinworks.load.LoadClients;
 import tinworks.net.HostPool.Answer;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.Outcome;
 
 /**
  * What clients sent and were told, and what hosts ran: the promises about requests are judged by these alone, never by
--- a/src/main/java/tinworks/soak/PersistentClients.java
+++ b/src/main/java/tinworks/soak/PersistentClients.java
@@ -13,7 +13,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.Outcome;
 import tinworks.soak.Books.Sent;
 
 /**
--- a/src/test/java/tinworks/edge/AtMostOnceMutantsTest.java
+++ b/src/test/java/tinworks/edge/AtMostOnceMutantsTest.java
@@ -22,7 +22,7 @@
 import tinworks.net.ClientServer.Reply;
 import tinworks.net.HostPool.Answer;
 import tinworks.net.HostPool.Whose;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.Outcome;
 
 /** Each guard that docs/design/at-most-once.md names is needed: without it the walk fails. */
 @Timeout(value = 240, unit = TimeUnit.SECONDS)
--- a/src/test/java/tinworks/edge/ConnectionDrainingTest.java
+++ b/src/test/java/tinworks/edge/ConnectionDrainingTest.java
@@ -19,7 +19,7 @@
 import tinworks.edge.EdgeFixture.Message;
 import tinworks.net.ScriptedHost;
 import tinworks.node.NodeProcess;
-import tinworks.policy.Protocol.Ending;
+import tinworks.policy.LoadBalancerApi.ShutdownStarted;
 
 /** What an edge that ends does with requests that it has read. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
@@ -50,7 +50,7 @@
                     + EdgeFixture.request("b", "m", "y", 9_000, false)
                     + EdgeFixture.request("c", "m", "zz", 9_000, true));
             Socket at = held.get(EdgeFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-            edge.tell(new Ending(TimeUnit.SECONDS.toNanos(5)));
+            edge.tell(new ShutdownStarted(TimeUnit.SECONDS.toNanos(5)));
             NodeProcess.run(edge.loop, edge.clients::closeAfterNextResponse);
             NodeProcess.run(edge.loop, edge.clients::stopAccepting);
             ScriptedHost.write(at, SERVED + "a\r\n\r\nfine");
--- a/src/test/java/tinworks/edge/EdgeFixture.java
+++ b/src/test/java/tinworks/edge/EdgeFixture.java
@@ -30,11 +30,11 @@
 import tinworks.net.LoopLag;
 import tinworks.net.Transport;
 import tinworks.node.NodeProcess;
-import tinworks.policy.Protocol.Event;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.ListReceived;
-import tinworks.policy.Protocol.Readiness;
-import tinworks.policy.Protocol.ServerInfo;
+import tinworks.policy.LoadBalancerApi.Event;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
+import tinworks.policy.LoadBalancerApi.ServerListReceived;
 
 /**
  * The path of a request through an edge, over loopback, without links to the core: routes and hosts are told by the
@@ -141,7 +141,7 @@
             } else {
                 old.close();
             }
-            made.tell(new ListReceived(ListKind.WHOLE, servers));
+            made.tell(new ServerListReceived(ServerListKind.FULL, servers));
         });
     }
 
--- a/src/test/java/tinworks/edge/EdgeTest.java
+++ b/src/test/java/tinworks/edge/EdgeTest.java
@@ -21,7 +21,7 @@
 import tinworks.config.Configuration;
 import tinworks.config.Configuration.Route;
 import tinworks.config.Configuration.Split;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.Outcome;
 
 /** Routes, and how requests and answers look at an edge. */
 class EdgeTest {
@@ -86,9 +86,9 @@
     void onlyAHostsWordProvesThatItDidNotRunARequest() {
         assertEquals(Outcome.FULL, style.outcome("id", answer(503, "Not-Run", "1"), true));
         assertEquals(Outcome.CONNECT_FAILED, style.outcome("id", answer(421, "Not-Run", "1"), true));
-        assertFalse(style.outcome("id", answer(503), true).provesItNeverRan());
-        assertFalse(style.outcome("id", answer(429), true).provesItNeverRan());
-        assertFalse(style.outcome("id", answer(500), true).provesItNeverRan());
+        assertFalse(style.outcome("id", answer(503), true).provesNotExecuted());
+        assertFalse(style.outcome("id", answer(429), true).provesNotExecuted());
+        assertFalse(style.outcome("id", answer(500), true).provesNotExecuted());
     }
 
     @Test
--- a/src/test/java/tinworks/edge/ForwardingInvariantsTest.java
+++ b/src/test/java/tinworks/edge/ForwardingInvariantsTest.java
@@ -24,7 +24,7 @@
 import tinworks.net.Forwarding;
 import tinworks.net.HostPool;
 import tinworks.node.NodeProcess;
-import tinworks.policy.Protocol.ClientLeft;
+import tinworks.policy.LoadBalancerApi.ClientDisconnected;
 
 /** Each check of an edge's requests notices a module that does what it must not. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
@@ -158,7 +158,7 @@
     @Test
     void aForgottenRequestIsFailed() throws Exception {
         ask("a1", 100);
-        NodeProcess.run(edge.loop, () -> edge.module(ROUTE).tell(new ClientLeft("a1")));
+        NodeProcess.run(edge.loop, () -> edge.module(ROUTE).tell(new ClientDisconnected("a1")));
         TimeUnit.MILLISECONDS.sleep(1_200);
         NodeProcess.run(edge.loop, () -> edge.module(ROUTE).failForgotten());
         notices(Invariant.ANSWERED_IN_TIME, Forwarding::failForgotten);
--- a/src/test/java/tinworks/edge/RequestJournalTest.java
+++ b/src/test/java/tinworks/edge/RequestJournalTest.java
@@ -11,7 +11,7 @@
 import tinworks.net.EndedRequest;
 import tinworks.net.EndedRequest.AttemptSummary;
 import tinworks.net.EndedRequest.Ending;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.Outcome;
 import tinworks.policy.Reason;
 
 /** What is kept of requests that ended without success, and how much of it goes to the log. */
--- a/src/test/java/tinworks/edge/StrayAnswersTest.java
+++ b/src/test/java/tinworks/edge/StrayAnswersTest.java
@@ -25,7 +25,7 @@
 import tinworks.net.HostPool;
 import tinworks.net.ScriptedHost;
 import tinworks.net.Transport;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.Outcome;
 
 /** A host that stutters: answers that come late, where the next one is due. None may pass for another request's. */
 @Timeout(value = 30, unit = TimeUnit.SECONDS)
@@ -125,7 +125,7 @@
         try (ScriptedHost host = new ScriptedHost((socket, request) -> send(socket, stray(kind)))) {
             Ended ended = ask(host, "r2", SHORT_NANOS);
             assertEquals(new Ended(Outcome.TIMED_OUT, null), ended);
-            assertFalse(ended.outcome().provesItNeverRan());
+            assertFalse(ended.outcome().provesNotExecuted());
         }
     }
 
--- a/src/test/java/tinworks/net/LongAnswersTest.java
+++ b/src/test/java/tinworks/net/LongAnswersTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import tinworks.node.NodeProcess;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.Outcome;
 
 /** Long answers of hosts together: one that there is no room for waits at its host until there is. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
--- a/src/test/java/tinworks/policy/BurstTest.java
+++ b/src/test/java/tinworks/policy/BurstTest.java
@@ -11,21 +11,21 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import tinworks.policy.Protocol.Actions;
-import tinworks.policy.Protocol.Allowed;
-import tinworks.policy.Protocol.AttemptEnded;
-import tinworks.policy.Protocol.Effect;
-import tinworks.policy.Protocol.Group;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.ListReceived;
-import tinworks.policy.Protocol.Outcome;
-import tinworks.policy.Protocol.Readiness;
-import tinworks.policy.Protocol.RequestArrived;
-import tinworks.policy.Protocol.RequestClass;
-import tinworks.policy.Protocol.Rules;
-import tinworks.policy.Protocol.ServerInfo;
-import tinworks.policy.Protocol.Settings;
-import tinworks.policy.Protocol.TimerFired;
+import tinworks.policy.LoadBalancerApi.Actions;
+import tinworks.policy.LoadBalancerApi.AttemptEnded;
+import tinworks.policy.LoadBalancerApi.DedupScope;
+import tinworks.policy.LoadBalancerApi.Idempotency;
+import tinworks.policy.LoadBalancerApi.Outcome;
+import tinworks.policy.LoadBalancerApi.Permissions;
+import tinworks.policy.LoadBalancerApi.PolicyParameters;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.RequestArrived;
+import tinworks.policy.LoadBalancerApi.RequestClass;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
+import tinworks.policy.LoadBalancerApi.ServerListReceived;
+import tinworks.policy.LoadBalancerApi.Settings;
+import tinworks.policy.LoadBalancerApi.TimerFired;
 
 /** Two kinds of requests at one service, of which one comes in a burst beyond what its hosts can serve. */
 class BurstTest {
@@ -54,9 +54,9 @@
     /** A kind of request, how many come in a second, and the least time that each has. */
     private record Load(RequestClass kind, double perSecond, double burstPerSecond, long leastLeft) {}
 
-    private static RequestClass kind(String name, int prio, Effect effect) {
+    private static RequestClass kind(String name, int prio, Idempotency effect) {
         return new RequestClass(
-                name, effect, Group.ALL, 0, AIM, TIMEOUT, Math.pow(2, 2 - prio), 0.5, false, 2, TIMEOUT);
+                name, effect, DedupScope.ALL, 0, AIM, TIMEOUT, Math.pow(2, 2 - prio), 0.5, false, 2, TIMEOUT);
     }
 
     private record Due(long at, long order, Runnable work) implements Comparable<Due> {
@@ -74,7 +74,7 @@
     private static final class World implements Actions {
         final PriorityQueue<Due> due = new PriorityQueue<>();
         final SplittableRandom random;
-        final Choice choice;
+        final LoadBalancer choice;
         final Map<String, Host> hosts = new HashMap<>();
         final Map<String, Load> asked = new HashMap<>();
         final Map<String, Integer> attempts = new HashMap<>();
@@ -86,8 +86,9 @@
 
         World(List<Load> loads, double leastPart) {
             random = new SplittableRandom(SEED);
-            Rules rules = new Rules(0, 0, Long.MAX_VALUE, 0.5, 3 * SECOND, 1e9, SECOND, 30, 2.5, leastPart);
-            choice = new Choice(
+            PolicyParameters rules =
+                    new PolicyParameters(0, 0, Long.MAX_VALUE, 0.5, 3 * SECOND, 1e9, SECOND, 30, 2.5, leastPart);
+            choice = new LoadBalancer(
                     new Settings(
                             GATEWAYS,
                             -1,
@@ -97,7 +98,7 @@
                             loads.stream().map(Load::kind).toList(),
                             List.of(),
                             1,
-                            new Allowed(32, true, false),
+                            new Permissions(32, true, false),
                             rules),
                     SEED,
                     this);
@@ -106,7 +107,7 @@
                 hosts.put("i-" + i, new Host());
                 servers.add(new ServerInfo("i-" + i, "z", "", 0, Readiness.READY, SLOTS, 0));
             }
-            choice.on(now, new ListReceived(ListKind.WHOLE, servers));
+            choice.onEvent(now, new ServerListReceived(ServerListKind.FULL, servers));
         }
 
         void at(long when, Runnable work) {
@@ -127,7 +128,7 @@
                     count[0]++;
                     countOf.put(id, count);
                     long left = load.leastLeft + random.nextLong(TIMEOUT - load.leastLeft + 1);
-                    choice.on(now, new RequestArrived(id, load.kind.name(), null, null, left, 0, false));
+                    choice.onEvent(now, new RequestArrived(id, load.kind.name(), null, null, left, 0, false));
                 });
             }
         }
@@ -186,7 +187,7 @@
             if (served) {
                 countOf.get(request)[1]++;
             }
-            choice.on(now, new AttemptEnded(request, number, server, outcome, now - sentAt, served, null));
+            choice.onEvent(now, new AttemptEnded(request, number, server, outcome, now - sentAt, served, null));
         }
 
         @Override
@@ -200,7 +201,7 @@
 
         @Override
         public void setTimer(long delayNanos, long token) {
-            at(now + delayNanos, () -> choice.on(now, new TimerFired(token)));
+            at(now + delayNanos, () -> choice.onEvent(now, new TimerFired(token)));
         }
 
         @Override
@@ -239,8 +240,8 @@
         "2, 0, 600, CALLS"
     })
     void noKindIsServedLessThanAQuarterAsOftenAsAll(int burstPrio, int otherPrio, double rate, Other what) {
-        Load burst = new Load(kind("burst", burstPrio, Effect.SAFE), 80, rate, TIMEOUT);
-        Effect effect = what == Other.MUTATING ? Effect.UNSAFE : Effect.SAFE;
+        Load burst = new Load(kind("burst", burstPrio, Idempotency.SAFE), 80, rate, TIMEOUT);
+        Idempotency effect = what == Other.MUTATING ? Idempotency.UNSAFE : Idempotency.SAFE;
         Load other = new Load(kind("other", otherPrio, effect), 40, 40, what == Other.CALLS ? LEAST_LEFT : TIMEOUT);
         Served with = during(burst, other, 0.5);
         Served without = during(burst, other, 0);
--- a/src/test/java/tinworks/policy/ChoiceTest.java
+++ b/src/test/java/tinworks/policy/ChoiceTest.java
@@ -23,19 +23,19 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import tinworks.policy.Protocol.ClientLeft;
-import tinworks.policy.Protocol.Effect;
-import tinworks.policy.Protocol.Group;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.Outcome;
-import tinworks.policy.Protocol.Readiness;
-import tinworks.policy.Protocol.RequestArrived;
-import tinworks.policy.Protocol.RequestClass;
-import tinworks.policy.Protocol.ServerInfo;
-import tinworks.policy.Protocol.Settings;
-import tinworks.policy.Protocol.StreamStarted;
-import tinworks.policy.Protocol.Tenant;
-import tinworks.policy.Protocol.TimerFired;
+import tinworks.policy.LoadBalancerApi.ClientDisconnected;
+import tinworks.policy.LoadBalancerApi.DedupScope;
+import tinworks.policy.LoadBalancerApi.Idempotency;
+import tinworks.policy.LoadBalancerApi.Outcome;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.RequestArrived;
+import tinworks.policy.LoadBalancerApi.RequestClass;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
+import tinworks.policy.LoadBalancerApi.Settings;
+import tinworks.policy.LoadBalancerApi.StreamStarted;
+import tinworks.policy.LoadBalancerApi.Tenant;
+import tinworks.policy.LoadBalancerApi.TimerFired;
 
 /** The decisions of one gateway, event by event. */
 class ChoiceTest {
@@ -125,7 +125,8 @@
 
     @Test
     void classesOfUnlikeLengthDontPassForSlowServers() {
-        RequestClass brief = new RequestClass("brief", Effect.SAFE, Group.ALL, 0, 500 * MS, SECOND, 1, 0, false);
+        RequestClass brief =
+                new RequestClass("brief", Idempotency.SAFE, DedupScope.ALL, 0, 500 * MS, SECOND, 1, 0, false);
         Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(READ, brief)), 7).with(2);
         for (int t = 0; t < 6; t++) {
             for (int i = 0; i < 400; i++) { // s0 happens to get only long work, s1 only brief
@@ -180,23 +181,26 @@
     @Test
     void whereTheOwnZoneHasNoServerTheOthersGetAll() {
         Fleet fleet = new Fleet();
-        fleet.list(ListKind.CACHED, server("s0", "b", Readiness.READY, 0), server("s1", "c", Readiness.READY, 0));
+        fleet.list(ServerListKind.CACHED, server("s0", "b", Readiness.READY, 0), server("s1", "c", Readiness.READY, 0));
         assertPart(0.5, draws(fleet, DRAWS), "s0");
     }
 
     @Test
     void nothingNewGoesToADrainingOrGoneServer() {
         Fleet fleet = new Fleet().with(3);
-        fleet.list(ListKind.CHANGES, server("s0", "a", Readiness.DRAINING, 0), server("s1", "b", Readiness.GONE, 0));
+        fleet.list(
+                ServerListKind.CHANGES,
+                server("s0", "a", Readiness.DRAINING, 0),
+                server("s1", "b", Readiness.REMOVED, 0));
         assertEquals(Set.of("s2"), draws(fleet, 50).keySet());
     }
 
     @Test
     void aServerMissingFromAWholeListIsGoneAndOneMissingFromChangesIsNot() {
         Fleet fleet = new Fleet().with(2);
-        fleet.list(ListKind.CHANGES, server("s2"));
+        fleet.list(ServerListKind.CHANGES, server("s2"));
         assertEquals(Set.of("s0", "s1", "s2"), draws(fleet, 100).keySet());
-        fleet.list(ListKind.WHOLE, server("s2"));
+        fleet.list(ServerListKind.FULL, server("s2"));
         assertEquals(Set.of("s2"), draws(fleet, 20).keySet());
     }
 
@@ -206,8 +210,8 @@
         for (int i = 0; i < 4; i++) {
             tick(fleet, 20, 10 * MS, 90 * MS);
         }
-        fleet.list(ListKind.CHANGES, server("s1", "a", Readiness.GONE, 0));
-        fleet.list(ListKind.CHANGES, server("s1", "a", Readiness.READY, 0));
+        fleet.list(ServerListKind.CHANGES, server("s1", "a", Readiness.REMOVED, 0));
+        fleet.list(ServerListKind.CHANGES, server("s1", "a", Readiness.READY, 0));
         assertPart(0.5, draws(fleet, DRAWS), "s1");
     }
 
@@ -225,7 +229,7 @@
     void aHeldRequestGoesOutWhenAServerAppears() {
         Fleet fleet = new Fleet().with(0);
         fleet.ask(ORDER);
-        fleet.list(ListKind.CHANGES, server("s9"));
+        fleet.list(ServerListKind.CHANGES, server("s9"));
         assertEquals("s9", fleet.sentTo());
     }
 
@@ -249,8 +253,8 @@
             List<Recorder.Action> after = fleet.host.take();
             boolean sent = after.stream().anyMatch(a -> a.what().equals("send"));
             boolean failed = after.stream().anyMatch(a -> a.what().equals("fail"));
-            assertEquals(outcome.provesItNeverRan(), sent, outcome.toString());
-            assertEquals(!outcome.provesItNeverRan(), failed, outcome.toString());
+            assertEquals(outcome.provesNotExecuted(), sent, outcome.toString());
+            assertEquals(!outcome.provesNotExecuted(), failed, outcome.toString());
         }
     }
 
@@ -265,7 +269,8 @@
             assertNotEquals(first, second);
             assertEquals(Integer.parseInt(first.substring(1)) % 2, Integer.parseInt(second.substring(1)) % 2);
         }
-        RequestClass brief = new RequestClass("brief", Effect.KEYED, Group.ALL, 50 * MS, 500 * MS, SECOND, 1, 0, false);
+        RequestClass brief =
+                new RequestClass("brief", Idempotency.KEYED, DedupScope.ALL, 50 * MS, 500 * MS, SECOND, 1, 0, false);
         Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(brief)), 7).with(6);
         String id = fleet.ask(brief);
         String first = fleet.sentTo();
@@ -277,7 +282,7 @@
     @Test
     void aKeyedRequestOfOneZoneThatMayHaveRunIsFailedAndNotRefused() {
         Fleet fleet = new Fleet();
-        fleet.list(ListKind.CACHED, server("s0"), server("s1", "b", Readiness.READY, 0));
+        fleet.list(ServerListKind.CACHED, server("s0"), server("s1", "b", Readiness.READY, 0));
         String id = fleet.ask(FILE);
         fleet.end(id, 0, fleet.sentTo(), Outcome.ERROR, MS);
         fleet.now += 1990 * MS;
@@ -328,7 +333,7 @@
         fleet.end(id, 0, s, Outcome.SERVED, MS);
         fleet.host.take();
         fleet.end(id, 0, s, Outcome.SERVED, MS);
-        fleet.choice.on(fleet.now, new ClientLeft(id));
+        fleet.choice.onEvent(fleet.now, new ClientDisconnected(id));
         assertEquals(List.of(), fleet.host.take());
     }
 
@@ -337,7 +342,7 @@
         Fleet fleet = new Fleet().with(2);
         String id = fleet.ask(READ);
         String s = fleet.sentTo();
-        fleet.choice.on(fleet.now, new ClientLeft(id));
+        fleet.choice.onEvent(fleet.now, new ClientDisconnected(id));
         assertEquals(1, fleet.host.take("cancel").size());
         fleet.end(id, 0, s, Outcome.CANCELLED, MS, true);
         assertEquals(List.of(), fleet.host.take());
@@ -371,7 +376,7 @@
     void aStreamThatBeganIsLeftAlone() {
         Fleet fleet = new Fleet().with(3);
         String id = fleet.ask(READ);
-        fleet.choice.on(fleet.now, new StreamStarted(id, 0, fleet.sentTo()));
+        fleet.choice.onEvent(fleet.now, new StreamStarted(id, 0, fleet.sentTo()));
         fleet.now += 5 * SECOND;
         fleet.fire(SWEEP);
         assertTrue(fleet.host.take().stream()
@@ -450,7 +455,8 @@
 
     @Test
     void whileHalfTheAnswersTakeHalfTheirAimSomeAreShedAndLeastWorthFirst() {
-        RequestClass bulk = new RequestClass("bulk", Effect.SAFE, Group.ALL, 0, 500 * MS, SECOND, 1, 0, false);
+        RequestClass bulk =
+                new RequestClass("bulk", Idempotency.SAFE, DedupScope.ALL, 0, 500 * MS, SECOND, 1, 0, false);
         for (long elapsed : new long[] {200 * MS, 300 * MS}) {
             Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(bulk, ORDER)), 7).with(9);
             for (int i = 0; i < 5; i++) {
@@ -463,7 +469,7 @@
                 orders += fleet.serve(ORDER, Outcome.NOT_SENT, MS, true) == null ? 0 : 1;
                 bulks += fleet.serve(bulk, Outcome.NOT_SENT, MS, true) == null ? 0 : 1;
             }
-            boolean late = elapsed > ORDER.aimNanos() / 2;
+            boolean late = elapsed > ORDER.targetNanos() / 2;
             assertEquals(late, orders < 280, "orders " + orders);
             assertTrue(
                     orders > 50 && (late ? bulks < orders / 2 : bulks == 300), "orders " + orders + ", bulk " + bulks);
@@ -553,7 +559,7 @@
     void aRequestThatHasWaitedHalfItsAimIsRefusedWhereLateAnswersAreWorthNothing() {
         Fleet fleet = new Fleet().with(0);
         String id = fleet.ask(ORDER);
-        fleet.now += ORDER.aimNanos() / 2 - 10 * MS;
+        fleet.now += ORDER.targetNanos() / 2 - 10 * MS;
         fleet.fire(SWEEP);
         assertEquals(List.of(), fleet.host.take("refuse"));
         fleet.now += 20 * MS;
@@ -578,7 +584,7 @@
         for (int i = 0; i < 40; i++) {
             list.add(new ServerInfo("s" + i, "a", i % 2 == 0 ? "slow" : "fast", 0, Readiness.READY, 1, 0));
         }
-        fleet.list(ListKind.CACHED, list);
+        fleet.list(ServerListKind.CACHED, list);
         for (int t = 0; t < 30; t++) {
             for (int i = 0; i < 10; i++) { // a quarter of a sample for each server
                 String id = fleet.ask(READ);
@@ -626,7 +632,8 @@
 
     @Test
     void anAimThatIsShortForTheWorkDoesNotPinTheLimitToItsFloor() {
-        RequestClass tight = new RequestClass("tight", Effect.SAFE, Group.ALL, 0, 200 * MS, SECOND, 1, 0, false);
+        RequestClass tight =
+                new RequestClass("tight", Idempotency.SAFE, DedupScope.ALL, 0, 200 * MS, SECOND, 1, 0, false);
         Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(tight)), 7).with(1);
         for (int i = 0; i < 14; i++) { // a fifth of the aim is 40 ms, the median at the calmest 0.69 * 80 ms
             fleet.serveTogether(tight, 10, (i < 10 ? 80 : 50) * MS);
@@ -653,7 +660,7 @@
         Fleet fleet = new Fleet().with(0);
         fleet.ask(ORDER);
         fleet.ask(ORDER);
-        fleet.now += ORDER.aimNanos();
+        fleet.now += ORDER.targetNanos();
         fleet.fire(SWEEP);
         assertEquals(2, fleet.host.take("refuse").size());
         fleet.fire(STEP);
@@ -679,7 +686,7 @@
         String over = fleet.ask(ORDER, "t", 2 * SECOND);
         String read = fleet.ask(READ);
         String order = fleet.ask(ORDER);
-        fleet.list(ListKind.CHANGES, server("s0"));
+        fleet.list(ServerListKind.CHANGES, server("s0"));
         List<String> sent = fleet.answerAll(100 * MS);
         assertEquals(4, sent.size());
         assertEquals(order, sent.get(0));
@@ -689,7 +696,7 @@
     @Test
     void aColdServerGetsLittleAndRequestsWaitRatherThanTopplingIt() {
         Fleet fleet = new Fleet();
-        fleet.list(ListKind.CACHED, server("s0", "a", Readiness.READY, fleet.now));
+        fleet.list(ServerListKind.CACHED, server("s0", "a", Readiness.READY, fleet.now));
         int sent = 0;
         for (int i = 0; i < 300; i++) {
             sent += fleet.serve(READ, Outcome.SERVED, MS) == null ? 0 : 1;
@@ -704,7 +711,7 @@
         Fleet fleet = new Fleet().with(3);
         draws(fleet, 300);
         fleet.now += SECOND;
-        fleet.list(ListKind.CHANGES, server("s9", "a", Readiness.READY, fleet.now));
+        fleet.list(ServerListKind.CHANGES, server("s9", "a", Readiness.READY, fleet.now));
         fleet.now += SECOND;
         int cold = draws(fleet, 300).getOrDefault("s9", 0);
         fleet.now += 2 * Fleet.WARM_UP;
@@ -717,7 +724,7 @@
         Fleet fleet = new Fleet(settings(true), 7).with(1);
         assertEquals(1, fleet.host.take("subscribe").size());
         for (int i = 0; i < 12; i++) {
-            fleet.list(ListKind.FAILED);
+            fleet.list(ServerListKind.FAILED);
             long wait = fleet.host.take("setTimer").get(0).number();
             assertTrue(wait > 0 && wait <= 5 * SECOND, "asked again after " + wait);
             fleet.fire(ASK);
@@ -733,9 +740,10 @@
         Fleet fleet = new Fleet().with(1);
         e = assertThrows(
                 IllegalArgumentException.class,
-                () -> fleet.choice.on(fleet.now, new RequestArrived("r", "unheard", null, null, SECOND, 0, false)));
+                () -> fleet.choice.onEvent(
+                        fleet.now, new RequestArrived("r", "unheard", null, null, SECOND, 0, false)));
         assertEquals("requestClass: unknown class unheard", e.getMessage());
-        e = assertThrows(IllegalArgumentException.class, () -> fleet.choice.on(1, new TimerFired(STEP)));
+        e = assertThrows(IllegalArgumentException.class, () -> fleet.choice.onEvent(1, new TimerFired(STEP)));
         assertTrue(e.getMessage().startsWith("nowNanos: "), e.getMessage());
     }
 }
--- a/src/test/java/tinworks/policy/ColdBankTest.java
+++ b/src/test/java/tinworks/policy/ColdBankTest.java
@@ -14,9 +14,9 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.Outcome;
-import tinworks.policy.Protocol.Readiness;
+import tinworks.policy.LoadBalancerApi.Outcome;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
 
 /** A bank of gateways, none of which knows of the others, beside a server that has just started. */
 class ColdBankTest {
@@ -32,7 +32,7 @@
         long start = 100 * SECOND;
         for (int g = 0; g < GATEWAYS; g++) {
             Fleet fleet = new Fleet(settings(false, GATEWAYS, List.of(), List.of(ORDER)), seed * GATEWAYS + g);
-            fleet.list(ListKind.CACHED, server("s0"), server("s1"), server("cold", "a", Readiness.READY, start));
+            fleet.list(ServerListKind.CACHED, server("s0"), server("s1"), server("cold", "a", Readiness.READY, start));
             bank.add(fleet);
         }
         ArrayDeque<Long> window = new ArrayDeque<>();
@@ -51,14 +51,15 @@
                 }
                 fleet.end(sent.id(), attempt++, sent.server(), cold ? Outcome.SERVED : Outcome.FULL, MS);
             }
-            while (!window.isEmpty() && window.peek() < now - RULES.overloadForNanos()) {
+            while (!window.isEmpty() && window.peek() < now - RULES.overloadWindowNanos()) {
                 window.poll();
             }
             most = Math.max(most, window.size());
         }
         // What a warm server would be asked to bear, at the capacity of one that is four seconds old.
-        double capacity = RULES.coldFrom() + (1 - RULES.coldFrom()) * 4 * SECOND / RULES.warmUpNanos();
-        double seconds = RULES.overloadForNanos() / (double) SECOND;
+        double capacity = RULES.slowStartInitialFraction()
+                + (1 - RULES.slowStartInitialFraction()) * 4 * SECOND / RULES.slowStartNanos();
+        double seconds = RULES.overloadWindowNanos() / (double) SECOND;
         double bound = RULES.overloadFactor() * capacity * PER_SECOND / (WARM + 1.0) * seconds;
         assertTrue(most > 0 && most <= bound, "in one window " + most + " of " + bound);
     }
--- a/src/test/java/tinworks/policy/CrowdTest.java
+++ b/src/test/java/tinworks/policy/CrowdTest.java
@@ -12,10 +12,10 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tinworks.policy.Protocol.Allowed;
-import tinworks.policy.Protocol.Outcome;
-import tinworks.policy.Protocol.PeerSaid;
-import tinworks.policy.Protocol.Settings;
+import tinworks.policy.LoadBalancerApi.Outcome;
+import tinworks.policy.LoadBalancerApi.PeerMessageReceived;
+import tinworks.policy.LoadBalancerApi.Permissions;
+import tinworks.policy.LoadBalancerApi.Settings;
 
 /** What the gateways of a large fleet tell each other, and what they make of it. */
 class CrowdTest {
@@ -27,12 +27,12 @@
                                 0,
                                 s.zone(),
                                 false,
-                                s.resolutionNanos(),
+                                s.timerResolutionNanos(),
                                 s.classes(),
                                 s.tenants(),
-                                s.overShareWorth(),
-                                new Allowed(4, true, peers),
-                                s.rules()),
+                                s.overQuotaValue(),
+                                new Permissions(4, true, peers),
+                                s.parameters()),
                         7)
                 .with(8);
     }
@@ -55,7 +55,7 @@
                 return true;
             }
             fleet.now += 100 * MS;
-            fleet.choice.on(fleet.now, new PeerSaid(2, message(3, server)));
+            fleet.choice.onEvent(fleet.now, new PeerMessageReceived(2, message(3, server)));
         }
         return false;
     }
@@ -97,7 +97,7 @@
     void passesOverAServerWhereOthersHaveEnoughOut() {
         String own = own();
         Fleet fleet = gateway(true);
-        fleet.choice.on(fleet.now, new PeerSaid(2, message(3, own)));
+        fleet.choice.onEvent(fleet.now, new PeerMessageReceived(2, message(3, own)));
         assertFalse(draws(fleet, own), own);
     }
 
@@ -105,8 +105,8 @@
     void takesANewMessageInPlaceOfTheOneBefore() {
         String own = own();
         Fleet fleet = gateway(true);
-        fleet.choice.on(fleet.now, new PeerSaid(2, message(3, own)));
-        fleet.choice.on(fleet.now, new PeerSaid(2, message(0)));
+        fleet.choice.onEvent(fleet.now, new PeerMessageReceived(2, message(3, own)));
+        fleet.choice.onEvent(fleet.now, new PeerMessageReceived(2, message(0)));
         assertEquals(own, fleet.serve(READ, Outcome.SERVED, 10 * MS));
     }
 
@@ -114,7 +114,7 @@
     void forgetsWhatAGatewaySaidThatHasGoneSilent() {
         String own = own();
         Fleet fleet = gateway(true);
-        fleet.choice.on(fleet.now, new PeerSaid(2, message(3, own)));
+        fleet.choice.onEvent(fleet.now, new PeerMessageReceived(2, message(3, own)));
         fleet.now += SECOND;
         fleet.fire(SWEEP);
         assertEquals(own, fleet.serve(READ, Outcome.SERVED, 10 * MS));
@@ -128,7 +128,7 @@
         for (byte[] spoilt :
                 List.of(new byte[0], other, java.util.Arrays.copyOf(message(3, own), 5), message(3, "unheard"))) {
             Fleet fleet = gateway(true);
-            fleet.choice.on(fleet.now, new PeerSaid(2, spoilt));
+            fleet.choice.onEvent(fleet.now, new PeerMessageReceived(2, spoilt));
             assertEquals(own, fleet.serve(READ, Outcome.SERVED, 10 * MS));
         }
     }
--- a/src/test/java/tinworks/policy/FaultyTickTest.java
+++ b/src/test/java/tinworks/policy/FaultyTickTest.java
@@ -6,17 +6,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tinworks.policy.Protocol.Actions;
-import tinworks.policy.Protocol.Allowed;
-import tinworks.policy.Protocol.Effect;
-import tinworks.policy.Protocol.Group;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.ListReceived;
-import tinworks.policy.Protocol.RequestArrived;
-import tinworks.policy.Protocol.RequestClass;
-import tinworks.policy.Protocol.Rules;
-import tinworks.policy.Protocol.Settings;
-import tinworks.policy.Protocol.TimerFired;
+import tinworks.policy.LoadBalancerApi.Actions;
+import tinworks.policy.LoadBalancerApi.DedupScope;
+import tinworks.policy.LoadBalancerApi.Idempotency;
+import tinworks.policy.LoadBalancerApi.Permissions;
+import tinworks.policy.LoadBalancerApi.PolicyParameters;
+import tinworks.policy.LoadBalancerApi.RequestArrived;
+import tinworks.policy.LoadBalancerApi.RequestClass;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
+import tinworks.policy.LoadBalancerApi.ServerListReceived;
+import tinworks.policy.LoadBalancerApi.Settings;
+import tinworks.policy.LoadBalancerApi.TimerFired;
 
 /**
  * A fault in one step of the shares is not the last step. The timer of the next one was set at the end of a step: after
@@ -70,9 +70,9 @@
     @Test
     void theNextStepIsDueAllTheSame() {
         FaultyLog actions = new FaultyLog();
-        RequestClass kind =
-                new RequestClass("k", Effect.SAFE, Group.ALL, 0, SECOND, 2 * SECOND, 1, 0.5, false, 2, 2 * SECOND);
-        Choice choice = new Choice(
+        RequestClass kind = new RequestClass(
+                "k", Idempotency.SAFE, DedupScope.ALL, 0, SECOND, 2 * SECOND, 1, 0.5, false, 2, 2 * SECOND);
+        LoadBalancer choice = new LoadBalancer(
                 new Settings(
                         1,
                         -1,
@@ -82,17 +82,19 @@
                         List.of(kind),
                         List.of(),
                         1,
-                        new Allowed(32, true, false),
-                        new Rules(0, 0, Long.MAX_VALUE, 0.5, SECOND, 1e9, SECOND)),
+                        new Permissions(32, true, false),
+                        new PolicyParameters(0, 0, Long.MAX_VALUE, 0.5, SECOND, 1e9, SECOND)),
                 1,
                 actions);
-        choice.on(0, new ListReceived(ListKind.WHOLE, List.of()));
-        choice.on(1, new RequestArrived("r", "k", null, null, SECOND, 0, false, 0));
-        choice.on(3 * SECOND, new TimerFired(SWEEP_TOKEN, 0));
+        choice.onEvent(0, new ServerListReceived(ServerListKind.FULL, List.of()));
+        choice.onEvent(1, new RequestArrived("r", "k", null, null, SECOND, 0, false, 0));
+        choice.onEvent(3 * SECOND, new TimerFired(SWEEP_TOKEN, 0));
         assertEquals(1, actions.refused, "it has no server");
         actions.timers.clear();
         assertThrows(
-                IllegalStateException.class, () -> choice.on(5 * SECOND, new TimerFired(STEP_TOKEN, 0)), "it logs");
+                IllegalStateException.class,
+                () -> choice.onEvent(5 * SECOND, new TimerFired(STEP_TOKEN, 0)),
+                "it logs");
         assertEquals(List.of(STEP_TOKEN), actions.timers);
     }
 }
--- a/src/test/java/tinworks/policy/Fleet.java
+++ b/src/test/java/tinworks/policy/Fleet.java
@@ -2,22 +2,22 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import tinworks.policy.Protocol.Allowed;
-import tinworks.policy.Protocol.AttemptEnded;
-import tinworks.policy.Protocol.ClientLeft;
-import tinworks.policy.Protocol.Effect;
-import tinworks.policy.Protocol.Group;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.ListReceived;
-import tinworks.policy.Protocol.Outcome;
-import tinworks.policy.Protocol.Readiness;
-import tinworks.policy.Protocol.RequestArrived;
-import tinworks.policy.Protocol.RequestClass;
-import tinworks.policy.Protocol.Rules;
-import tinworks.policy.Protocol.ServerInfo;
-import tinworks.policy.Protocol.Settings;
-import tinworks.policy.Protocol.Tenant;
-import tinworks.policy.Protocol.TimerFired;
+import tinworks.policy.LoadBalancerApi.AttemptEnded;
+import tinworks.policy.LoadBalancerApi.ClientDisconnected;
+import tinworks.policy.LoadBalancerApi.DedupScope;
+import tinworks.policy.LoadBalancerApi.Idempotency;
+import tinworks.policy.LoadBalancerApi.Outcome;
+import tinworks.policy.LoadBalancerApi.Permissions;
+import tinworks.policy.LoadBalancerApi.PolicyParameters;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.RequestArrived;
+import tinworks.policy.LoadBalancerApi.RequestClass;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
+import tinworks.policy.LoadBalancerApi.ServerListReceived;
+import tinworks.policy.LoadBalancerApi.Settings;
+import tinworks.policy.LoadBalancerApi.Tenant;
+import tinworks.policy.LoadBalancerApi.TimerFired;
 
 /** A gateway under test: its module, its recorder, and short ways to say what happens. */
 final class Fleet {
@@ -28,16 +28,17 @@
     static final long SWEEP = 2;
     static final long ASK = 3;
     static final RequestClass READ =
-            new RequestClass("read", Effect.SAFE, Group.ALL, 0, 500 * MS, 2 * SECOND, 1, 0.5, false);
+            new RequestClass("read", Idempotency.SAFE, DedupScope.ALL, 0, 500 * MS, 2 * SECOND, 1, 0.5, false);
     static final RequestClass ORDER =
-            new RequestClass("order", Effect.UNSAFE, Group.ALL, 0, 500 * MS, 2 * SECOND, 5, 0, false);
+            new RequestClass("order", Idempotency.UNSAFE, DedupScope.ALL, 0, 500 * MS, 2 * SECOND, 5, 0, false);
     static final RequestClass FILE =
-            new RequestClass("file", Effect.KEYED, Group.ZONE, 5 * SECOND, 500 * MS, 2 * SECOND, 2, 0, false);
-    static final Allowed ALL_ALLOWED = new Allowed(4, true, true);
-    static final Rules RULES = new Rules(20 * MS, 250 * MS, 10 * SECOND, 0.2, WARM_UP, 2.5, 1500 * MS);
+            new RequestClass("file", Idempotency.KEYED, DedupScope.ZONE, 5 * SECOND, 500 * MS, 2 * SECOND, 2, 0, false);
+    static final Permissions ALL_ALLOWED = new Permissions(4, true, true);
+    static final PolicyParameters RULES =
+            new PolicyParameters(20 * MS, 250 * MS, 10 * SECOND, 0.2, WARM_UP, 2.5, 1500 * MS);
 
     final Recorder host = new Recorder();
-    final Choice choice;
+    final LoadBalancer choice;
     long now = 100 * SECOND;
     private final RequestClass main;
     private int requests;
@@ -47,7 +48,7 @@
     }
 
     Fleet(Settings settings, long seed) {
-        choice = new Choice(settings, seed, host);
+        choice = new LoadBalancer(settings, seed, host);
         main = settings.classes().get(0);
     }
 
@@ -78,15 +79,15 @@
         for (int i = 0; i < servers; i++) {
             list.add(server("s" + i, i % 2 == 0 ? "a" : otherZone, Readiness.READY, 0));
         }
-        list(ListKind.CACHED, list);
+        list(ServerListKind.CACHED, list);
         return this;
     }
 
-    void list(ListKind kind, List<ServerInfo> servers) {
-        choice.on(now, new ListReceived(kind, servers));
+    void list(ServerListKind kind, List<ServerInfo> servers) {
+        choice.onEvent(now, new ServerListReceived(kind, servers));
     }
 
-    void list(ListKind kind, ServerInfo... servers) {
+    void list(ServerListKind kind, ServerInfo... servers) {
         list(kind, List.of(servers));
     }
 
@@ -97,7 +98,7 @@
 
     String ask(RequestClass c, String tenant, long expiresIn) {
         String id = "r" + requests++;
-        choice.on(now, new RequestArrived(id, c.name(), tenant, null, expiresIn, 0, false));
+        choice.onEvent(now, new RequestArrived(id, c.name(), tenant, null, expiresIn, 0, false));
         return id;
     }
 
@@ -106,11 +107,11 @@
     }
 
     void end(String id, int attempt, String server, Outcome outcome, long elapsed, boolean concluded) {
-        choice.on(now, new AttemptEnded(id, attempt, server, outcome, elapsed, concluded, null));
+        choice.onEvent(now, new AttemptEnded(id, attempt, server, outcome, elapsed, concluded, null));
     }
 
     void fire(long token) {
-        choice.on(now, new TimerFired(token));
+        choice.onEvent(now, new TimerFired(token));
     }
 
     /** The server that the only send since the last look went to, or null. */
@@ -176,7 +177,7 @@
             sends = host.take("send");
             out.addAll(sends);
         }
-        asked.forEach(id -> choice.on(now, new ClientLeft(id)));
+        asked.forEach(id -> choice.onEvent(now, new ClientDisconnected(id)));
         out.forEach(a -> end(a.id(), 0, a.server(), Outcome.NOT_SENT, 0, true));
         host.take();
         return out.size();
--- a/src/test/java/tinworks/policy/PortionTest.java
+++ b/src/test/java/tinworks/policy/PortionTest.java
@@ -15,11 +15,11 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.Outcome;
-import tinworks.policy.Protocol.Readiness;
-import tinworks.policy.Protocol.ServerInfo;
-import tinworks.policy.Protocol.Settings;
+import tinworks.policy.LoadBalancerApi.Outcome;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
+import tinworks.policy.LoadBalancerApi.Settings;
 
 /** How the gateways of a large fleet divide its servers while each meets them seldom. */
 class PortionTest {
@@ -35,12 +35,12 @@
                 number,
                 one.zone(),
                 false,
-                one.resolutionNanos(),
+                one.timerResolutionNanos(),
                 one.classes(),
                 one.tenants(),
-                one.overShareWorth(),
-                one.allowed(),
-                one.rules());
+                one.overQuotaValue(),
+                one.permissions(),
+                one.parameters());
         Fleet fleet = new Fleet(numbered, 7 + number).with(SERVERS);
         return fleet;
     }
@@ -101,7 +101,7 @@
         double part = (LARGE * LARGE_HINT + SERVERS - LARGE) / GATEWAYS;
         for (int i = 0; i < GATEWAYS; i++) {
             Fleet fleet = gateway(i);
-            fleet.list(ListKind.WHOLE, list);
+            fleet.list(ServerListKind.FULL, list);
             double capacity = drawnOneByOne(fleet, 16 * MS).stream()
                     .mapToDouble(id -> Integer.parseInt(id.substring(1)) < LARGE ? LARGE_HINT : 1)
                     .sum();
@@ -113,7 +113,7 @@
     private static int sentToCold(int gateway) {
         Fleet fleet = gateway(gateway);
         drawnOneByOne(fleet, 16 * MS);
-        fleet.list(ListKind.CHANGES, Fleet.server("s0", "a", Readiness.READY, fleet.now));
+        fleet.list(ServerListKind.CHANGES, Fleet.server("s0", "a", Readiness.READY, fleet.now));
         int sent = 0;
         for (long end = fleet.now + 4 * Fleet.SECOND; fleet.now < end; fleet.now += 16 * MS) {
             sent += "s0".equals(fleet.serve(READ, Outcome.SERVED, 10 * MS)) ? 1 : 0;
--- a/src/test/java/tinworks/policy/QuickStartTest.java
+++ b/src/test/java/tinworks/policy/QuickStartTest.java
@@ -6,20 +6,20 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tinworks.policy.Protocol.Actions;
-import tinworks.policy.Protocol.Allowed;
-import tinworks.policy.Protocol.AttemptEnded;
-import tinworks.policy.Protocol.Effect;
-import tinworks.policy.Protocol.Group;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.ListReceived;
-import tinworks.policy.Protocol.Outcome;
-import tinworks.policy.Protocol.Readiness;
-import tinworks.policy.Protocol.RequestArrived;
-import tinworks.policy.Protocol.RequestClass;
-import tinworks.policy.Protocol.Rules;
-import tinworks.policy.Protocol.ServerInfo;
-import tinworks.policy.Protocol.Settings;
+import tinworks.policy.LoadBalancerApi.Actions;
+import tinworks.policy.LoadBalancerApi.AttemptEnded;
+import tinworks.policy.LoadBalancerApi.DedupScope;
+import tinworks.policy.LoadBalancerApi.Idempotency;
+import tinworks.policy.LoadBalancerApi.Outcome;
+import tinworks.policy.LoadBalancerApi.Permissions;
+import tinworks.policy.LoadBalancerApi.PolicyParameters;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.RequestArrived;
+import tinworks.policy.LoadBalancerApi.RequestClass;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
+import tinworks.policy.LoadBalancerApi.ServerListReceived;
+import tinworks.policy.LoadBalancerApi.Settings;
 
 /** The README's example, as a new user would write it. */
 class QuickStartTest {
@@ -59,7 +59,8 @@
 
     @Test
     void aGatewayEmbedsChoiceInAFewLines() {
-        RequestClass read = new RequestClass("read", Effect.SAFE, Group.ALL, 0, 300 * MS, 1000 * MS, 1, 0, false);
+        RequestClass read =
+                new RequestClass("read", Idempotency.SAFE, DedupScope.ALL, 0, 300 * MS, 1000 * MS, 1, 0, false);
         Settings settings = new Settings(
                 1,
                 0,
@@ -69,16 +70,16 @@
                 List.of(read),
                 List.of(),
                 1,
-                new Allowed(3, true, true),
-                new Rules(20 * MS, 250 * MS, 10_000 * MS, 0.2, 20_000 * MS, 2.5, 1000 * MS));
+                new Permissions(3, true, true),
+                new PolicyParameters(20 * MS, 250 * MS, 10_000 * MS, 0.2, 20_000 * MS, 2.5, 1000 * MS));
         Host host = new Host();
-        Choice choice = new Choice(settings, 42, host);
+        LoadBalancer choice = new LoadBalancer(settings, 42, host);
 
         long now = 5_000 * MS; // in a gateway: System.nanoTime()
         ServerInfo server = new ServerInfo("10.0.0.7:80", "zone-a", "m5", 0, Readiness.READY, 1, 0);
-        choice.on(now, new ListReceived(ListKind.WHOLE, List.of(server)));
-        choice.on(now, new RequestArrived("r1", "read", null, null, 1000 * MS, 0, false));
-        choice.on(now + 20 * MS, new AttemptEnded("r1", 0, "10.0.0.7:80", Outcome.SERVED, 20 * MS, true, null));
+        choice.onEvent(now, new ServerListReceived(ServerListKind.FULL, List.of(server)));
+        choice.onEvent(now, new RequestArrived("r1", "read", null, null, 1000 * MS, 0, false));
+        choice.onEvent(now + 20 * MS, new AttemptEnded("r1", 0, "10.0.0.7:80", Outcome.SERVED, 20 * MS, true, null));
 
         assertEquals(List.of("r1 to 10.0.0.7:80"), host.sent);
         assertTrue(host.timers > 0, "the module asks to be woken");
--- a/src/test/java/tinworks/policy/Recorder.java
+++ b/src/test/java/tinworks/policy/Recorder.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import tinworks.policy.Protocol.Actions;
+import tinworks.policy.LoadBalancerApi.Actions;
 
 /** A host that only writes down what the module asks for. */
 final class Recorder implements Actions {
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void tellAll(byte[] body) {
+    public void sendToPeers(byte[] body) {
         add("tellAll", null, null, body.length);
         told.add(body);
     }
--- a/src/test/java/tinworks/policy/RulesTest.java
+++ b/src/test/java/tinworks/policy/RulesTest.java
@@ -22,29 +22,29 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import tinworks.policy.Protocol.AttemptEnded;
-import tinworks.policy.Protocol.Effect;
-import tinworks.policy.Protocol.Ending;
-import tinworks.policy.Protocol.Event;
-import tinworks.policy.Protocol.Group;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.ListReceived;
-import tinworks.policy.Protocol.Outcome;
-import tinworks.policy.Protocol.Readiness;
-import tinworks.policy.Protocol.RequestArrived;
-import tinworks.policy.Protocol.RequestClass;
-import tinworks.policy.Protocol.ServerInfo;
-import tinworks.policy.Protocol.Tenant;
-import tinworks.policy.Protocol.TimerFired;
+import tinworks.policy.LoadBalancerApi.AttemptEnded;
+import tinworks.policy.LoadBalancerApi.DedupScope;
+import tinworks.policy.LoadBalancerApi.Event;
+import tinworks.policy.LoadBalancerApi.Idempotency;
+import tinworks.policy.LoadBalancerApi.Outcome;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.RequestArrived;
+import tinworks.policy.LoadBalancerApi.RequestClass;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
+import tinworks.policy.LoadBalancerApi.ServerListReceived;
+import tinworks.policy.LoadBalancerApi.ShutdownStarted;
+import tinworks.policy.LoadBalancerApi.Tenant;
+import tinworks.policy.LoadBalancerApi.TimerFired;
 
 /** A seeded run of random legal events that holds every action against the four rules. */
 class RulesTest {
     private static final long TICK = 5 * MS;
     private static final long LENGTH = 60 * SECOND;
-    private static final RequestClass CELL_FILE =
-            new RequestClass("cell-file", Effect.KEYED, Group.CELL, SECOND, 300 * MS, 2 * SECOND, 2, 0, false);
-    private static final RequestClass ANY_FILE =
-            new RequestClass("any-file", Effect.KEYED, Group.ALL, SECOND, 300 * MS, 2 * SECOND, 2, 0.3, false);
+    private static final RequestClass CELL_FILE = new RequestClass(
+            "cell-file", Idempotency.KEYED, DedupScope.CELL, SECOND, 300 * MS, 2 * SECOND, 2, 0, false);
+    private static final RequestClass ANY_FILE = new RequestClass(
+            "any-file", Idempotency.KEYED, DedupScope.ALL, SECOND, 300 * MS, 2 * SECOND, 2, 0.3, false);
     private static final List<RequestClass> CLASSES = List.of(READ, ORDER, FILE, CELL_FILE, ANY_FILE);
 
     private record Send(String server, long at, int number) {}
@@ -75,7 +75,7 @@
     private static final class World {
         final SplittableRandom random;
         final Recorder host = new Recorder();
-        final Choice choice;
+        final LoadBalancer choice;
         final Map<String, Asked> asked = new TreeMap<>();
         final Map<String, ServerInfo> listed = new TreeMap<>();
         final Map<String, Long> toldNotReady = new HashMap<>();
@@ -87,11 +87,11 @@
 
         World(long seed) {
             random = new SplittableRandom(seed);
-            choice = new Choice(settings(false, 1, List.of(new Tenant("t", 20)), CLASSES), seed, host);
+            choice = new LoadBalancer(settings(false, 1, List.of(new Tenant("t", 20)), CLASSES), seed, host);
         }
 
         void on(Event e) {
-            choice.on(now, e);
+            choice.onEvent(now, e);
             host.take().forEach(this::check);
         }
 
@@ -119,16 +119,16 @@
             Long told = toldNotReady.get(a.server());
             assertTrue(told == null || now <= told + RULES.drainGraceNanos(), "drain not kept: " + a);
             Send first = r.firstThatMayRun();
-            if (first != null && r.kind.effect() == Effect.UNSAFE) {
+            if (first != null && r.kind.idempotency() == Idempotency.UNSAFE) {
                 fail("unsafe request sent again: " + a);
             }
-            if (first != null && r.kind.effect() == Effect.KEYED) {
+            if (first != null && r.kind.idempotency() == Idempotency.KEYED) {
                 ServerInfo at = listed.get(first.server());
                 assertTrue(now - first.at() < r.kind.dedupWindowNanos(), "past its window: " + a);
-                assertTrue(r.kind.group() != Group.ZONE || at.zone().equals(s.zone()), "another zone: " + a);
-                assertTrue(r.kind.group() != Group.CELL || at.cell() == s.cell(), "another cell: " + a);
+                assertTrue(r.kind.dedupScope() != DedupScope.ZONE || at.zone().equals(s.zone()), "another zone: " + a);
+                assertTrue(r.kind.dedupScope() != DedupScope.CELL || at.cell() == s.cell(), "another cell: " + a);
             }
-            if (s.startedAtNanos() > 0 && now - s.startedAtNanos() < RULES.warmUpNanos()) {
+            if (s.startedAtNanos() > 0 && now - s.startedAtNanos() < RULES.slowStartNanos()) {
                 coldSends.computeIfAbsent(a.server(), id -> new ArrayList<>()).add(now);
             }
             int number = r.sends.size();
@@ -144,8 +144,8 @@
             assertTrue(now <= r.deadline + RULES.answerSlackNanos(), "answered late: " + a);
             if (a.what().equals("refuse") && r.firstThatMayRun() != null) {
                 assertTrue(
-                        r.kind.effect() == Effect.SAFE
-                                || (r.kind.effect() == Effect.KEYED && r.kind.group() == Group.ALL),
+                        r.kind.idempotency() == Idempotency.SAFE
+                                || (r.kind.idempotency() == Idempotency.KEYED && r.kind.dedupScope() == DedupScope.ALL),
                         "refused: " + a);
             }
             r.answered = true;
@@ -186,7 +186,7 @@
                         case 3 -> Outcome.RESET;
                         default -> Outcome.SERVED;
                     };
-            if (outcome.provesItNeverRan()) {
+            if (outcome.provesNotExecuted()) {
                 r.neverRan.add(number);
             }
             finals += outcome == Outcome.SERVED && !r.answered ? 1 : 0;
@@ -209,15 +209,16 @@
                 toldNotReady.putIfAbsent(id, now);
             }
             boolean whole = random.nextInt(4) == 0;
-            on(new ListReceived(
-                    whole ? ListKind.WHOLE : ListKind.CHANGES, whole ? List.copyOf(listed.values()) : List.of(after)));
+            on(new ServerListReceived(
+                    whole ? ServerListKind.FULL : ServerListKind.CHANGES,
+                    whole ? List.copyOf(listed.values()) : List.of(after)));
         }
 
         void run() {
             for (int i = 0; i < 8; i++) {
                 listed.put("s" + i, new ServerInfo("s" + i, i < 4 ? "a" : "b", "k", i / 2, Readiness.READY, 1, 0));
             }
-            on(new ListReceived(ListKind.CACHED, List.copyOf(listed.values())));
+            on(new ServerListReceived(ServerListKind.CACHED, List.copyOf(listed.values())));
             for (long end = now + LENGTH; now < end; now += TICK) {
                 for (int i = random.nextInt(2); i > 0; i--) {
                     ask();
@@ -238,11 +239,12 @@
         /** All that a cold server may get in the window, were each request worth a hundredth of a second of it. */
         void checkCold() {
             coldSends.forEach((id, sends) -> {
-                sends.removeIf(at -> at < now - RULES.overloadForNanos());
-                double age = (now - listed.get(id).startedAtNanos()) / (double) RULES.warmUpNanos();
-                double capacity = RULES.coldFrom() + (1 - RULES.coldFrom()) * Math.min(1, age);
+                sends.removeIf(at -> at < now - RULES.overloadWindowNanos());
+                double age = (now - listed.get(id).startedAtNanos()) / (double) RULES.slowStartNanos();
+                double capacity =
+                        RULES.slowStartInitialFraction() + (1 - RULES.slowStartInitialFraction()) * Math.min(1, age);
                 double perSecond = 100 * RULES.overloadFactor() * capacity;
-                double most = perSecond * RULES.overloadForNanos() / SECOND;
+                double most = perSecond * RULES.overloadWindowNanos() / SECOND;
                 assertTrue(sends.size() <= most, sends.size() + " to " + id + ", most " + most);
             });
         }
@@ -263,7 +265,7 @@
     @Test
     void whatComesAtTheEndIsAnsweredBeforeIt() {
         Fleet fleet = new Fleet().with(1);
-        fleet.choice.on(fleet.now, new Ending(300 * MS));
+        fleet.choice.onEvent(fleet.now, new ShutdownStarted(300 * MS));
         fleet.ask(READ);
         assertEquals(300 * MS, fleet.host.take("send").get(0).number());
     }
--- a/src/test/java/tinworks/policy/SystemRulesTest.java
+++ b/src/test/java/tinworks/policy/SystemRulesTest.java
@@ -6,23 +6,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tinworks.policy.Protocol.Actions;
-import tinworks.policy.Protocol.Allowed;
-import tinworks.policy.Protocol.AttemptEnded;
-import tinworks.policy.Protocol.Effect;
-import tinworks.policy.Protocol.Ending;
-import tinworks.policy.Protocol.Group;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.ListReceived;
-import tinworks.policy.Protocol.Outcome;
-import tinworks.policy.Protocol.Readiness;
-import tinworks.policy.Protocol.Reconfigured;
-import tinworks.policy.Protocol.RequestArrived;
-import tinworks.policy.Protocol.RequestClass;
-import tinworks.policy.Protocol.Rules;
-import tinworks.policy.Protocol.ServerInfo;
-import tinworks.policy.Protocol.Settings;
-import tinworks.policy.Protocol.TimerFired;
+import tinworks.policy.LoadBalancerApi.Actions;
+import tinworks.policy.LoadBalancerApi.AttemptEnded;
+import tinworks.policy.LoadBalancerApi.DedupScope;
+import tinworks.policy.LoadBalancerApi.Idempotency;
+import tinworks.policy.LoadBalancerApi.Outcome;
+import tinworks.policy.LoadBalancerApi.Permissions;
+import tinworks.policy.LoadBalancerApi.PolicyParameters;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.Reconfigured;
+import tinworks.policy.LoadBalancerApi.RequestArrived;
+import tinworks.policy.LoadBalancerApi.RequestClass;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
+import tinworks.policy.LoadBalancerApi.ServerListReceived;
+import tinworks.policy.LoadBalancerApi.Settings;
+import tinworks.policy.LoadBalancerApi.ShutdownStarted;
+import tinworks.policy.LoadBalancerApi.TimerFired;
 
 /** What the decision module does for the system beyond what the earlier protocol asks. */
 class SystemRulesTest {
@@ -72,13 +72,13 @@
         }
     }
 
-    private static RequestClass kind(String name, Effect effect) {
-        return new RequestClass(name, effect, Group.ALL, 0, 300 * MS, TIMEOUT, 1, 0.5, false, 2, TIMEOUT);
+    private static RequestClass kind(String name, Idempotency effect) {
+        return new RequestClass(name, effect, DedupScope.ALL, 0, 300 * MS, TIMEOUT, 1, 0.5, false, 2, TIMEOUT);
     }
 
-    private Choice choice(int gateways, Effect effect) {
-        Rules rules = new Rules(0, 0, Long.MAX_VALUE, 0.5, 3 * SECOND, 1e9, SECOND, 30, 2.5, 0.5);
-        Choice choice = new Choice(
+    private LoadBalancer choice(int gateways, Idempotency effect) {
+        PolicyParameters rules = new PolicyParameters(0, 0, Long.MAX_VALUE, 0.5, 3 * SECOND, 1e9, SECOND, 30, 2.5, 0.5);
+        LoadBalancer choice = new LoadBalancer(
                 new Settings(
                         gateways,
                         -1,
@@ -88,7 +88,7 @@
                         List.of(kind("r", effect)),
                         List.of(),
                         1,
-                        new Allowed(32, true, false),
+                        new Permissions(32, true, false),
                         rules),
                 1,
                 sent);
@@ -96,7 +96,7 @@
         for (int i = 0; i < 4; i++) {
             servers.add(new ServerInfo("i-" + i, "z", "", 0, Readiness.READY, 3, 0));
         }
-        choice.on(0, new ListReceived(ListKind.WHOLE, servers));
+        choice.onEvent(0, new ServerListReceived(ServerListKind.FULL, servers));
         return choice;
     }
 
@@ -105,13 +105,13 @@
     }
 
     /** Sends requests one after the other, each attempt ending in this way; returns the arrivals beyond the first. */
-    private int further(Choice choice, int requests, Outcome outcome) {
+    private int further(LoadBalancer choice, int requests, Outcome outcome) {
         for (int i = 0; i < requests; i++) {
             long now = i * 100L * MS;
             int before = sent.servers.size();
-            choice.on(now, request(i));
+            choice.onEvent(now, request(i));
             for (int n = 0; before + n < sent.servers.size(); n++) {
-                choice.on(
+                choice.onEvent(
                         now + MS, new AttemptEnded("q" + i, n, sent.servers.get(before + n), outcome, MS, false, null));
             }
         }
@@ -120,7 +120,7 @@
 
     @Test
     void arrivalsThatAHostTurnsAwayAreChargedToTheBudgetThatAllGatewaysShare() {
-        int further = further(choice(10, Effect.SAFE), 100, Outcome.FULL);
+        int further = further(choice(10, Idempotency.SAFE), 100, Outcome.FULL);
         assertTrue(further > 0, "a first refusal is tried again");
         assertTrue(
                 further <= 100 / 10 + 30 / 10, "a tenth of the requests and a tenth of what all may save: " + further);
@@ -129,40 +129,42 @@
     @Test
     void whatNeverArrivedIsNotCharged() {
         assertEquals(
-                1, further(choice(100, Effect.UNSAFE), 1, Outcome.CONNECT_FAILED), "a second server, and no third");
+                1,
+                further(choice(100, Idempotency.UNSAFE), 1, Outcome.CONNECT_FAILED),
+                "a second server, and no third");
     }
 
     @Test
     void whatMayHaveRunIsNotTriedAgainWhereThatDoesHarm() {
-        assertEquals(0, further(choice(10, Effect.UNSAFE), 20, Outcome.RESET));
+        assertEquals(0, further(choice(10, Idempotency.UNSAFE), 20, Outcome.RESET));
     }
 
     @Test
     void aVersionInTheMiddleOfATickKeepsWhatWasLearnedAndTakesItsNewTries() {
-        Choice choice = choice(10, Effect.SAFE);
-        choice.on(MS, request(1));
-        RequestClass once =
-                new RequestClass("r", Effect.SAFE, Group.ALL, 0, 300 * MS, TIMEOUT, 1, 0.5, false, 1, TIMEOUT);
-        choice.on(2 * MS, new Reconfigured(List.of(once, kind("new", Effect.UNSAFE)), 5));
-        choice.on(3 * MS, new AttemptEnded("q1", 0, sent.servers.get(0), Outcome.FULL, MS, false, null));
+        LoadBalancer choice = choice(10, Idempotency.SAFE);
+        choice.onEvent(MS, request(1));
+        RequestClass once = new RequestClass(
+                "r", Idempotency.SAFE, DedupScope.ALL, 0, 300 * MS, TIMEOUT, 1, 0.5, false, 1, TIMEOUT);
+        choice.onEvent(2 * MS, new Reconfigured(List.of(once, kind("new", Idempotency.UNSAFE)), 5));
+        choice.onEvent(3 * MS, new AttemptEnded("q1", 0, sent.servers.get(0), Outcome.FULL, MS, false, null));
         assertEquals(1, sent.servers.size(), "one try is all that the new version allows");
         assertEquals(1, sent.refused);
-        choice.on(4 * MS, new RequestArrived("q2", "new", null, null, TIMEOUT, 0, false));
+        choice.onEvent(4 * MS, new RequestArrived("q2", "new", null, null, TIMEOUT, 0, false));
         assertEquals(2, sent.servers.size());
     }
 
     @Test
     void aFastFailureSamplesAsTheWholeTimeOutAndLosesShare() {
-        Choice choice = choice(1, Effect.SAFE);
+        LoadBalancer choice = choice(1, Idempotency.SAFE);
         int[] first = new int[2];
         for (int i = 0; i < 2_000; i++) {
             long now = i * 10L * MS;
-            choice.on(now, request(i));
+            choice.onEvent(now, request(i));
             String server = sent.servers.get(sent.servers.size() - 1);
             boolean bad = server.equals("i-0");
             first[i / 1_000] += bad ? 1 : 0;
             int attempt = 0;
-            choice.on(
+            choice.onEvent(
                     now + MS,
                     new AttemptEnded(
                             "q" + i,
@@ -175,7 +177,7 @@
             if (bad
                     && sent.requests.get(sent.requests.size() - 1).equals("q" + i)
                     && !sent.servers.get(sent.servers.size() - 1).equals("i-0")) {
-                choice.on(
+                choice.onEvent(
                         now + 2 * MS,
                         new AttemptEnded(
                                 "q" + i,
@@ -187,7 +189,7 @@
                                 null));
             }
             if (i % 100 == 99) {
-                choice.on(now + 3 * MS, new TimerFired(1));
+                choice.onEvent(now + 3 * MS, new TimerFired(1));
             }
         }
         assertTrue(first[1] < 100, "of 1,000 later requests " + first[1] + " went to the server that fails at once");
@@ -195,29 +197,29 @@
 
     /** One request of several needs long: how many attempts are called off so long after it was sent. */
     private int calledOffAfter(long waited) {
-        return calledOffAfter(choice(10, Effect.SAFE), waited, NEVER);
+        return calledOffAfter(choice(10, Idempotency.SAFE), waited, NEVER);
     }
 
-    private int calledOffAfter(Choice choice, long waited, long endsAt) {
-        choice.on(0, request(0));
+    private int calledOffAfter(LoadBalancer choice, long waited, long endsAt) {
+        choice.onEvent(0, request(0));
         boolean ending = false;
         for (long now = 0; now < waited; now += 20 * MS) {
             if (now >= endsAt && !ending) {
                 ending = true;
-                choice.on(now, new Ending(5_500 * MS));
+                choice.onEvent(now, new ShutdownStarted(5_500 * MS));
             }
             if (now % (400 * MS) == 0) {
                 int before = sent.servers.size();
                 String id = "f" + now;
-                choice.on(now, new RequestArrived(id, "r", null, null, TIMEOUT, 0, false));
+                choice.onEvent(now, new RequestArrived(id, "r", null, null, TIMEOUT, 0, false));
                 for (int n = before; n < sent.servers.size(); n++) {
-                    choice.on(
+                    choice.onEvent(
                             now + MS,
                             new AttemptEnded(
                                     sent.requests.get(n), 0, sent.servers.get(n), Outcome.SERVED, MS, true, null));
                 }
             }
-            choice.on(now + MS, new TimerFired(2));
+            choice.onEvent(now + MS, new TimerFired(2));
         }
         return sent.cancelled;
     }
@@ -225,21 +227,21 @@
     /**
      * Three requests a second, each taking so long by the clock, of which the gateway itself was held up; the refused.
      */
-    private int refusedOf(Choice choice, int from, int seconds, long elapsed, long heldUp) {
+    private int refusedOf(LoadBalancer choice, int from, int seconds, long elapsed, long heldUp) {
         int before = sent.refused;
         for (int i = 0; i < 3 * seconds; i++) {
             long now = from * SECOND + i * SECOND / 3;
             int out = sent.servers.size();
-            choice.on(now, new RequestArrived("h" + now, "r", null, null, TIMEOUT, 0, false));
+            choice.onEvent(now, new RequestArrived("h" + now, "r", null, null, TIMEOUT, 0, false));
             if (sent.servers.size() > out) {
-                choice.on(
+                choice.onEvent(
                         now + 300 * MS,
                         new AttemptEnded(
                                 "h" + now, 0, sent.servers.get(out), Outcome.SERVED, elapsed, true, null, heldUp));
             }
-            choice.on(now + 310 * MS, new TimerFired(2));
+            choice.onEvent(now + 310 * MS, new TimerFired(2));
             if (i % 3 == 2) {
-                choice.on(now + 320 * MS, new TimerFired(1));
+                choice.onEvent(now + 320 * MS, new TimerFired(1));
             }
         }
         return sent.refused - before;
@@ -247,19 +249,19 @@
 
     @Test
     void whatLayUnreadHereIsNotTheHosts() {
-        assertEquals(0, refusedOf(choice(64, Effect.SAFE), 0, 60, 900 * MS, 850 * MS));
+        assertEquals(0, refusedOf(choice(64, Idempotency.SAFE), 0, 60, 900 * MS, 850 * MS));
     }
 
     @Test
     void aGatewayThatShutAllOutIsOpenAgainWithinTwoSecondsOfCalm() {
-        Choice choice = choice(64, Effect.SAFE);
+        LoadBalancer choice = choice(64, Idempotency.SAFE);
         long now = 0;
         for (int i = 0; i < 200; i++) { // a burst, all of it late: the pressure is at its most
             now = i * 10L * MS;
             int out = sent.servers.size();
-            choice.on(now, new RequestArrived("b" + i, "r", null, null, TIMEOUT, 0, false));
+            choice.onEvent(now, new RequestArrived("b" + i, "r", null, null, TIMEOUT, 0, false));
             if (sent.servers.size() > out) {
-                choice.on(
+                choice.onEvent(
                         now, new AttemptEnded("b" + i, 0, sent.servers.get(out), Outcome.SERVED, 900 * MS, true, null));
             }
         }
@@ -270,25 +272,25 @@
 
     @Test
     void aServerIsNotSilentWhileItsAnswersLieUnread() {
-        Choice choice = choice(64, Effect.SAFE);
-        choice.on(0, request(0));
-        choice.on(0, request(1));
-        choice.on(1_000 * MS, new TimerFired(2, 990 * MS));
-        choice.on(1_001 * MS, new TimerFired(2, 0));
+        LoadBalancer choice = choice(64, Idempotency.SAFE);
+        choice.onEvent(0, request(0));
+        choice.onEvent(0, request(1));
+        choice.onEvent(1_000 * MS, new TimerFired(2, 990 * MS));
+        choice.onEvent(1_001 * MS, new TimerFired(2, 0));
         assertEquals(
                 List.of("server " + sent.servers.get(0) + " is silent: no answer to 1 attempts"),
                 sent.lines.subList(0, 1));
         sent.lines.clear();
-        Choice held = choice(64, Effect.SAFE);
-        held.on(0, request(0));
-        held.on(1_000 * MS, new TimerFired(2, 990 * MS));
+        LoadBalancer held = choice(64, Idempotency.SAFE);
+        held.onEvent(0, request(0));
+        held.onEvent(1_000 * MS, new TimerFired(2, 990 * MS));
         assertEquals(List.of(), sent.lines);
     }
 
     @Test
     void afterTheWordToEndNothingIsCalledOffThatAHostMayWorkOn() {
         for (long endsAt : List.of(0L, 100 * MS, 200 * MS, 400 * MS)) {
-            Choice choice = choice(10, Effect.SAFE);
+            LoadBalancer choice = choice(10, Idempotency.SAFE);
             assertEquals(0, calledOffAfter(choice, 1_180 * MS, endsAt), "told to end at " + endsAt);
             assertEquals(0, sent.refused, "nor is there an answer of its own before the deadline");
         }
@@ -297,14 +299,14 @@
     /** Its deadline lies past the end, when nobody could answer it any more. */
     @Test
     void whatStillWaitsForAServerIsRefusedBeforeTheEnd() {
-        for (Effect effect : List.of(Effect.SAFE, Effect.UNSAFE)) {
-            Choice choice = choice(1, effect);
-            choice.on(0, new ListReceived(ListKind.WHOLE, List.of()));
-            choice.on(0, request(0));
-            choice.on(100 * MS, new Ending(500 * MS));
+        for (Idempotency effect : List.of(Idempotency.SAFE, Idempotency.UNSAFE)) {
+            LoadBalancer choice = choice(1, effect);
+            choice.onEvent(0, new ServerListReceived(ServerListKind.FULL, List.of()));
+            choice.onEvent(0, request(0));
+            choice.onEvent(100 * MS, new ShutdownStarted(500 * MS));
             int before = sent.refused;
             for (long now = 100 * MS; now < 600 * MS; now += 10 * MS) {
-                choice.on(now, new TimerFired(2));
+                choice.onEvent(now, new TimerFired(2));
             }
             assertEquals(1, sent.refused - before, () -> "refused by the end: " + effect);
         }
@@ -312,10 +314,10 @@
 
     @Test
     void whatHasNoTryLeftIsNotCalledOff() {
-        Choice choice = choice(10, Effect.SAFE);
-        RequestClass once =
-                new RequestClass("r", Effect.SAFE, Group.ALL, 0, 300 * MS, TIMEOUT, 1, 0.5, false, 1, TIMEOUT);
-        choice.on(0, new Reconfigured(List.of(once), 10));
+        LoadBalancer choice = choice(10, Idempotency.SAFE);
+        RequestClass once = new RequestClass(
+                "r", Idempotency.SAFE, DedupScope.ALL, 0, 300 * MS, TIMEOUT, 1, 0.5, false, 1, TIMEOUT);
+        choice.onEvent(0, new Reconfigured(List.of(once), 10));
         assertEquals(
                 0, calledOffAfter(choice, 1_180 * MS, NEVER), "it would be answered here while its host is at work");
     }
@@ -323,12 +325,14 @@
     /** With a single server there is no other to go to. */
     @Test
     void whatCanGoNowhereElseIsNotCalledOff() {
-        Choice choice = choice(64, Effect.SAFE);
-        choice.on(
-                0, new ListReceived(ListKind.WHOLE, List.of(new ServerInfo("i-0", "z", "", 0, Readiness.READY, 3, 0))));
-        choice.on(0, request(0));
+        LoadBalancer choice = choice(64, Idempotency.SAFE);
+        choice.onEvent(
+                0,
+                new ServerListReceived(
+                        ServerListKind.FULL, List.of(new ServerInfo("i-0", "z", "", 0, Readiness.READY, 3, 0))));
+        choice.onEvent(0, request(0));
         for (long now = 0; now < 1_100 * MS; now += 20 * MS) {
-            choice.on(now, new TimerFired(2));
+            choice.onEvent(now, new TimerFired(2));
         }
         assertEquals(1, sent.servers.size());
         assertEquals(0, sent.cancelled);
--- a/src/test/java/tinworks/policy/TryBudgetTest.java
+++ b/src/test/java/tinworks/policy/TryBudgetTest.java
@@ -16,25 +16,25 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import tinworks.policy.Protocol.Actions;
-import tinworks.policy.Protocol.Allowed;
-import tinworks.policy.Protocol.AttemptEnded;
-import tinworks.policy.Protocol.ClientLeft;
-import tinworks.policy.Protocol.Effect;
-import tinworks.policy.Protocol.Ending;
-import tinworks.policy.Protocol.Event;
-import tinworks.policy.Protocol.Group;
-import tinworks.policy.Protocol.ListKind;
-import tinworks.policy.Protocol.ListReceived;
-import tinworks.policy.Protocol.Outcome;
-import tinworks.policy.Protocol.Readiness;
-import tinworks.policy.Protocol.Reconfigured;
-import tinworks.policy.Protocol.RequestArrived;
-import tinworks.policy.Protocol.RequestClass;
-import tinworks.policy.Protocol.Rules;
-import tinworks.policy.Protocol.ServerInfo;
-import tinworks.policy.Protocol.Settings;
-import tinworks.policy.Protocol.TimerFired;
+import tinworks.policy.LoadBalancerApi.Actions;
+import tinworks.policy.LoadBalancerApi.AttemptEnded;
+import tinworks.policy.LoadBalancerApi.ClientDisconnected;
+import tinworks.policy.LoadBalancerApi.DedupScope;
+import tinworks.policy.LoadBalancerApi.Event;
+import tinworks.policy.LoadBalancerApi.Idempotency;
+import tinworks.policy.LoadBalancerApi.Outcome;
+import tinworks.policy.LoadBalancerApi.Permissions;
+import tinworks.policy.LoadBalancerApi.PolicyParameters;
+import tinworks.policy.LoadBalancerApi.Readiness;
+import tinworks.policy.LoadBalancerApi.Reconfigured;
+import tinworks.policy.LoadBalancerApi.RequestArrived;
+import tinworks.policy.LoadBalancerApi.RequestClass;
+import tinworks.policy.LoadBalancerApi.ServerInfo;
+import tinworks.policy.LoadBalancerApi.ServerListKind;
+import tinworks.policy.LoadBalancerApi.ServerListReceived;
+import tinworks.policy.LoadBalancerApi.Settings;
+import tinworks.policy.LoadBalancerApi.ShutdownStarted;
+import tinworks.policy.LoadBalancerApi.TimerFired;
 import tinworks.policy.State.Request;
 
 /** A request's tries, however its attempts end and whatever hosts and versions do meanwhile. */
@@ -63,7 +63,7 @@
         }
 
         boolean mayHaveRun() {
-            return outcome == null || !outcome.provesItNeverRan();
+            return outcome == null || !outcome.provesNotExecuted();
         }
     }
 
@@ -79,13 +79,13 @@
         Asked(RequestClass came, long deadline) {
             route = came.name();
             this.deadline = deadline;
-            tries = came.tries();
-            unsafe = came.effect() == Effect.UNSAFE;
+            tries = came.maxAttempts();
+            unsafe = came.idempotency() == Idempotency.UNSAFE;
         }
 
         void take(RequestClass version) {
-            tries = Math.min(tries, version.tries());
-            unsafe |= version.effect() == Effect.UNSAFE;
+            tries = Math.min(tries, version.maxAttempts());
+            unsafe |= version.idempotency() == Idempotency.UNSAFE;
         }
 
         boolean mayHaveRun() {
@@ -95,7 +95,7 @@
 
     /** Makes the module under test. */
     private interface Maker {
-        Choice make(Settings settings, Actions actions);
+        LoadBalancer make(Settings settings, Actions actions);
     }
 
     /** A small world that is driven by numbers, and what broke a rule in it. */
@@ -103,22 +103,24 @@
         final Set<String> broken = new TreeSet<>();
         private final Map<String, RequestClass> routes = new LinkedHashMap<>();
         private final Map<String, Asked> asked = new LinkedHashMap<>();
-        private final Choice choice;
+        private final LoadBalancer choice;
         private long now;
         private int ids;
         private int sends;
 
         World(Maker maker) {
-            ROUTES.forEach(name -> routes.put(name, version(name, 2, Effect.SAFE)));
-            Rules rules = new Rules(0, 0, Long.MAX_VALUE, 0.5, 3 * SECOND, 1e9, SECOND, 30, 2.5, 0.5);
+            ROUTES.forEach(name -> routes.put(name, version(name, 2, Idempotency.SAFE)));
+            PolicyParameters rules =
+                    new PolicyParameters(0, 0, Long.MAX_VALUE, 0.5, 3 * SECOND, 1e9, SECOND, 30, 2.5, 0.5);
             choice = maker.make(
-                    new Settings(1, -1, "z", false, MS, classes(), List.of(), 1, new Allowed(32, true, false), rules),
+                    new Settings(
+                            1, -1, "z", false, MS, classes(), List.of(), 1, new Permissions(32, true, false), rules),
                     this);
             IntStream.range(0, SERVERS).forEach(i -> list(i, Readiness.READY));
         }
 
-        private static RequestClass version(String name, int tries, Effect effect) {
-            return new RequestClass(name, effect, Group.ALL, 0, 300 * MS, TIMEOUT, 1, 0.5, false, tries, TIMEOUT);
+        private static RequestClass version(String name, int tries, Idempotency effect) {
+            return new RequestClass(name, effect, DedupScope.ALL, 0, 300 * MS, TIMEOUT, 1, 0.5, false, tries, TIMEOUT);
         }
 
         private List<RequestClass> classes() {
@@ -126,11 +128,12 @@
         }
 
         private void on(Event event) {
-            choice.on(now, event);
+            choice.onEvent(now, event);
         }
 
         private void list(int server, Readiness readiness) {
-            on(new ListReceived(ListKind.CHANGES, List.of(new ServerInfo("i-" + server, "z", "", 0, readiness, 3, 0))));
+            on(new ServerListReceived(
+                    ServerListKind.CHANGES, List.of(new ServerInfo("i-" + server, "z", "", 0, readiness, 3, 0))));
         }
 
         /** Its last digit says what happens, the others to whom. */
@@ -175,7 +178,8 @@
 
         /** A version with other tries, another kind, or without the route; then that comes back. */
         private void change(String route, int which) {
-            RequestClass changed = version(route, 1 + which % MOST_TRIES, Effect.values()[which / MOST_TRIES % 2 * 2]);
+            RequestClass changed =
+                    version(route, 1 + which % MOST_TRIES, Idempotency.values()[which / MOST_TRIES % 2 * 2]);
             routes.remove(route);
             if (which / MOST_TRIES / 2 % 4 == 0) {
                 on(new Reconfigured(classes(), 1));
@@ -198,11 +202,11 @@
 
         private void leaveOrEnd(int which) {
             if (which == 0) {
-                on(new Ending(SECOND));
+                on(new ShutdownStarted(SECOND));
             } else if (!asked.isEmpty()) {
                 String id = List.copyOf(asked.keySet()).get(which % asked.size());
                 asked.get(id).answered = true;
-                on(new ClientLeft(id));
+                on(new ClientDisconnected(id));
             }
         }
 
@@ -259,20 +263,20 @@
     @Property(tries = 3_000, seed = SEED)
     void noRequestGoesToMoreHostsThanAnyVersionOfItsRouteAllowedSinceItCame(
             @ForAll @Size(min = 40, max = 200) List<@IntRange(max = LARGEST_STEP) Integer> steps) {
-        World world = new World((settings, actions) -> new Choice(settings, 1, actions));
+        World world = new World((settings, actions) -> new LoadBalancer(settings, 1, actions));
         steps.forEach(world::step);
         assertEquals(Set.of(), world.broken);
     }
 
     /** A version replaces what a request under way came with. */
-    private static final class Forgetful extends Choice {
+    private static final class Forgetful extends LoadBalancer {
         Forgetful(Settings settings, Actions actions) {
             super(settings, 1, actions);
         }
 
         @Override
         void restrict(Request request, RequestClass version) {
-            request.tries = version.tries();
+            request.tries = version.maxAttempts();
             request.strictest = version;
         }
     }
--- a/src/test/java/tinworks/soak/BooksTest.java
+++ b/src/test/java/tinworks/soak/BooksTest.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import tinworks.policy.Protocol.Outcome;
+import tinworks.policy.LoadBalancerApi.Outcome;
 import tinworks.soak.Books.Sent;
 
 /** The books notice each breach that they are for, and excuse what the rules excuse. */
