--- a/src/main/java/tinworks/edge/EdgeMetrics.java
+++ b/src/main/java/tinworks/edge/EdgeMetrics.java
@@ -7,7 +7,7 @@
 import tinworks.net.ClientServer;
 import tinworks.net.ClientTally;
 import tinworks.net.Forwarding;
-import tinworks.net.Tally;
+import tinworks.net.ForwardingCounters;
 import tinworks.node.StallWatch;
 import tinworks.policy.LoadBalancerApi.Outcome;
 import tinworks.policy.Reason;
@@ -29,18 +29,18 @@
 
     /** What concerns one service. */
     static void add(MetricsPage page, String service, Forwarding forwarding) {
-        Tally tally = forwarding.tally();
-        page.counter("requests", "Requests taken on", (double) tally.requestsTaken(), "service", service)
+        ForwardingCounters tally = forwarding.counters();
+        page.counter("requests", "Requests taken on", (double) tally.requestsAccepted(), "service", service)
                 .counter(
                         "requests_abandoned",
                         "Requests whose clients left before their answer",
-                        (double) tally.clientsLeft(),
+                        (double) tally.requestsAbandoned(),
                         "service",
                         service)
                 .counter(
                         "attempt_seconds",
                         "The time of all attempts together",
-                        tally.secondsOfAttempts(),
+                        tally.attemptSeconds(),
                         "service",
                         service)
                 .gauge("requests_open", "Requests without their end", forwarding.open(), "service", service);
--- a/src/main/java/tinworks/edge/EdgeNode.java
+++ b/src/main/java/tinworks/edge/EdgeNode.java
@@ -27,11 +27,11 @@
 import tinworks.json.Address;
 import tinworks.metrics.MetricsPage;
 import tinworks.net.ClientServer;
-import tinworks.net.EndedRequest;
 import tinworks.net.Forwarding;
 import tinworks.net.GatewayClock;
 import tinworks.net.HostPool;
 import tinworks.net.Transport;
+import tinworks.net.UnservedRequest;
 import tinworks.node.BootSettings;
 import tinworks.node.StallWatch;
 import tinworks.platform.HostPoller;
@@ -47,7 +47,7 @@
  * An edge gateway at work. It keeps a link to every core machine and follows them ({@link CoreFollower}); what it knows
  * it goes on serving on, whether or not a core machine can be reached. All on one event loop.
  */
-public final class EdgeNode implements CoreFollower.Callbacks, Forwarding.Owner {
+public final class EdgeNode implements CoreFollower.Callbacks, Forwarding.Callbacks {
     private static final Logger LOG = LoggerFactory.getLogger(EdgeNode.class);
     private static final int PROBES = 32;
     private static final int PROBE_HEAD = 4_096;
@@ -223,7 +223,7 @@
     }
 
     private void tellOfEnd(Forwarding service) {
-        service.tell(
+        service.dispatch(
                 new ShutdownStarted(TimeUnit.MILLISECONDS.toNanos(Math.max(0, endsAtMillis - SteadyClock.millis()))));
     }
 
@@ -246,7 +246,7 @@
         }
         sayWhetherReady();
         if (++ticks % TICKS_PER_CHECK == 0) {
-            services.values().forEach(Forwarding::failForgotten);
+            services.values().forEach(Forwarding::failOverdue);
             dropUnused();
         }
         links.want(core.addressesToDial(current.seeds()));
@@ -342,7 +342,7 @@
             List<RequestClass> itsClasses = classes.get(service);
             Forwarding there = services.get(service);
             if (there != null) {
-                there.tell(new Reconfigured(itsClasses, core.edgeCount()));
+                there.dispatch(new Reconfigured(itsClasses, core.edgeCount()));
             } else if (!itsClasses.isEmpty()) {
                 Forwarding made = new Forwarding(
                         loop,
@@ -353,7 +353,7 @@
                         style,
                         this);
                 services.put(service, made);
-                made.tell(new ServerListReceived(ServerListKind.FULL, servers(service)));
+                made.dispatch(new ServerListReceived(ServerListKind.FULL, servers(service)));
                 if (ending) {
                     tellOfEnd(made);
                 }
@@ -361,7 +361,7 @@
         }
         for (Map.Entry<String, Forwarding> entry : List.copyOf(services.entrySet())) {
             if (!configuration.services().containsKey(entry.getKey())) {
-                entry.getValue().tell(new Reconfigured(List.of(), core.edgeCount()));
+                entry.getValue().dispatch(new Reconfigured(List.of(), core.edgeCount()));
             }
         }
     }
@@ -405,7 +405,7 @@
     private void listed(List<Host> found) {
         Map<String, Host> next = new LinkedHashMap<>();
         Map<String, List<ServerInfo>> changed = new HashMap<>();
-        List<HostPool.Place> places = new ArrayList<>();
+        List<HostPool.HostEntry> places = new ArrayList<>();
         for (Host told : readable(found)) {
             Host host = drained.kept(told);
             Host old = known.get(host.id());
@@ -416,7 +416,7 @@
             }
             if (old == null || !old.sameAs(host)) {
                 startedAt.computeIfAbsent(host.id(), id -> startOf(host));
-                places.add(new HostPool.Place(
+                places.add(new HostPool.HostEntry(
                         host.id(), Address.read(host.address()), startedAt.get(host.id()), !host.draining(), false));
                 changed.computeIfAbsent(host.service(), service -> new ArrayList<>())
                         .add(server(host));
@@ -424,7 +424,7 @@
         }
         for (Host old : known.values()) {
             if (!next.containsKey(old.id())) {
-                places.add(new HostPool.Place(
+                places.add(new HostPool.HostEntry(
                         old.id(), Address.read(old.address()), startedAt.get(old.id()), false, true));
                 changed.computeIfAbsent(old.service(), service -> new ArrayList<>())
                         .add(server(old, Readiness.REMOVED));
@@ -436,7 +436,7 @@
         changed.forEach((service, servers) -> {
             Forwarding forwarding = services.get(service);
             if (forwarding != null) {
-                forwarding.tell(new ServerListReceived(ServerListKind.CHANGES, servers));
+                forwarding.dispatch(new ServerListReceived(ServerListKind.CHANGES, servers));
             }
         });
         if (!listed) {
@@ -493,7 +493,7 @@
     }
 
     @Override
-    public void tellAll(byte[] body) {
+    public void broadcast(byte[] body) {
         // Settings without messages between gateways never ask for one.
     }
 
@@ -509,7 +509,7 @@
     }
 
     @Override
-    public void ended(EndedRequest request) {
+    public void requestEnded(UnservedRequest request) {
         journal.ended(request, core.rev());
     }
 }
--- a/src/main/java/tinworks/edge/EdgeProtocol.java
+++ b/src/main/java/tinworks/edge/EdgeProtocol.java
@@ -17,15 +17,15 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import tinworks.net.ClientServer.Reply;
-import tinworks.net.ForwardingStyle;
+import tinworks.net.ForwardingProtocol;
 import tinworks.net.HostPool;
-import tinworks.net.HostPool.Answer;
-import tinworks.net.HostPool.Whose;
+import tinworks.net.HostPool.Response;
+import tinworks.net.HostPool.ResponseMatch;
 import tinworks.policy.LoadBalancerApi.LoadReport;
 import tinworks.policy.LoadBalancerApi.Outcome;
 
 /** How requests and answers look in the system's protocol. */
-class EdgeProtocol implements ForwardingStyle, HostPool.Dialect {
+class EdgeProtocol implements ForwardingProtocol, HostPool.ResponseClassifier {
     static final AsciiString ID = AsciiString.cached("Attempt-Id");
     static final AsciiString DEADLINE = AsciiString.cached("Deadline-Ms");
     private static final AsciiString WANT = AsciiString.cached("Want-Host");
@@ -73,12 +73,12 @@
     }
 
     @Override
-    public long restedNanos(String requestClass) {
+    public long maxIdleNanos(String requestClass) {
         return mutating.contains(requestClass) ? HARDLY_RESTED_NANOS : Long.MAX_VALUE;
     }
 
     @Override
-    public void served(Reply reply, Answer answer) {
+    public void relay(Reply reply, Response answer) {
         HttpHeaders headers = EndToEndHeaders.of(answer.head().headers());
         String length = answer.head().headers().get(HttpHeaderNames.CONTENT_LENGTH);
         if (length != null) {
@@ -90,25 +90,25 @@
 
     /** Guards against all who were refused in one moment coming back in another. */
     @Override
-    public void refused(Reply reply, long pauseNanos) {
+    public void refuse(Reply reply, long pauseNanos) {
         long pause = Math.max(pauseNanos, LEAST_PAUSE_NANOS);
         reply.text(HttpResponseStatus.SERVICE_UNAVAILABLE, "not run: come back later", pause + random.nextLong(pause));
     }
 
     /** Guards against a status that promises that the request has not run, where it may have. */
     @Override
-    public void failed(Reply reply, Answer last) {
+    public void fail(Reply reply, Response last) {
         if (last != null
                 && !PROMISES.contains(last.head().status().code())
                 && last.head().status().code() >= 300) {
-            served(reply, last);
+            relay(reply, last);
         } else {
             reply.write(HttpResponseStatus.BAD_GATEWAY, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER, 0);
         }
     }
 
     @Override
-    public boolean provesSuccess(String request, Answer answer) {
+    public boolean provesSuccess(String request, Response answer) {
         HttpHeaders headers = answer.head().headers();
         int status = answer.head().status().code();
         List<String> ids = headers.getAll(ID);
@@ -121,12 +121,14 @@
 
     /** Guards against believing an answer, or the proof in it that nothing ran, that is some other request's. */
     @Override
-    public Whose whose(String request, HttpHeaders headers) {
+    public ResponseMatch match(String request, HttpHeaders headers) {
         List<String> ids = headers.getAll(ID);
-        return ids.size() != 1 ? Whose.NOBODYS : ids.get(0).equals(request) ? Whose.OWN : Whose.ANOTHERS;
+        return ids.size() != 1
+                ? ResponseMatch.UNIDENTIFIED
+                : ids.get(0).equals(request) ? ResponseMatch.THIS_REQUEST : ResponseMatch.OTHER_REQUEST;
     }
 
-    /** Guards against a success that isn't the host's own whole answer; {@link #whose} has judged its id. */
+    /** Guards against a success that isn't the host's own whole answer; {@link #match} has judged its id. */
     @Override
     public Outcome outcome(String request, HttpResponse head, boolean framed) {
         int status = head.status().code();
--- a/src/main/java/tinworks/edge/EdgeWarmUp.java
+++ b/src/main/java/tinworks/edge/EdgeWarmUp.java
@@ -45,7 +45,7 @@
  * a core costs more than all requests of the first seconds. It ends as soon as a client is there, after some seconds at
  * the latest, or when its requests are through; nothing of it outlives it. All on the edge's event loop.
  */
-final class EdgeWarmUp implements Forwarding.Owner {
+final class EdgeWarmUp implements Forwarding.Callbacks {
     private static final Logger LOG = LoggerFactory.getLogger(EdgeWarmUp.class);
     private static final int REQUESTS = 150;
     private static final int CLIENTS = 2;
@@ -133,10 +133,10 @@
 
     private void open(SocketAddress hosts) {
         List<ServerInfo> servers = new ArrayList<>();
-        List<HostPool.Place> places = new ArrayList<>();
+        List<HostPool.HostEntry> places = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
             servers.add(new ServerInfo("host-" + i, "", "", 0, Readiness.READY, 1, 0));
-            places.add(new HostPool.Place("host-" + i, hosts, 0, true, false));
+            places.add(new HostPool.HostEntry("host-" + i, hosts, 0, true, false));
         }
         Configuration made = new Configuration(
                 1,
@@ -153,7 +153,7 @@
                 this);
         services.put(SERVICE, forwarding);
         pool.update(places, true);
-        forwarding.tell(new ServerListReceived(ServerListKind.FULL, servers));
+        forwarding.dispatch(new ServerListReceived(ServerListKind.FULL, servers));
         requests.use(new RouteTable(made.routes()));
         clients.listen(new InetSocketAddress(LOOPBACK, 0)).addListener(bound -> {
             if (bound.isSuccess()) {
@@ -196,7 +196,7 @@
         if (!over) {
             over = true;
             long served = services.values().stream()
-                    .mapToLong(s -> s.tally().attemptsByOutcome().getOrDefault(Outcome.SERVED, 0L))
+                    .mapToLong(s -> s.counters().attemptsByOutcome().getOrDefault(Outcome.SERVED, 0L))
                     .sum();
             services.values().forEach(Forwarding::close);
             clients.close();
@@ -222,7 +222,7 @@
     }
 
     @Override
-    public void tellAll(byte[] body) {
+    public void broadcast(byte[] body) {
         // There is nobody else.
     }
 
--- a/src/main/java/tinworks/edge/RequestJournal.java
+++ b/src/main/java/tinworks/edge/RequestJournal.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import tinworks.net.EndedRequest;
-import tinworks.net.EndedRequest.Ending;
+import tinworks.net.UnservedRequest;
+import tinworks.net.UnservedRequest.Ending;
 
 /**
  * The requests that ended without a host's success, so that each can be explained afterwards: the latest of them are
@@ -46,7 +46,7 @@
     }
 
     /** Takes down a request that ended while this version was in force. */
-    void ended(EndedRequest request, long rev) {
+    void ended(UnservedRequest request, long rev) {
         String line = request.line() + " version=" + rev;
         if (kept.size() == MOST_KEPT) {
             kept.removeFirst();
--- a/src/main/java/tinworks/edge/RequestRouter.java
+++ b/src/main/java/tinworks/edge/RequestRouter.java
@@ -11,12 +11,12 @@
 import tinworks.config.Configuration.Route;
 import tinworks.config.Configuration.Split;
 import tinworks.edge.RouteTable.Target;
+import tinworks.net.AttemptLimit;
 import tinworks.net.ClientServer;
 import tinworks.net.ClientServer.BadRequest;
 import tinworks.net.ClientServer.Reply;
 import tinworks.net.Forwarding;
 import tinworks.net.GatewayClock;
-import tinworks.net.RunLimit;
 import tinworks.policy.LoadBalancerApi.RequestArrived;
 
 /** Takes clients' requests: finds each one's route, draws its service, and hands it to that service's module. */
@@ -65,7 +65,7 @@
     public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
         if (routes == null) {
             unconfigured++;
-            style.refused(reply, NO_ROUTES_PAUSE_NANOS);
+            style.refuse(reply, NO_ROUTES_PAUSE_NANOS);
             return;
         }
         List<String> domains = request.headers().getAll(HttpHeaderNames.HOST);
@@ -87,14 +87,14 @@
         long heldUp = reply.queueingDelayNanos();
         if (left <= heldUp) {
             overdue++;
-            style.refused(reply, 0);
+            style.refuse(reply, 0);
             return;
         }
         services.get(draw(route))
                 .begin(
                         now,
                         new RequestArrived(ids.get(0), target.className(), null, null, left, 0, false, heldUp),
-                        new RunLimit(route.type() == Configuration.Type.MUTATING, route.tries()),
+                        new AttemptLimit(route.type() == Configuration.Type.MUTATING, route.tries()),
                         request,
                         reply);
     }
--- a/src/main/java/tinworks/load/LoadClients.java
+++ b/src/main/java/tinworks/load/LoadClients.java
@@ -22,8 +22,8 @@
 import java.util.concurrent.TimeUnit;
 import tinworks.net.GatewayClock;
 import tinworks.net.HostPool;
-import tinworks.net.HostPool.Answer;
-import tinworks.net.HostPool.Place;
+import tinworks.net.HostPool.HostEntry;
+import tinworks.net.HostPool.Response;
 import tinworks.net.Transport;
 import tinworks.policy.LoadBalancerApi.LoadReport;
 import tinworks.policy.LoadBalancerApi.Outcome;
@@ -55,7 +55,7 @@
         default void sending(String attemptId, String gateway, FullHttpRequest request) {}
 
         /** How a try ended; the answer is null where none came whole, and the watcher's for the call's length. */
-        default void ended(String attemptId, Outcome outcome, Answer answer) {}
+        default void ended(String attemptId, Outcome outcome, Response answer) {}
     }
 
     private static final int MOST_TRIES = 5;
@@ -100,12 +100,12 @@
 
     /** From now on tries go to these, each as likely as the others. */
     public void gateways(List<InetSocketAddress> addresses) {
-        List<Place> places = new ArrayList<>();
+        List<HostEntry> places = new ArrayList<>();
         for (InetSocketAddress address : addresses) {
-            places.add(new Place(name(address), address, 1, true, false));
+            places.add(new HostEntry(name(address), address, 1, true, false));
         }
         pool.update(places, true);
-        gateways = places.stream().map(Place::id).toList();
+        gateways = places.stream().map(HostEntry::id).toList();
     }
 
     private static String name(InetSocketAddress address) {
@@ -225,7 +225,7 @@
             return Unpooled.wrappedBuffer(body);
         }
 
-        private void ended(String id, Outcome outcome, long at, Answer answer) {
+        private void ended(String id, Outcome outcome, long at, Response answer) {
             if (outcome == Outcome.SERVED) {
                 results.get(kind).served(at - due, kind.aimMillis());
                 open--;
@@ -270,7 +270,7 @@
         }
     }
 
-    private static final class ClientDialect implements HostPool.Dialect {
+    private static final class ClientDialect implements HostPool.ResponseClassifier {
         @Override
         public Outcome outcome(String request, HttpResponse head, boolean framed) {
             boolean served = framed
--- a/src/main/java/tinworks/net/AnswerReader.java
+++ b/src/main/java/tinworks/net/AnswerReader.java
@@ -34,7 +34,7 @@
         boolean asksForHead();
 
         /** Whose answer begins with this head, which is not an informational one. */
-        HostPool.Whose whose(HttpResponse head);
+        HostPool.ResponseMatch whose(HttpResponse head);
 
         /**
          * The answer has come whole; {@code framed} says that its head told its length, {@code clean} that nothing came
@@ -142,10 +142,11 @@
      * later answer on the connection for that of the request before it. One that names another request is passed over,
      * as the own one is still to come; one that names none proves nothing.
      */
-    private void judge(HostPool.Whose whose) {
-        passingOver = whose == HostPool.Whose.ANOTHERS;
+    private void judge(HostPool.ResponseMatch whose) {
+        passingOver = whose == HostPool.ResponseMatch.OTHER_REQUEST;
         passedOver += passingOver ? 1 : 0;
-        spoilt = whose == HostPool.Whose.NOBODYS || (passingOver && (!framed || passedOver > MOST_PASSED_OVER));
+        spoilt = whose == HostPool.ResponseMatch.UNIDENTIFIED
+                || (passingOver && (!framed || passedOver > MOST_PASSED_OVER));
     }
 
     /**
--- a/src/main/java/tinworks/net/AttemptList.java
+++ b/src/main/java/tinworks/net/AttemptList.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import tinworks.net.EndedRequest.AttemptSummary;
+import tinworks.net.UnservedRequest.AttemptSummary;
 
 /** The attempts of one request at hosts, in their order. */
 final class AttemptList {
--- a/src/main/java/tinworks/net/BalancerStyle.java
+++ b/src/main/java/tinworks/net/BalancerProtocol.java
@@ -5,15 +5,15 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import tinworks.net.ClientServer.Reply;
-import tinworks.net.HostPool.Answer;
+import tinworks.net.HostPool.Response;
 import tinworks.policy.LoadBalancerApi.LoadReport;
 import tinworks.policy.LoadBalancerApi.Outcome;
 
 /** How requests and answers look in the earlier protocol. */
-final class BalancerStyle implements ForwardingStyle, HostPool.Dialect {
-    static final BalancerStyle INSTANCE = new BalancerStyle();
+final class BalancerProtocol implements ForwardingProtocol, HostPool.ResponseClassifier {
+    static final BalancerProtocol INSTANCE = new BalancerProtocol();
 
-    private BalancerStyle() {}
+    private BalancerProtocol() {}
 
     @Override
     public FullHttpRequest forHost(FullHttpRequest request, String host, long timeoutNanos) {
@@ -21,22 +21,22 @@
     }
 
     @Override
-    public long restedNanos(String requestClass) {
+    public long maxIdleNanos(String requestClass) {
         return Long.MAX_VALUE;
     }
 
     @Override
-    public void served(Reply reply, Answer answer) {
+    public void relay(Reply reply, Response answer) {
         reply.ok(answer.body());
     }
 
     @Override
-    public void refused(Reply reply, long pauseNanos) {
+    public void refuse(Reply reply, long pauseNanos) {
         reply.text(HttpResponseStatus.SERVICE_UNAVAILABLE, "refused: trying again is harmless", pauseNanos);
     }
 
     @Override
-    public void failed(Reply reply, Answer last) {
+    public void fail(Reply reply, Response last) {
         reply.text(HttpResponseStatus.BAD_GATEWAY, "failed: it may have run", 0);
     }
 
--- a/src/main/java/tinworks/net/EndpointList.java
+++ b/src/main/java/tinworks/net/EndpointList.java
@@ -39,9 +39,9 @@
     }
 
     /** The same for the pool of connections. */
-    List<HostPool.Place> places() {
+    List<HostPool.HostEntry> places() {
         return endpoints.stream()
-                .map(e -> new HostPool.Place(
+                .map(e -> new HostPool.HostEntry(
                         e.info().id(),
                         e.address(),
                         e.info().startedAtNanos(),
--- a/src/main/java/tinworks/net/Forwarding.java
+++ b/src/main/java/tinworks/net/Forwarding.java
@@ -11,9 +11,9 @@
 import tinworks.invariant.Invariant;
 import tinworks.net.ClientServer.BadRequest;
 import tinworks.net.ClientServer.Reply;
-import tinworks.net.EndedRequest.AttemptSummary;
-import tinworks.net.EndedRequest.Ending;
-import tinworks.net.HostPool.Answer;
+import tinworks.net.HostPool.Response;
+import tinworks.net.UnservedRequest.AttemptSummary;
+import tinworks.net.UnservedRequest.Ending;
 import tinworks.policy.LoadBalancer;
 import tinworks.policy.LoadBalancerApi.Actions;
 import tinworks.policy.LoadBalancerApi.AttemptEnded;
@@ -34,18 +34,18 @@
  */
 public final class Forwarding implements Actions {
     /** What of the module's actions isn't about requests. */
-    public interface Owner {
+    public interface Callbacks {
         /** The module wants the list of hosts, and changes to it. */
         void subscribe();
 
         /** The module has a message for all other gateways. */
-        void tellAll(byte[] body);
+        void broadcast(byte[] body);
 
         /** A line for the operators. */
         void log(String line);
 
         /** A request ended without a host's success. */
-        default void ended(EndedRequest request) {}
+        default void requestEnded(UnservedRequest request) {}
 
         /** Whether a host may get new requests by the newest list; only checked, not decided by. */
         default boolean isReady(String host) {
@@ -59,12 +59,12 @@
     private final EventLoop loop;
     private final GatewayClock clock;
     private final HostPool hosts;
-    private final ForwardingStyle style;
-    private final Owner owner;
+    private final ForwardingProtocol style;
+    private final Callbacks owner;
     private final LoadBalancer choice;
     private final Map<String, OpenRequest> open = new HashMap<>();
     private final ArrayDeque<Stamped> events = new ArrayDeque<>();
-    private final Tally tally = new Tally();
+    private final ForwardingCounters tally = new ForwardingCounters();
     private long last = Long.MIN_VALUE;
     private boolean deciding;
     /** The request that the module last acted on in the decision under way, or null. */
@@ -81,8 +81,8 @@
             Settings settings,
             long seed,
             HostPool hosts,
-            ForwardingStyle style,
-            Owner owner) {
+            ForwardingProtocol style,
+            Callbacks owner) {
         this.loop = loop;
         this.clock = clock;
         this.hosts = hosts;
@@ -92,7 +92,7 @@
     }
 
     /** Takes on a request, which from here on gets one answer; the limit is only checked, not decided by. */
-    public void begin(long at, RequestArrived arrived, RunLimit limit, FullHttpRequest request, Reply reply)
+    public void begin(long at, RequestArrived arrived, AttemptLimit limit, FullHttpRequest request, Reply reply)
             throws BadRequest {
         if (open.containsKey(arrived.id())) {
             throw new BadRequest(HttpResponseStatus.CONFLICT, "a request with this id is open");
@@ -102,11 +102,11 @@
         open.put(r.id, r);
         tally.began();
         reply.onClientDisconnect(r::clientLeft);
-        tell(at, arrived);
+        dispatch(at, arrived);
     }
 
     /** What became of requests so far; it goes on counting. */
-    public Tally tally() {
+    public ForwardingCounters counters() {
         return tally;
     }
 
@@ -120,7 +120,7 @@
      * called about once a second; only what is found twice counts, since after a stall of the event loop this may come
      * before the work that is due.
      */
-    public void failForgotten() {
+    public void failOverdue() {
         long before = clock.nanos() - FORGOTTEN_NANOS;
         for (OpenRequest r : List.copyOf(open.values())) {
             if (r.reply.isDone() || r.expiresAt > before) {
@@ -132,7 +132,7 @@
             }
             Invariant.ANSWERED_IN_TIME.violated(r.id + " of " + r.requestClass + " has no answer");
             fail(r.id, Reason.FAULT);
-            tell(new ClientDisconnected(r.id));
+            dispatch(new ClientDisconnected(r.id));
         }
     }
 
@@ -142,12 +142,12 @@
     }
 
     /** Tells the module of something now. */
-    public void tell(Event event) {
-        tell(clock.nanos(), event);
+    public void dispatch(Event event) {
+        dispatch(clock.nanos(), event);
     }
 
     /** The one way into the module. Its times never go back, even where events are stamped earlier. */
-    private void tell(long at, Event event) {
+    private void dispatch(long at, Event event) {
         events.add(new Stamped(at, event));
         if (deciding) {
             return;
@@ -183,7 +183,7 @@
         OpenRequest r = open.get(id);
         if (r != null && !r.reply.isDone()) {
             fail(id, Reason.FAULT);
-            tell(new ClientDisconnected(id));
+            dispatch(new ClientDisconnected(id));
         }
     }
 
@@ -206,7 +206,7 @@
             tally.refused(reason);
             r.checkPromise();
             r.ends(Ending.REFUSED, reason);
-            style.refused(r.reply, pauseNanos);
+            style.refuse(r.reply, pauseNanos);
             r.forgetIfOver();
         }
     }
@@ -226,7 +226,7 @@
             if (r.lastAnswer != null) {
                 r.holdUntilWritten(r.lastAnswer);
             }
-            style.failed(r.reply, r.lastAnswer);
+            style.fail(r.reply, r.lastAnswer);
             r.forgetIfOver();
         }
     }
@@ -245,7 +245,7 @@
         loop.schedule(
                 () -> {
                     if (!closed) {
-                        tell(new TimerFired(token, clock.heldUpNanos()));
+                        dispatch(new TimerFired(token, clock.heldUpNanos()));
                     }
                 },
                 delayNanos,
@@ -259,7 +259,7 @@
 
     @Override
     public void sendToPeers(byte[] body) {
-        owner.tellAll(body);
+        owner.broadcast(body);
     }
 
     @Override
@@ -268,12 +268,12 @@
     }
 
     /** A request that is owed its answer, or whose attempts have not all ended. */
-    private final class OpenRequest implements HostPool.Listener {
+    private final class OpenRequest implements HostPool.AttemptListener {
         private final String id;
         private final String requestClass;
         private final long beganAt;
         private final long expiresAt;
-        private final RunLimit limit;
+        private final AttemptLimit limit;
         private final long heldUpNanos;
         private final FullHttpRequest request;
         private final Reply reply;
@@ -282,9 +282,9 @@
         /** It was found without an answer after its time once. */
         private boolean overdue;
         /** A whole answer that did not serve, kept in case that none does. */
-        private Answer lastAnswer;
+        private Response lastAnswer;
 
-        OpenRequest(long at, RequestArrived arrived, RunLimit limit, FullHttpRequest request, Reply reply) {
+        OpenRequest(long at, RequestArrived arrived, AttemptLimit limit, FullHttpRequest request, Reply reply) {
             beganAt = at;
             expiresAt = at + arrived.expiresInNanos();
             this.limit = limit;
@@ -303,18 +303,19 @@
             checkSend(server, timeoutNanos);
             outstanding++;
             FullHttpRequest copy = style.forHost(request, server, timeoutNanos - heldUpNanos);
-            long restedNanos = style.restedNanos(requestClass);
+            long restedNanos = style.maxIdleNanos(requestClass);
             attempts.add(server, hosts.send(server, id, copy, timeoutNanos, restedNanos, this));
         }
 
         private void checkSend(String server, long timeoutNanos) {
             Invariant.ONE_ANSWER.check(!reply.isDone(), () -> id + " is sent to " + server + " after its end");
             Invariant.RUNS_ONCE.check(
-                    !limit.once() || attempts.proveItNeverRan(),
+                    !limit.atMostOnce() || attempts.proveItNeverRan(),
                     () -> id + " is sent to " + server + " behind " + attemptsSoFar());
             Invariant.TRIES_KEPT.check(
-                    attempts.size() < limit.tries(),
-                    () -> id + " of " + limit.tries() + " tries is sent to " + server + " behind " + attemptsSoFar());
+                    attempts.size() < limit.maxAttempts(),
+                    () -> id + " of " + limit.maxAttempts() + " tries is sent to " + server + " behind "
+                            + attemptsSoFar());
             Invariant.NOT_TO_DRAINED.check(owner.isReady(server), () -> id + " is sent to " + server);
             Invariant.DEADLINE_KEPT.check(
                     timeoutNanos <= expiresAt - last,
@@ -324,11 +325,12 @@
         /** Guards against a promise to a client that what may not run twice has not run, where it may have. */
         void checkPromise() {
             Invariant.PROMISE_KEPT.check(
-                    !limit.once() || attempts.proveItNeverRan(), () -> id + " is refused behind " + attemptsSoFar());
+                    !limit.atMostOnce() || attempts.proveItNeverRan(),
+                    () -> id + " is refused behind " + attemptsSoFar());
         }
 
         @Override
-        public void ended(HostPool.Attempt attempt, Outcome outcome, long at, LoadReport load, Answer answer) {
+        public void ended(HostPool.Attempt attempt, Outcome outcome, long at, LoadReport load, Response answer) {
             int number = attempts.numberOf(attempt);
             outstanding--;
             tally.attempted(outcome, attempt.elapsed(at));
@@ -336,12 +338,12 @@
                 Invariant.OWN_ANSWER.check(
                         style.provesSuccess(id, answer), () -> id + " is answered by " + answer.head());
                 holdUntilWritten(answer);
-                style.served(reply, answer);
+                style.relay(reply, answer);
             } else if (outcome == Outcome.ERROR) {
                 keep(answer);
             }
             forgetIfOver();
-            tell(
+            dispatch(
                     at,
                     new AttemptEnded(
                             id,
@@ -354,7 +356,7 @@
                             clock.heldUpNanos()));
         }
 
-        private void keep(Answer answer) {
+        private void keep(Response answer) {
             if (lastAnswer != null) {
                 lastAnswer.body().release();
                 lastAnswer.reserved().release();
@@ -367,14 +369,14 @@
         }
 
         /** The room of an answer's body is its own until the client has it, or can't have it any more. */
-        private void holdUntilWritten(Answer answer) {
+        private void holdUntilWritten(Response answer) {
             reply.onWritten(answer.reserved().retain()::release);
         }
 
         /** Tells the owner of its end without success. */
         void ends(Ending ending, Reason reason) {
             long held = clock.nanos() - beganAt + heldUpNanos;
-            owner.ended(new EndedRequest(id, requestClass, ending, reason, held, attemptsSoFar()));
+            owner.requestEnded(new UnservedRequest(id, requestClass, ending, reason, held, attemptsSoFar()));
         }
 
         private List<AttemptSummary> attemptsSoFar() {
@@ -385,7 +387,7 @@
             tally.clientLeft();
             ends(Ending.CLIENT_LEFT, null);
             forgetIfOver();
-            tell(new ClientDisconnected(id));
+            dispatch(new ClientDisconnected(id));
         }
 
         private void forgetIfOver() {
--- a/src/main/java/tinworks/net/Tally.java
+++ b/src/main/java/tinworks/net/ForwardingCounters.java
@@ -8,7 +8,7 @@
 import tinworks.policy.Reason;
 
 /** What became of one service's requests since the process started, and of the attempts made for them. One thread's. */
-public final class Tally {
+public final class ForwardingCounters {
     private final long[] attempts = new long[Outcome.values().length];
     private long requests;
     private final long[] refused = new long[Reason.values().length];
@@ -38,7 +38,7 @@
     }
 
     /** Requests taken on. */
-    public long requestsTaken() {
+    public long requestsAccepted() {
         return requests;
     }
 
@@ -53,7 +53,7 @@
     }
 
     /** Requests whose clients left before their answer. */
-    public long clientsLeft() {
+    public long requestsAbandoned() {
         return clientsLeft;
     }
 
@@ -71,7 +71,7 @@
     }
 
     /** The time of all attempts together, in seconds. */
-    public double secondsOfAttempts() {
+    public double attemptSeconds() {
         return (double) attemptNanos / TimeUnit.SECONDS.toNanos(1);
     }
 }
--- a/src/main/java/tinworks/net/ForwardingStyle.java
+++ b/src/main/java/tinworks/net/ForwardingProtocol.java
@@ -2,27 +2,27 @@
 
 import io.netty.handler.codec.http.FullHttpRequest;
 import tinworks.net.ClientServer.Reply;
-import tinworks.net.HostPool.Answer;
+import tinworks.net.HostPool.Response;
 
 /** How requests go to hosts, and answers to clients. */
-public interface ForwardingStyle {
+public interface ForwardingProtocol {
     /** A copy of a client's request for a host, with what is left of its time. */
     FullHttpRequest forHost(FullHttpRequest request, String host, long timeoutNanos);
 
     /** How long a connection may have rested to carry a request of this class. */
-    long restedNanos(String requestClass);
+    long maxIdleNanos(String requestClass);
 
     /** A host's answer goes to the client. */
-    void served(Reply reply, Answer answer);
+    void relay(Reply reply, Response answer);
 
     /** The request is given up, and trying again is harmless, best after the pause (0: no advice). */
-    void refused(Reply reply, long pauseNanos);
+    void refuse(Reply reply, long pauseNanos);
 
     /** The request failed and may have run; {@code last} is a host's last whole answer, or null. */
-    void failed(Reply reply, Answer last);
+    void fail(Reply reply, Response last);
 
     /** Whether an answer that counts as served shows that it is a host's success for the request of this id. */
-    default boolean provesSuccess(String request, Answer answer) {
+    default boolean provesSuccess(String request, Response answer) {
         return true;
     }
 }
--- a/src/main/java/tinworks/net/Gateway.java
+++ b/src/main/java/tinworks/net/Gateway.java
@@ -24,7 +24,7 @@
  * One real gateway of the earlier protocol: clients, hosts, the watch on the list and messages to other gateways round
  * one {@link Forwarding}. Everything runs on one event loop thread.
  */
-final class Gateway implements Forwarding.Owner {
+final class Gateway implements Forwarding.Callbacks {
     /** The platform kills no sooner than the longest deadline and so much more after it asked for an end. */
     private static final long KILLED_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
     /** Of that time, what is left for a signal that comes late and for this process's own stalls. */
@@ -64,12 +64,13 @@
                 clock,
                 new HostPool.Bounds(
                         config.dialTimeoutNanos(), config.idleNanos(), connections / 2, AnswerReader.USUAL_BODY),
-                BalancerStyle.INSTANCE);
+                BalancerProtocol.INSTANCE);
         discovery = new Discovery(
                 loop, transport, config.discovery(), config.known().index(), Discovery.SILENCE_MILLIS, new Watcher());
         clients =
                 new ClientServer(loop, transport, clock, ClientServer.Bounds.defaults(connections / 2), new Requests());
-        forwarding = new Forwarding(loop, clock, config.settings(), config.seed(), hosts, BalancerStyle.INSTANCE, this);
+        forwarding =
+                new Forwarding(loop, clock, config.settings(), config.seed(), hosts, BalancerProtocol.INSTANCE, this);
         peers = config.peers() == null
                 ? null
                 : new Peers(
@@ -175,7 +176,7 @@
     }
 
     private void tell(Event event) {
-        forwarding.tell(event);
+        forwarding.dispatch(event);
     }
 
     @Override
@@ -184,7 +185,7 @@
     }
 
     @Override
-    public void tellAll(byte[] body) {
+    public void broadcast(byte[] body) {
         if (peers != null) {
             peers.tellAll(body);
         }
@@ -224,7 +225,8 @@
         @Override
         public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
             long at = clock.nanos();
-            forwarding.begin(at, RequestReader.read(request, classes, at - arrivedAt), RunLimit.NONE, request, reply);
+            forwarding.begin(
+                    at, RequestReader.read(request, classes, at - arrivedAt), AttemptLimit.NONE, request, reply);
         }
     }
 }
--- a/src/main/java/tinworks/net/HostPool.java
+++ b/src/main/java/tinworks/net/HostPool.java
@@ -32,28 +32,28 @@
  */
 public final class HostPool {
     /** Told once for each attempt, on the event loop, never from within {@link #send} or a cancel. */
-    public interface Listener {
+    public interface AttemptListener {
         /** {@code answer} is there where a whole one came, and is the listener's for the call's length. */
-        void ended(Attempt attempt, Outcome outcome, long atNanos, LoadReport load, Answer answer);
+        void ended(Attempt attempt, Outcome outcome, long atNanos, LoadReport load, Response answer);
     }
 
     /** A host's whole answer, and the room that its body takes of the pool's budget. */
-    public record Answer(HttpResponse head, ByteBuf body, Reservation reserved) {}
+    public record Response(HttpResponse head, ByteBuf body, Reservation reserved) {}
 
     /** Whose an answer is: by the id that it repeats, where hosts repeat ids. */
-    public enum Whose {
-        OWN,
-        ANOTHERS,
-        NOBODYS
+    public enum ResponseMatch {
+        THIS_REQUEST,
+        OTHER_REQUEST,
+        UNIDENTIFIED
     }
 
     /** How hosts say what became of a request. */
-    public interface Dialect {
+    public interface ResponseClassifier {
         /**
          * Whether an answer with these headers is the one to the request of this id; so it is where none repeats an id.
          */
-        default Whose whose(String request, HttpHeaders headers) {
-            return Whose.OWN;
+        default ResponseMatch match(String request, HttpHeaders headers) {
+            return ResponseMatch.THIS_REQUEST;
         }
 
         /** What a whole answer to the request of this id means; {@code framed} says that its head told its length. */
@@ -64,7 +64,7 @@
     }
 
     /** One host and where it is; {@code startedAt} in the clock's time, 0 where the start is long ago. */
-    public record Place(String id, SocketAddress address, long startedAt, boolean ready, boolean gone) {}
+    public record HostEntry(String id, SocketAddress address, long startedAtNanos, boolean ready, boolean removed) {}
 
     /**
      * What connections may cost.
@@ -87,14 +87,15 @@
     private final GatewayClock clock;
     private final Bounds bounds;
     private final ByteBudget answers;
-    private final Dialect dialect;
+    private final ResponseClassifier dialect;
     private final Bootstrap bootstrap;
     private final Map<String, Host> hosts = new HashMap<>();
     private final Future<?> sweeper;
     private int connections;
 
     /** A pool that knows no host yet, with room for all answers. */
-    public HostPool(EventLoop loop, Transport transport, GatewayClock clock, Bounds bounds, Dialect dialect) {
+    public HostPool(
+            EventLoop loop, Transport transport, GatewayClock clock, Bounds bounds, ResponseClassifier dialect) {
         this(loop, transport, clock, bounds, new ByteBudget(Long.MAX_VALUE), dialect);
     }
 
@@ -108,7 +109,7 @@
             GatewayClock clock,
             Bounds bounds,
             ByteBudget answers,
-            Dialect dialect) {
+            ResponseClassifier dialect) {
         this.answers = answers;
         this.loop = loop;
         this.clock = clock;
@@ -126,9 +127,9 @@
      * Takes in a list before the module is told of it, so that each host it names has an address; one that is
      * {@code whole} names all that there are.
      */
-    public void update(List<Place> places, boolean whole) {
+    public void update(List<HostEntry> places, boolean whole) {
         Set<String> named = new HashSet<>();
-        for (Place place : places) {
+        for (HostEntry place : places) {
             named.add(place.id());
             update(place);
         }
@@ -141,10 +142,10 @@
         }
     }
 
-    private void update(Place place) {
+    private void update(HostEntry place) {
         String name = place.id();
         Host old = hosts.get(name);
-        if (place.gone()) {
+        if (place.removed()) {
             hosts.remove(name);
         } else if (old == null || !old.is(place)) {
             hosts.put(name, new Host(place));
@@ -154,8 +155,8 @@
         }
         if (old != null) {
             old.keepConnections(false);
-            if (!place.gone()) {
-                old.breakBefore(place.startedAt());
+            if (!place.removed()) {
+                old.breakBefore(place.startedAtNanos());
             }
         }
     }
@@ -163,11 +164,16 @@
     /**
      * Starts an attempt. The request is this method's to release.
      *
-     * @param id the request's id, for the {@link Dialect}
+     * @param id the request's id, for the {@link ResponseClassifier}
      * @param restedNanos how long a connection may have rested to be trusted with this request
      */
     public Attempt send(
-            String host, String id, FullHttpRequest request, long timeoutNanos, long restedNanos, Listener listener) {
+            String host,
+            String id,
+            FullHttpRequest request,
+            long timeoutNanos,
+            long restedNanos,
+            AttemptListener listener) {
         Attempt attempt = new Attempt(id, request, clock.nanos(), listener);
         attempt.timer = loop.schedule(attempt::timedOut, Math.max(0, timeoutNanos), TimeUnit.NANOSECONDS);
         Host target = hosts.get(host);
@@ -221,14 +227,14 @@
         /** Shorter than the usual where the host itself has told a shorter time. */
         private long idleNanos = (long) (bounds.idleNanos() * IDLE_PART);
 
-        Host(Place place) {
+        Host(HostEntry place) {
             address = place.address();
-            startedAt = place.startedAt();
+            startedAt = place.startedAtNanos();
             keeps = place.ready();
         }
 
-        boolean is(Place place) {
-            return address.equals(place.address()) && startedAt == place.startedAt();
+        boolean is(HostEntry place) {
+            return address.equals(place.address()) && startedAt == place.startedAtNanos();
         }
 
         /** The latest used, so that the others come of age; one that the host has closed is passed over. */
@@ -355,9 +361,9 @@
         }
 
         @Override
-        public Whose whose(HttpResponse head) {
+        public ResponseMatch whose(HttpResponse head) {
             // An attempt that was called off within this very read is over, and its connection closed.
-            return attempt == null ? Whose.OWN : dialect.whose(attempt.id, head.headers());
+            return attempt == null ? ResponseMatch.THIS_REQUEST : dialect.match(attempt.id, head.headers());
         }
 
         @Override
@@ -373,7 +379,7 @@
             answered.end(
                     dialect.outcome(answered.id, head, framed),
                     dialect.load(head.headers()),
-                    framed ? new Answer(head, body, reserved) : null);
+                    framed ? new Response(head, body, reserved) : null);
         }
 
         @Override
@@ -411,7 +417,7 @@
     /** One send of a request to a host. */
     public final class Attempt {
         private final String id;
-        private final Listener listener;
+        private final AttemptListener listener;
         private final long sentAt;
         private final boolean asksForHead;
         private FullHttpRequest request;
@@ -422,7 +428,7 @@
         private Outcome outcome;
         private long endedAt;
 
-        private Attempt(String id, FullHttpRequest request, long sentAt, Listener listener) {
+        private Attempt(String id, FullHttpRequest request, long sentAt, AttemptListener listener) {
             this.id = id;
             this.request = request;
             this.sentAt = sentAt;
@@ -469,7 +475,7 @@
             }
         }
 
-        private void end(Outcome itsOutcome, LoadReport load, Answer answer) {
+        private void end(Outcome itsOutcome, LoadReport load, Response answer) {
             if (outcome != null) {
                 return;
             }
--- a/src/main/java/tinworks/net/EndedRequest.java
+++ b/src/main/java/tinworks/net/UnservedRequest.java
@@ -12,11 +12,16 @@
  * @param requestClass the decision module's name for its route
  * @param ending what its client was told
  * @param reason why, or null where the client left
- * @param heldNanos from its arrival to its end
+ * @param durationNanos from its arrival to its end
  * @param attempts its attempts at hosts, in their order
  */
-public record EndedRequest(
-        String id, String requestClass, Ending ending, Reason reason, long heldNanos, List<AttemptSummary> attempts) {
+public record UnservedRequest(
+        String id,
+        String requestClass,
+        Ending ending,
+        Reason reason,
+        long durationNanos,
+        List<AttemptSummary> attempts) {
     /** What the client of such a request was told. */
     public enum Ending {
         /** That it has not run. */
@@ -41,7 +46,7 @@
     }
 
     /** Keeps its own list. */
-    public EndedRequest {
+    public UnservedRequest {
         attempts = List.copyOf(attempts);
     }
 
@@ -57,7 +62,9 @@
         if (reason != null) {
             line.append(" reason=").append(reason);
         }
-        line.append(" held=").append(TimeUnit.NANOSECONDS.toMillis(heldNanos)).append("ms attempts=");
+        line.append(" held=")
+                .append(TimeUnit.NANOSECONDS.toMillis(durationNanos))
+                .append("ms attempts=");
         for (int i = 0; i < attempts.size(); i++) {
             line.append(i == 0 ? "" : ",").append(attempts.get(i));
         }
--- a/src/main/java/tinworks/platform/HostPoller.java
+++ b/src/main/java/tinworks/platform/HostPoller.java
@@ -22,8 +22,8 @@
 import tinworks.json.Json;
 import tinworks.net.GatewayClock;
 import tinworks.net.HostPool;
-import tinworks.net.HostPool.Answer;
-import tinworks.net.HostPool.Place;
+import tinworks.net.HostPool.HostEntry;
+import tinworks.net.HostPool.Response;
 import tinworks.net.Transport;
 import tinworks.policy.LoadBalancerApi.LoadReport;
 import tinworks.policy.LoadBalancerApi.Outcome;
@@ -81,7 +81,7 @@
     public void moveTo(InetSocketAddress changed) {
         if (!changed.equals(address)) {
             address = changed;
-            pool.update(List.of(new Place(PLATFORM, changed, moves++, true, false)), true);
+            pool.update(List.of(new HostEntry(PLATFORM, changed, moves++, true, false)), true);
         }
     }
 
@@ -125,7 +125,7 @@
                 (attempt, outcome, at, load, answer) -> answered(itsRun, started, outcome, answer));
     }
 
-    private void answered(long itsRun, long started, Outcome outcome, Answer answer) {
+    private void answered(long itsRun, long started, Outcome outcome, Response answer) {
         if (!on || itsRun != run) {
             return;
         }
@@ -173,7 +173,7 @@
         }
     }
 
-    private static final class ListDialect implements HostPool.Dialect {
+    private static final class ListDialect implements HostPool.ResponseClassifier {
         @Override
         public Outcome outcome(String request, HttpResponse head, boolean framed) {
             return framed && head.status().equals(HttpResponseStatus.OK) ? Outcome.SERVED : Outcome.ERROR;
--- a/src/main/java/tinworks/soak/Books.java
+++ b/src/main/java/tinworks/soak/Books.java
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import tinworks.load.LoadClients;
-import tinworks.net.HostPool.Answer;
+import tinworks.net.HostPool.Response;
 import tinworks.policy.LoadBalancerApi.Outcome;
 
 /**
@@ -189,7 +189,7 @@
     }
 
     @Override
-    public synchronized void ended(String id, Outcome outcome, Answer answer) {
+    public synchronized void ended(String id, Outcome outcome, Response answer) {
         Try t = tries.get(id);
         over(t);
         if (answer != null) {
--- a/src/test/java/tinworks/edge/AtMostOnceMutantsTest.java
+++ b/src/test/java/tinworks/edge/AtMostOnceMutantsTest.java
@@ -20,8 +20,8 @@
 import tinworks.invariant.BreaksInvariants;
 import tinworks.invariant.Invariant;
 import tinworks.net.ClientServer.Reply;
-import tinworks.net.HostPool.Answer;
-import tinworks.net.HostPool.Whose;
+import tinworks.net.HostPool.Response;
+import tinworks.net.HostPool.ResponseMatch;
 import tinworks.policy.LoadBalancerApi.Outcome;
 
 /** Each guard that docs/design/at-most-once.md names is needed: without it the walk fails. */
@@ -44,8 +44,8 @@
                         "any answer is the request's own",
                         new EdgeProtocol(1) {
                             @Override
-                            public Whose whose(String request, HttpHeaders headers) {
-                                return Whose.OWN;
+                            public ResponseMatch match(String request, HttpHeaders headers) {
+                                return ResponseMatch.THIS_REQUEST;
                             }
                         },
                         EnumSet.of(
@@ -56,9 +56,9 @@
                         "an answer that names no request is its own",
                         new EdgeProtocol(1) {
                             @Override
-                            public Whose whose(String request, HttpHeaders headers) {
-                                Whose whose = super.whose(request, headers);
-                                return whose == Whose.NOBODYS ? Whose.OWN : whose;
+                            public ResponseMatch match(String request, HttpHeaders headers) {
+                                ResponseMatch whose = super.match(request, headers);
+                                return whose == ResponseMatch.UNIDENTIFIED ? ResponseMatch.THIS_REQUEST : whose;
                             }
                         },
                         EnumSet.of(AttemptEnding.NOT_RUN_NOBODYS)),
@@ -100,9 +100,9 @@
                         "a host's own 503, 429 and 408 are passed on",
                         new EdgeProtocol(1) {
                             @Override
-                            public void failed(Reply reply, Answer last) {
+                            public void fail(Reply reply, Response last) {
                                 if (last == null) {
-                                    super.failed(reply, null);
+                                    super.fail(reply, null);
                                 } else {
                                     reply.write(
                                             last.head().status(),
@@ -117,7 +117,7 @@
                         "an own answer keeps a host's headers",
                         new EdgeProtocol(1) {
                             @Override
-                            public void failed(Reply reply, Answer last) {
+                            public void fail(Reply reply, Response last) {
                                 DefaultHttpHeaders headers = new DefaultHttpHeaders();
                                 if (last != null && last.head().headers().contains("Origin-Seal")) {
                                     headers.set(
@@ -136,8 +136,8 @@
                         "what failed and may have run is refused",
                         new EdgeProtocol(1) {
                             @Override
-                            public void failed(Reply reply, Answer last) {
-                                refused(reply, 0);
+                            public void fail(Reply reply, Response last) {
+                                refuse(reply, 0);
                             }
                         },
                         EnumSet.of(
--- a/src/test/java/tinworks/edge/AtMostOnceTest.java
+++ b/src/test/java/tinworks/edge/AtMostOnceTest.java
@@ -170,7 +170,7 @@
                 afterARest(
                         new EdgeProtocol(1) {
                             @Override
-                            public long restedNanos(String requestClass) {
+                            public long maxIdleNanos(String requestClass) {
                                 return Long.MAX_VALUE;
                             }
                         },
--- a/src/test/java/tinworks/edge/EdgeFixture.java
+++ b/src/test/java/tinworks/edge/EdgeFixture.java
@@ -40,7 +40,7 @@
  * The path of a request through an edge, over loopback, without links to the core: routes and hosts are told by the
  * test.
  */
-final class EdgeFixture implements AutoCloseable, Forwarding.Owner {
+final class EdgeFixture implements AutoCloseable, Forwarding.Callbacks {
     static final int PATIENCE_MILLIS = 20_000;
     static final long LONG_MILLIS = 15_000;
     static final String DOMAIN = "x.example";
@@ -86,14 +86,14 @@
 
     /** Tells of a host; connections to one that isn't kept are closed after their first answer. */
     void host(String id, SocketAddress address, boolean kept) {
-        NodeProcess.run(loop, () -> pool.update(List.of(new HostPool.Place(id, address, 0, kept, false)), false));
+        NodeProcess.run(loop, () -> pool.update(List.of(new HostPool.HostEntry(id, address, 0, kept, false)), false));
     }
 
     /** Tells of hosts, as {@link #host}. */
     void hosts(boolean kept, FaultInjectingHost... hosts) {
-        List<HostPool.Place> places = new ArrayList<>();
+        List<HostPool.HostEntry> places = new ArrayList<>();
         for (FaultInjectingHost host : hosts) {
-            places.add(new HostPool.Place(host.id(), host.address(), 0, kept, false));
+            places.add(new HostPool.HostEntry(host.id(), host.address(), 0, kept, false));
         }
         NodeProcess.run(loop, () -> pool.update(places, false));
     }
@@ -141,7 +141,7 @@
             } else {
                 old.close();
             }
-            made.tell(new ServerListReceived(ServerListKind.FULL, servers));
+            made.dispatch(new ServerListReceived(ServerListKind.FULL, servers));
         });
     }
 
@@ -152,7 +152,7 @@
 
     /** Tells all modules. */
     void tell(Event event) {
-        NodeProcess.run(loop, () -> services.values().forEach(service -> service.tell(event)));
+        NodeProcess.run(loop, () -> services.values().forEach(service -> service.dispatch(event)));
     }
 
     Client client() throws IOException {
@@ -163,7 +163,7 @@
     public void subscribe() {}
 
     @Override
-    public void tellAll(byte[] body) {}
+    public void broadcast(byte[] body) {}
 
     @Override
     public void log(String line) {}
--- a/src/test/java/tinworks/edge/EdgeTest.java
+++ b/src/test/java/tinworks/edge/EdgeTest.java
@@ -122,8 +122,8 @@
     @Test
     void whatMustNotRunTwiceGoesOnAConnectionThatHasHardlyRested() {
         style.mutating(Set.of("m"));
-        assertEquals(Long.MAX_VALUE, style.restedNanos("i"));
-        assertFalse(style.restedNanos("m") > TimeUnit.MILLISECONDS.toNanos(200));
+        assertEquals(Long.MAX_VALUE, style.maxIdleNanos("i"));
+        assertFalse(style.maxIdleNanos("m") > TimeUnit.MILLISECONDS.toNanos(200));
     }
 
     @Test
--- a/src/test/java/tinworks/edge/FaultyDecisionTest.java
+++ b/src/test/java/tinworks/edge/FaultyDecisionTest.java
@@ -12,7 +12,7 @@
 import tinworks.invariant.BreaksInvariants;
 import tinworks.invariant.Invariant;
 import tinworks.net.ClientServer.Reply;
-import tinworks.net.HostPool.Answer;
+import tinworks.net.HostPool.Response;
 import tinworks.net.ScriptedHost;
 
 /**
@@ -31,12 +31,12 @@
         private boolean faulty;
 
         @Override
-        public void failed(Reply reply, Answer answer) {
+        public void fail(Reply reply, Response answer) {
             faulty = !faulty;
             if (faulty) {
                 throw new IllegalStateException("a fault");
             }
-            super.failed(reply, answer);
+            super.fail(reply, answer);
         }
     };
 
--- a/src/test/java/tinworks/edge/ForwardingInvariantsTest.java
+++ b/src/test/java/tinworks/edge/ForwardingInvariantsTest.java
@@ -44,8 +44,8 @@
 
     private final EdgeProtocol style = new EdgeProtocol(1) {
         @Override
-        public HostPool.Whose whose(String request, io.netty.handler.codec.http.HttpHeaders headers) {
-            return HostPool.Whose.OWN;
+        public HostPool.ResponseMatch match(String request, io.netty.handler.codec.http.HttpHeaders headers) {
+            return HostPool.ResponseMatch.THIS_REQUEST;
         }
     };
     private final CountDownLatch answering = new CountDownLatch(1);
@@ -158,10 +158,10 @@
     @Test
     void aForgottenRequestIsFailed() throws Exception {
         ask("a1", 100);
-        NodeProcess.run(edge.loop, () -> edge.module(ROUTE).tell(new ClientDisconnected("a1")));
+        NodeProcess.run(edge.loop, () -> edge.module(ROUTE).dispatch(new ClientDisconnected("a1")));
         TimeUnit.MILLISECONDS.sleep(1_200);
-        NodeProcess.run(edge.loop, () -> edge.module(ROUTE).failForgotten());
-        notices(Invariant.ANSWERED_IN_TIME, Forwarding::failForgotten);
+        NodeProcess.run(edge.loop, () -> edge.module(ROUTE).failOverdue());
+        notices(Invariant.ANSWERED_IN_TIME, Forwarding::failOverdue);
         assertEquals(502, client.read().status());
     }
 }
--- a/src/test/java/tinworks/edge/RequestJournalTest.java
+++ b/src/test/java/tinworks/edge/RequestJournalTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
-import tinworks.net.EndedRequest;
-import tinworks.net.EndedRequest.AttemptSummary;
-import tinworks.net.EndedRequest.Ending;
+import tinworks.net.UnservedRequest;
+import tinworks.net.UnservedRequest.AttemptSummary;
+import tinworks.net.UnservedRequest.Ending;
 import tinworks.policy.LoadBalancerApi.Outcome;
 import tinworks.policy.Reason;
 
@@ -21,7 +21,7 @@
     private final RequestJournal journal = new RequestJournal(millis::get, logged::add);
 
     private void ended(String id, Ending ending) {
-        journal.ended(new EndedRequest(id, "x.example/p/", ending, Reason.SHED, 2_000_000, List.of()), 7);
+        journal.ended(new UnservedRequest(id, "x.example/p/", ending, Reason.SHED, 2_000_000, List.of()), 7);
     }
 
     private String page() {
@@ -33,7 +33,8 @@
         List<AttemptSummary> attempts = List.of(
                 new AttemptSummary("i-1", Outcome.CONNECT_FAILED, 400_000_000), new AttemptSummary("i-2", null, 1));
         journal.ended(
-                new EndedRequest("a1", "x.example/p/", Ending.FAILED, Reason.MAY_HAVE_RUN, 812_000_000, attempts), 7);
+                new UnservedRequest("a1", "x.example/p/", Ending.FAILED, Reason.MAY_HAVE_RUN, 812_000_000, attempts),
+                7);
         String line = "request=a1 class=x.example/p/ ending=FAILED reason=MAY_HAVE_RUN held=812ms"
                 + " attempts=i-1:CONNECT_FAILED:400ms,i-2:OUT:0ms version=7";
         assertEquals(List.of(line), logged);
--- a/src/test/java/tinworks/edge/StrayAnswersTest.java
+++ b/src/test/java/tinworks/edge/StrayAnswersTest.java
@@ -76,7 +76,7 @@
     private Ended ask(ScriptedHost host, String id, long timeoutNanos) {
         CompletableFuture<Ended> ended = new CompletableFuture<>();
         loop.execute(() -> {
-            pool.update(List.of(new HostPool.Place("h", host.address(), 0, true, false)), true);
+            pool.update(List.of(new HostPool.HostEntry("h", host.address(), 0, true, false)), true);
             FullHttpRequest request =
                     new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/p/", Unpooled.EMPTY_BUFFER);
             request.headers().set(EdgeProtocol.ID, id);
--- a/src/test/java/tinworks/net/AnswerFuzzTest.java
+++ b/src/test/java/tinworks/net/AnswerFuzzTest.java
@@ -68,8 +68,8 @@
         }
 
         @Override
-        public HostPool.Whose whose(HttpResponse head) {
-            return HostPool.Whose.OWN;
+        public HostPool.ResponseMatch whose(HttpResponse head) {
+            return HostPool.ResponseMatch.THIS_REQUEST;
         }
 
         @Override
--- a/src/test/java/tinworks/net/LongAnswersTest.java
+++ b/src/test/java/tinworks/net/LongAnswersTest.java
@@ -40,7 +40,7 @@
                     new GatewayClock(),
                     new HostPool.Bounds(1_000_000_000L, 9_000_000_000L, 10, 2 * LENGTH),
                     answers,
-                    BalancerStyle.INSTANCE));
+                    BalancerProtocol.INSTANCE));
     /** Each outcome and how many bytes came. */
     private final List<String> ended = new CopyOnWriteArrayList<>();
 
@@ -94,8 +94,8 @@
                     loop,
                     () -> pool.update(
                             List.of(
-                                    new HostPool.Place("one", one.address(), 0, true, false),
-                                    new HostPool.Place("two", two.address(), 0, true, false)),
+                                    new HostPool.HostEntry("one", one.address(), 0, true, false),
+                                    new HostPool.HostEntry("two", two.address(), 0, true, false)),
                             true));
             send("one", 15_000);
             await(1);
@@ -129,7 +129,8 @@
         try (ScriptedHost host = new ScriptedHost(
                 (socket, request) -> ScriptedHost.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))) {
             NodeProcess.run(
-                    loop, () -> pool.update(List.of(new HostPool.Place("one", host.address(), 0, true, false)), true));
+                    loop,
+                    () -> pool.update(List.of(new HostPool.HostEntry("one", host.address(), 0, true, false)), true));
             send("one", 5_000);
             await(1);
             assertEquals("SERVED 2", ended.get(0));
@@ -153,8 +154,8 @@
             }
 
             @Override
-            public HostPool.Whose whose(HttpResponse head) {
-                return HostPool.Whose.OWN;
+            public HostPool.ResponseMatch whose(HttpResponse head) {
+                return HostPool.ResponseMatch.THIS_REQUEST;
             }
 
             @Override
