--- a/src/main/java/tinworks/control/OperatorServer.java
+++ b/src/main/java/tinworks/control/OperatorServer.java
@@ -171,10 +171,10 @@
         int length = answer.status() == OperatorCalls.OK ? CompressedBytes.length(answer.body()) : 0;
         if (length == 0) {
             write(reply, answer);
-        } else if (!bodies.take(length)) {
+        } else if (!bodies.tryReserve(length)) {
             write(reply, new CallAnswer(0, OperatorCalls.UNCLEAR, NO_ROOM));
         } else {
-            reply.onWritten(() -> bodies.give(length));
+            reply.onWritten(() -> bodies.release(length));
             write(
                     reply,
                     new CallAnswer(
--- a/src/main/java/tinworks/edge/EdgeMemory.java
+++ b/src/main/java/tinworks/edge/EdgeMemory.java
@@ -10,9 +10,10 @@
  * long body together.
  *
  * @param heads for heads of requests, from their first bytes until their hosts have done with them
- * @param shortRequests for bodies of requests up to {@link BodyBudget#SHORT}
+ * @param shortRequests for bodies of requests up to {@link BodyBudget#SHORT_BODY_BYTES}
  * @param longRequests for longer ones
- * @param answers for bodies of answers over {@link BodyBudget#SHORT}, from their heads until their clients have them
+ * @param answers for bodies of answers over {@link BodyBudget#SHORT_BODY_BYTES}, from their heads until their clients
+ *     have them
  */
 record EdgeMemory(ByteBudget heads, ByteBudget shortRequests, ByteBudget longRequests, ByteBudget answers) {
     private static final int HEADS_PART = 6;
--- a/src/main/java/tinworks/edge/EdgeMetrics.java
+++ b/src/main/java/tinworks/edge/EdgeMetrics.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import tinworks.metrics.MetricsPage;
+import tinworks.net.ClientCounters;
 import tinworks.net.ClientServer;
-import tinworks.net.ClientTally;
 import tinworks.net.Forwarding;
 import tinworks.net.ForwardingCounters;
 import tinworks.node.StallWatch;
@@ -69,7 +69,7 @@
 
     /** What concerns clients' connections. */
     static void add(MetricsPage page, ClientServer clients) {
-        ClientTally tally = clients.counters();
+        ClientCounters tally = clients.counters();
         page.gauge("client_connections", "Connections of clients", clients.connectionCount())
                 .counter("client_connections_opened", "Connections accepted", (double) tally.connectionsOpened());
         tally.connectionsClosed()
@@ -110,10 +110,10 @@
     /** What concerns the memory that bodies take. */
     static void add(MetricsPage page, EdgeMemory memory) {
         String help = "Bytes of bodies that are held";
-        page.gauge("body_bytes", help, (double) memory.shortRequests().taken(), "of", "short_requests")
-                .gauge("body_bytes", help, (double) memory.longRequests().taken(), "of", "long_requests")
-                .gauge("body_bytes", help, (double) memory.answers().taken(), "of", "long_answers")
+        page.gauge("body_bytes", help, (double) memory.shortRequests().reservedBytes(), "of", "short_requests")
+                .gauge("body_bytes", help, (double) memory.longRequests().reservedBytes(), "of", "long_requests")
+                .gauge("body_bytes", help, (double) memory.answers().reservedBytes(), "of", "long_answers")
                 .gauge("head_bytes", "Memory that heads of requests take", (double)
-                        memory.heads().taken());
+                        memory.heads().reservedBytes());
     }
 }
--- a/src/main/java/tinworks/edge/EdgeNode.java
+++ b/src/main/java/tinworks/edge/EdgeNode.java
@@ -128,7 +128,7 @@
         requests = new RequestRouter(clock, random, style, services);
         clients = new ClientServer(
                 loop, Transport.TCP, clock, clientBounds(Limits.USUAL), memory.requests(), memory.heads(), requests);
-        clients.dropSlowReadersWhile(memory.answers()::isAwaited);
+        clients.dropSlowReadersWhile(memory.answers()::hasWaiters);
         probes = new ClientServer(
                 loop,
                 Transport.TCP,
--- a/src/main/java/tinworks/net/BodyBudget.java
+++ b/src/main/java/tinworks/net/BodyBudget.java
@@ -6,7 +6,7 @@
  */
 public final class BodyBudget {
     /** Up to here a body is a short one. */
-    public static final int SHORT = 64 << 10;
+    public static final int SHORT_BODY_BYTES = 64 << 10;
 
     private final ByteBudget shortOnes;
     private final ByteBudget longOnes;
@@ -20,7 +20,7 @@
     }
 
     /** One budget for all; a body of unknown length takes the most that it may become. */
-    public static BodyBudget whole(ByteBudget all) {
+    public static BodyBudget shared(ByteBudget all) {
         return new BodyBudget(all, all, false);
     }
 
@@ -32,8 +32,8 @@
     /** Takes room for a body; null where there is none. A length below 0 is unknown. */
     Reservation take(long length, long largest) {
         long wanted = length >= 0 ? length : grows ? 0 : largest;
-        ByteBudget from = wanted <= SHORT ? shortOnes : longOnes;
-        return from.take(wanted) ? new Reservation(from, wanted) : null;
+        ByteBudget from = wanted <= SHORT_BODY_BYTES ? shortOnes : longOnes;
+        return from.tryReserve(wanted) ? new Reservation(from, wanted) : null;
     }
 
     /** Makes a reservation as large as what has come of its body; false where there is no room for it. */
@@ -41,10 +41,10 @@
         if (come <= reserved.bytes()) {
             return true;
         }
-        if (come <= SHORT || reserved.from() == longOnes) {
+        if (come <= SHORT_BODY_BYTES || reserved.from() == longOnes) {
             return reserved.grow(come - reserved.bytes());
         }
-        boolean fits = longOnes.take(come);
+        boolean fits = longOnes.tryReserve(come);
         if (fits) {
             reserved.move(longOnes, come);
         }
--- a/src/main/java/tinworks/net/ByteBudget.java
+++ b/src/main/java/tinworks/net/ByteBudget.java
@@ -19,17 +19,17 @@
     }
 
     /** Takes bytes, or none and tells false where there aren't so many left. */
-    public boolean take(long bytes) {
+    public boolean tryReserve(long bytes) {
         boolean fits = bytes <= most - taken;
         taken += fits ? bytes : 0;
         return fits;
     }
 
     /** Gives back what was taken, and has those who wait take it in their turn. */
-    public void give(long bytes) {
+    public void release(long bytes) {
         taken -= bytes;
         Invariant.WITHIN_BUDGET.check(taken >= 0, () -> bytes + " bytes given back leave " + taken);
-        while (!waiters.isEmpty() && take(waiters.peek().bytes)) {
+        while (!waiters.isEmpty() && tryReserve(waiters.peek().bytes)) {
             waiters.poll().taken.run();
         }
     }
@@ -50,12 +50,12 @@
     }
 
     /** Whether somebody waits for room. */
-    public boolean isAwaited() {
+    public boolean hasWaiters() {
         return !waiters.isEmpty();
     }
 
     /** How many are taken. */
-    public long taken() {
+    public long reservedBytes() {
         return taken;
     }
 }
--- a/src/main/java/tinworks/net/ClientTally.java
+++ b/src/main/java/tinworks/net/ClientCounters.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 
 /** What became of clients' connections, and of requests that were turned away before anything was decided of them. */
-public final class ClientTally {
+public final class ClientCounters {
     /** Why a connection ended. */
     public enum CloseReason {
         /** The client closed or broke it. */
--- a/src/main/java/tinworks/net/ClientServer.java
+++ b/src/main/java/tinworks/net/ClientServer.java
@@ -42,7 +42,7 @@
 import org.slf4j.LoggerFactory;
 import tinworks.invariant.Invariant;
 import tinworks.logging.Fatal;
-import tinworks.net.ClientTally.CloseReason;
+import tinworks.net.ClientCounters.CloseReason;
 
 /** The side that clients see: takes in requests, and writes one answer to each. */
 public final class ClientServer {
@@ -89,7 +89,13 @@
             String readyPath) {
         /** Those of the earlier protocol, whose requests arrive in less time than any client waits. */
         static Bounds defaults(int connections) {
-            return new Bounds(connections, TimeUnit.SECONDS.toNanos(2), 0, 8_192, AnswerReader.USUAL_BODY, "/ready");
+            return new Bounds(
+                    connections,
+                    TimeUnit.SECONDS.toNanos(2),
+                    0,
+                    8_192,
+                    ResponseReader.DEFAULT_MAX_BODY_BYTES,
+                    "/ready");
         }
     }
 
@@ -122,7 +128,7 @@
     private final Set<Connection> lingering = new LinkedHashSet<>();
 
     private final Future<?> sweeper;
-    private final ClientTally tally = new ClientTally();
+    private final ClientCounters tally = new ClientCounters();
     private final BodyBudget bodies;
     private final ByteBudget heads;
     private Bounds bounds;
@@ -145,7 +151,7 @@
             Bounds bounds,
             ByteBudget bodies,
             Listener listener) {
-        this(loop, transport, clock, bounds, BodyBudget.whole(bodies), new ByteBudget(Long.MAX_VALUE), listener);
+        this(loop, transport, clock, bounds, BodyBudget.shared(bodies), new ByteBudget(Long.MAX_VALUE), listener);
     }
 
     /**
@@ -234,7 +240,7 @@
     }
 
     /** What became of connections and requests so far; it goes on counting. */
-    public ClientTally counters() {
+    public ClientCounters counters() {
         return tally;
     }
 
@@ -501,7 +507,7 @@
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Channel channel;
         private final RequestDecoder decoder = new RequestDecoder(bounds.maxHeadBytes(), heads);
-        private final RequestAssembler assembler = new RequestAssembler(this::isFree, bounds.maxBodyBytes(), bodies);
+        private final RequestAggregator assembler = new RequestAggregator(this::isFree, bounds.maxBodyBytes(), bodies);
         /** Requests that came before the one ahead had its answer. */
         private final ArrayDeque<Arrived> pipelined = new ArrayDeque<>();
 
@@ -559,7 +565,7 @@
             begun = false;
             // Of one that there is no room for the rest is read past: its client sends all of it before it looks for an
             // answer, or leaves, which is to be noticed.
-            boolean readsPast = request.decoderResult().cause() instanceof RequestAssembler.BudgetExceededException;
+            boolean readsPast = request.decoderResult().cause() instanceof RequestAggregator.BudgetExceededException;
             if (!request.decoderResult().isSuccess()) {
                 // Guards against spending time on the rest of what can't be read.
                 deaf = true;
@@ -653,7 +659,7 @@
 
         /** Tells why a request can't be taken. */
         private void reject(Throwable cause, Reply reply) {
-            if (cause instanceof RequestAssembler.BudgetExceededException) {
+            if (cause instanceof RequestAggregator.BudgetExceededException) {
                 tally.requestRejected(HttpResponseStatus.SERVICE_UNAVAILABLE);
                 reply.text(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for the request at present", NO_ROOM_NANOS);
                 return;
--- a/src/main/java/tinworks/net/Gateway.java
+++ b/src/main/java/tinworks/net/Gateway.java
@@ -63,7 +63,10 @@
                 transport,
                 clock,
                 new HostPool.Bounds(
-                        config.dialTimeoutNanos(), config.idleNanos(), connections / 2, AnswerReader.USUAL_BODY),
+                        config.dialTimeoutNanos(),
+                        config.idleNanos(),
+                        connections / 2,
+                        ResponseReader.DEFAULT_MAX_BODY_BYTES),
                 BalancerProtocol.INSTANCE);
         discovery = new Discovery(
                 loop, transport, config.discovery(), config.known().index(), Discovery.SILENCE_MILLIS, new Watcher());
--- a/src/main/java/tinworks/net/HostPool.java
+++ b/src/main/java/tinworks/net/HostPool.java
@@ -275,7 +275,7 @@
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            AnswerReader reader = new AnswerReader(connection, bounds.answerBytes(), answers);
+                            ResponseReader reader = new ResponseReader(connection, bounds.answerBytes(), answers);
                             channel.pipeline().addLast(reader.decoder(), new HttpRequestEncoder(), reader);
                         }
                     })
@@ -312,7 +312,7 @@
         }
     }
 
-    private final class Connection implements AnswerReader.Listener {
+    private final class Connection implements ResponseReader.Listener {
         private final Host host;
         private final long openedAt = clock.nanos();
         private Channel channel;
@@ -351,23 +351,23 @@
         }
 
         @Override
-        public boolean waits() {
+        public boolean isAwaitingResponse() {
             return attempt != null && attempt.writing;
         }
 
         @Override
-        public boolean asksForHead() {
+        public boolean isHeadRequest() {
             return attempt != null && attempt.asksForHead;
         }
 
         @Override
-        public ResponseMatch whose(HttpResponse head) {
+        public ResponseMatch ownerOf(HttpResponse head) {
             // An attempt that was called off within this very read is over, and its connection closed.
             return attempt == null ? ResponseMatch.THIS_REQUEST : dialect.match(attempt.id, head.headers());
         }
 
         @Override
-        public void answered(HttpResponse head, ByteBuf body, Reservation reserved, boolean framed, boolean clean) {
+        public void onResponse(HttpResponse head, ByteBuf body, Reservation reserved, boolean framed, boolean clean) {
             Attempt answered = attempt;
             if (answered == null) {
                 return; // called off within this very read, and closed
@@ -383,7 +383,7 @@
         }
 
         @Override
-        public void spoilt() {
+        public void onInvalidResponse() {
             Attempt answered = attempt;
             attempt = null;
             channel.close();
--- a/src/main/java/tinworks/net/RequestAssembler.java
+++ b/src/main/java/tinworks/net/RequestAggregator.java
@@ -24,7 +24,7 @@
  * past the connection (413, 417 and 100): they would overtake the answer that an earlier request is still owed, and
  * pass for it. Here a request that is too long comes out as one that can't be read, in its turn.
  */
-final class RequestAssembler extends HttpObjectAggregator {
+final class RequestAggregator extends HttpObjectAggregator {
     /** Why a request was turned away whose body there was no room for. */
     static final class BudgetExceededException extends Exception {
         private static final long serialVersionUID = 1L;
@@ -49,7 +49,7 @@
      * Tells clients to go on with a body only while {@code free}: while no earlier request waits. Bodies come out of a
      * budget.
      */
-    RequestAssembler(BooleanSupplier free, int largestBody, BodyBudget bodies) {
+    RequestAggregator(BooleanSupplier free, int largestBody, BodyBudget bodies) {
         super(largestBody);
         this.free = free;
         this.largestBody = largestBody;
--- a/src/main/java/tinworks/net/RequestDecoder.java
+++ b/src/main/java/tinworks/net/RequestDecoder.java
@@ -129,7 +129,7 @@
     private static HttpRequest noRoom() {
         DefaultFullHttpRequest told =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/", Unpooled.EMPTY_BUFFER);
-        told.setDecoderResult(DecoderResult.failure(new RequestAssembler.BudgetExceededException()));
+        told.setDecoderResult(DecoderResult.failure(new RequestAggregator.BudgetExceededException()));
         return told;
     }
 
@@ -139,7 +139,7 @@
         headBytes = 0;
         if (head.decoderResult().isSuccess() && !cover(weight)) {
             full = true;
-            head.setDecoderResult(DecoderResult.failure(new RequestAssembler.BudgetExceededException()));
+            head.setDecoderResult(DecoderResult.failure(new RequestAggregator.BudgetExceededException()));
         }
     }
 
@@ -151,7 +151,7 @@
         if (taken != Reservation.NONE) {
             return taken.grow(more);
         }
-        if (!heads.take(wanted)) {
+        if (!heads.tryReserve(wanted)) {
             return false;
         }
         taken = new Reservation(heads, wanted);
--- a/src/main/java/tinworks/net/Reservation.java
+++ b/src/main/java/tinworks/net/Reservation.java
@@ -27,14 +27,14 @@
 
     /** Takes more out of the same budget, or nothing and tells false where there aren't so many left. */
     boolean grow(long more) {
-        boolean fits = from.take(more);
+        boolean fits = from.tryReserve(more);
         bytes += fits ? more : 0;
         return fits;
     }
 
     /** Holds bytes of another budget, which were taken, in place of its own. */
     void move(ByteBudget to, long taken) {
-        from.give(bytes);
+        from.release(bytes);
         from = to;
         bytes = taken;
     }
@@ -48,7 +48,7 @@
     /** One holder less; the last one gives the bytes back. */
     public void release() {
         if (from != null && --holders == 0) {
-            from.give(bytes);
+            from.release(bytes);
             bytes = 0;
         }
     }
--- a/src/main/java/tinworks/net/AnswerReader.java
+++ b/src/main/java/tinworks/net/ResponseReader.java
@@ -24,30 +24,30 @@
  * Collects a host's answer whole and within bounds, and tells of it once all that came with it has been looked at: only
  * then is it known whether the connection can carry another request.
  */
-final class AnswerReader extends ChannelInboundHandlerAdapter {
+final class ResponseReader extends ChannelInboundHandlerAdapter {
     /** What waits for the answer. */
     interface Listener {
         /** Whether a request is out on the connection. */
-        boolean waits();
+        boolean isAwaitingResponse();
 
         /** Whether the request that is out is a HEAD, whose answer has no body whatever its head says. */
-        boolean asksForHead();
+        boolean isHeadRequest();
 
         /** Whose answer begins with this head, which is not an informational one. */
-        HostPool.ResponseMatch whose(HttpResponse head);
+        HostPool.ResponseMatch ownerOf(HttpResponse head);
 
         /**
          * The answer has come whole; {@code framed} says that its head told its length, {@code clean} that nothing came
          * behind it, and no other answer before it. The body and its room are the listener's for the call's length.
          */
-        void answered(HttpResponse head, ByteBuf body, Reservation reserved, boolean framed, boolean clean);
+        void onResponse(HttpResponse head, ByteBuf body, Reservation reserved, boolean framed, boolean clean);
 
         /** What came is no answer, or none that this gateway takes. The connection is of no further use. */
-        void spoilt();
+        void onInvalidResponse();
     }
 
     /** The longest body that the earlier protocol knows. */
-    static final int USUAL_BODY = 64 * 1024;
+    static final int DEFAULT_MAX_BODY_BYTES = 64 * 1024;
     /** How much more room a body of unknown length takes at a time. */
     private static final int STEP = 256 << 10;
     /** Answers to other requests that are passed over on one connection before it is given up. */
@@ -74,7 +74,7 @@
     /** The connection that isn't read meanwhile. */
     private Channel paused;
 
-    AnswerReader(Listener listener, int largestBody, ByteBudget budget) {
+    ResponseReader(Listener listener, int largestBody, ByteBudget budget) {
         this.budget = budget;
         this.listener = listener;
         this.largestBody = largestBody;
@@ -113,7 +113,7 @@
                     || HttpUtil.isTransferEncodingChunked(response)
                     || decoder.isContentAlwaysEmpty(response);
             if (!spoilt && !informational()) {
-                judge(listener.whose(response));
+                judge(listener.ownerOf(response));
             }
             // Guards against waiting for the end of a body that only the end of its connection would tell.
             whole = !framed && !informational() && !spoilt;
@@ -154,11 +154,11 @@
      * it is read, until there is or its attempt ends.
      */
     private void reserve(ChannelHandlerContext ctx, long bytes) {
-        if (spoilt || bytes <= BodyBudget.SHORT || bytes <= reserved.bytes() || whenRoom != null) {
+        if (spoilt || bytes <= BodyBudget.SHORT_BODY_BYTES || bytes <= reserved.bytes() || whenRoom != null) {
             return;
         }
         long more = Math.min(largestBody - reserved.bytes(), Math.max(STEP, bytes - reserved.bytes()));
-        if (budget.take(more)) {
+        if (budget.tryReserve(more)) {
             hold(more);
             return;
         }
@@ -194,7 +194,7 @@
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (spoilt) {
             forget();
-            listener.spoilt();
+            listener.onInvalidResponse();
         } else if (whole) {
             HttpResponse answer = head;
             CompositeByteBuf bytes = body;
@@ -205,7 +205,7 @@
             reserved = Reservation.NONE;
             forget();
             try {
-                listener.answered(answer, bytes, room, hasLength, clean);
+                listener.onResponse(answer, bytes, room, hasLength, clean);
             } finally {
                 bytes.release();
                 room.release();
@@ -265,11 +265,11 @@
         /** Guards against bytes that nobody asked for: they would be taken for the start of the next answer. */
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-            if (listener.waits()) {
+            if (listener.isAwaitingResponse()) {
                 super.channelRead(ctx, message);
             } else {
                 ReferenceCountUtil.release(message);
-                listener.spoilt();
+                listener.onInvalidResponse();
             }
         }
 
@@ -284,7 +284,7 @@
 
         @Override
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
-            return super.isContentAlwaysEmpty(message) || listener.asksForHead();
+            return super.isContentAlwaysEmpty(message) || listener.isHeadRequest();
         }
 
         /** Whether a part of an answer has come, and its end has not. */
--- a/src/test/java/tinworks/invariant/InvariantTest.java
+++ b/src/test/java/tinworks/invariant/InvariantTest.java
@@ -32,10 +32,10 @@
     void aBudgetThatGetsBackMoreThanItGaveIsNoticed() {
         ByteBudget budget = new ByteBudget(10);
         long before = Invariant.WITHIN_BUDGET.violations();
-        assertTrue(budget.take(4));
-        budget.give(4);
+        assertTrue(budget.tryReserve(4));
+        budget.release(4);
         assertEquals(before, Invariant.WITHIN_BUDGET.violations());
-        budget.give(1);
+        budget.release(1);
         assertEquals(before + 1, Invariant.WITHIN_BUDGET.violations());
     }
 }
--- a/src/test/java/tinworks/net/AnswerFuzzTest.java
+++ b/src/test/java/tinworks/net/AnswerFuzzTest.java
@@ -42,7 +42,7 @@
             "HTTP/1.1 101 Switching Protocols\r\n\r\n");
 
     /** What a reader said of the bytes of one request's answer. */
-    private static final class Heard implements AnswerReader.Listener {
+    private static final class Heard implements ResponseReader.Listener {
         private int answered;
         private boolean clean;
         private boolean isSpoilt;
@@ -58,22 +58,22 @@
         }
 
         @Override
-        public boolean waits() {
+        public boolean isAwaitingResponse() {
             return answered == 0 && !isSpoilt;
         }
 
         @Override
-        public boolean asksForHead() {
+        public boolean isHeadRequest() {
             return false;
         }
 
         @Override
-        public HostPool.ResponseMatch whose(HttpResponse head) {
+        public HostPool.ResponseMatch ownerOf(HttpResponse head) {
             return HostPool.ResponseMatch.THIS_REQUEST;
         }
 
         @Override
-        public void answered(
+        public void onResponse(
                 HttpResponse head, ByteBuf bytes, Reservation reserved, boolean framed, boolean nothingBehind) {
             answered++;
             clean = nothingBehind;
@@ -81,7 +81,7 @@
         }
 
         @Override
-        public void spoilt() {
+        public void onInvalidResponse() {
             isSpoilt = true;
         }
     }
@@ -89,16 +89,16 @@
     /** Reads on as a connection does: it is closed at once after a spoilt answer or one with something behind it. */
     private static Heard hear(String bytes, List<Integer> cuts) {
         Heard heard = new Heard();
-        AnswerReader reader = new AnswerReader(heard, LARGEST, new ByteBudget(Long.MAX_VALUE));
+        ResponseReader reader = new ResponseReader(heard, LARGEST, new ByteBudget(Long.MAX_VALUE));
         EmbeddedChannel channel = new EmbeddedChannel(reader.decoder(), reader);
         int from = 0;
-        for (int i = 0; i <= cuts.size() && channel.isOpen() && heard.waits(); i++) {
+        for (int i = 0; i <= cuts.size() && channel.isOpen() && heard.isAwaitingResponse(); i++) {
             int to = i == cuts.size() ? bytes.length() : Math.max(from, Math.min(bytes.length(), cuts.get(i)));
             channel.writeInbound(Unpooled.copiedBuffer(bytes.substring(from, to), StandardCharsets.ISO_8859_1));
             from = to;
         }
         // What comes out after that concerns nobody.
-        Heard before = heard.waits() ? heard : heard.copy();
+        Heard before = heard.isAwaitingResponse() ? heard : heard.copy();
         channel.finishAndReleaseAll();
         return before;
     }
--- a/src/test/java/tinworks/net/BodiesTest.java
+++ b/src/test/java/tinworks/net/BodiesTest.java
@@ -57,7 +57,7 @@
     }
 
     private void start(ByteBudget budget) {
-        start(BodyBudget.whole(budget), new Counting());
+        start(BodyBudget.shared(budget), new Counting());
     }
 
     private void start(BodyBudget budget, ClientServer.Listener listener) {
@@ -104,8 +104,8 @@
 
     private void awaitTaken(long bytes) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (NodeProcess.call(loop, bodies::taken) != bytes) {
-            assertTrue(System.nanoTime() < until, "taken: " + bodies.taken() + ", wanted " + bytes);
+        while (NodeProcess.call(loop, bodies::reservedBytes) != bytes) {
+            assertTrue(System.nanoTime() < until, "taken: " + bodies.reservedBytes() + ", wanted " + bytes);
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
@@ -158,7 +158,7 @@
         start(bodies);
         assertTrue(whole("/keep", LONGEST).startsWith("HTTP/1.1 200 "));
         assertTrue(whole("/keep", LONGEST).startsWith("HTTP/1.1 200 "));
-        assertEquals(2 * LONGEST, NodeProcess.call(loop, bodies::taken));
+        assertEquals(2 * LONGEST, NodeProcess.call(loop, bodies::reservedBytes));
         assertTrue(whole("/a", 100).startsWith("HTTP/1.1 503 "));
         try (Socket asks = new Socket()) {
             asks.connect(server.address(), 2_000);
@@ -194,7 +194,7 @@
     /** As at an edge: short bodies have room of their own, and a body of unknown length takes what has come of it. */
     @Test
     void longBodiesDontKeepOutShortOnesAndUnknownLengthsGrow() throws Exception {
-        ByteBudget shortOnes = new ByteBudget(BodyBudget.SHORT);
+        ByteBudget shortOnes = new ByteBudget(BodyBudget.SHORT_BODY_BYTES);
         start(BodyBudget.split(shortOnes, bodies), new Counting());
         try (Socket one = chunked();
                 Socket two = chunked();
@@ -203,19 +203,19 @@
             awaitTaken(LONGEST - 1);
             chunk(two, LONGEST / 2);
             awaitTaken(LONGEST - 1 + LONGEST / 2);
-            chunk(third, BodyBudget.SHORT / 2);
+            chunk(third, BodyBudget.SHORT_BODY_BYTES / 2);
             chunk(third, LONGEST);
             String told = answer(third);
             assertTrue(told.startsWith("HTTP/1.1 503 "), told);
             assertTrue(told.toLowerCase(java.util.Locale.ROOT).contains("retry-after: 0.2"), told);
-            assertTrue(whole("/a", BodyBudget.SHORT).endsWith("took " + BodyBudget.SHORT + "\n"));
+            assertTrue(whole("/a", BodyBudget.SHORT_BODY_BYTES).endsWith("took " + BodyBudget.SHORT_BODY_BYTES + "\n"));
             chunk(two, LONGEST / 2 - 1);
             awaitTaken(2 * LONGEST - 2);
             one.getOutputStream().write("0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             assertTrue(answer(one).endsWith("took " + (LONGEST - 1) + "\n"));
         }
         awaitTaken(0);
-        assertEquals(0, NodeProcess.call(loop, shortOnes::taken));
+        assertEquals(0, NodeProcess.call(loop, shortOnes::reservedBytes));
     }
 
     /** A client sends two hundred requests ahead and reads nothing: their answers don't pile up here. */
@@ -224,7 +224,7 @@
         int requests = 200;
         int length = 50_000;
         java.util.concurrent.atomic.AtomicInteger taken = new java.util.concurrent.atomic.AtomicInteger();
-        start(BodyBudget.whole(bodies), new ClientServer.Listener() {
+        start(BodyBudget.shared(bodies), new ClientServer.Listener() {
             @Override
             public boolean ready() {
                 return true;
@@ -273,8 +273,8 @@
 
     private void awaitHeads(boolean taken) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (NodeProcess.call(loop, () -> heads.taken() > 0) != taken) {
-            assertTrue(System.nanoTime() < until, "taken: " + heads.taken());
+        while (NodeProcess.call(loop, () -> heads.reservedBytes() > 0) != taken) {
+            assertTrue(System.nanoTime() < until, "taken: " + heads.reservedBytes());
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
@@ -304,7 +304,7 @@
     /** A request that is sent ahead holds its room until its turn; a client that leaves gives all of it back. */
     @Test
     void headsThatWaitForTheirTurnHoldTheirRoom() throws Exception {
-        start(BodyBudget.whole(bodies), new ClientServer.Listener() {
+        start(BodyBudget.shared(bodies), new ClientServer.Listener() {
             @Override
             public boolean ready() {
                 return true;
@@ -323,11 +323,11 @@
             awaitHeads(true);
             third.setSoTimeout(2_000);
             long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-            while (NodeProcess.call(loop, heads::taken) < 3 * 600 * RequestDecoder.BYTES_PER_LINE) {
-                assertTrue(System.nanoTime() < until, "taken: " + heads.taken());
+            while (NodeProcess.call(loop, heads::reservedBytes) < 3 * 600 * RequestDecoder.BYTES_PER_LINE) {
+                assertTrue(System.nanoTime() < until, "taken: " + heads.reservedBytes());
                 TimeUnit.MILLISECONDS.sleep(5);
             }
-            assertTrue(NodeProcess.call(loop, heads::taken) <= HEADS);
+            assertTrue(NodeProcess.call(loop, heads::reservedBytes) <= HEADS);
         }
         awaitHeads(false);
     }
--- a/src/test/java/tinworks/net/LongAnswersTest.java
+++ b/src/test/java/tinworks/net/LongAnswersTest.java
@@ -109,7 +109,7 @@
             await(3);
             assertEquals(Outcome.TIMED_OUT + " 0", ended.get(2), "the second one is still held");
             NodeProcess.run(loop, () -> held.remove(0).release());
-            assertEquals(0, NodeProcess.call(loop, answers::taken), "what was given up takes no room later");
+            assertEquals(0, NodeProcess.call(loop, answers::reservedBytes), "what was given up takes no room later");
         }
     }
 
@@ -125,7 +125,7 @@
 
     @Test
     void aShortOneNeedsNoRoom() throws Exception {
-        NodeProcess.run(loop, () -> answers.take(LENGTH + LENGTH / 2));
+        NodeProcess.run(loop, () -> answers.tryReserve(LENGTH + LENGTH / 2));
         try (ScriptedHost host = new ScriptedHost(
                 (socket, request) -> ScriptedHost.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))) {
             NodeProcess.run(
@@ -142,39 +142,40 @@
     void aConnectionIsReadOnWhereItsAnswerEndedWhileItWaited() {
         ByteBudget none = new ByteBudget(0);
         List<Integer> lengths = new ArrayList<>();
-        AnswerReader.Listener listener = new AnswerReader.Listener() {
+        ResponseReader.Listener listener = new ResponseReader.Listener() {
             @Override
-            public boolean waits() {
+            public boolean isAwaitingResponse() {
                 return true;
             }
 
             @Override
-            public boolean asksForHead() {
+            public boolean isHeadRequest() {
                 return false;
             }
 
             @Override
-            public HostPool.ResponseMatch whose(HttpResponse head) {
+            public HostPool.ResponseMatch ownerOf(HttpResponse head) {
                 return HostPool.ResponseMatch.THIS_REQUEST;
             }
 
             @Override
-            public void answered(HttpResponse head, ByteBuf body, Reservation reserved, boolean framed, boolean clean) {
+            public void onResponse(
+                    HttpResponse head, ByteBuf body, Reservation reserved, boolean framed, boolean clean) {
                 lengths.add(body.readableBytes());
             }
 
             @Override
-            public void spoilt() {
+            public void onInvalidResponse() {
                 lengths.add(-1);
             }
         };
-        AnswerReader reader = new AnswerReader(listener, LENGTH, none);
+        ResponseReader reader = new ResponseReader(listener, LENGTH, none);
         EmbeddedChannel channel = new EmbeddedChannel(reader.decoder(), reader);
-        int length = BodyBudget.SHORT + 4_000;
+        int length = BodyBudget.SHORT_BODY_BYTES + 4_000;
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n" + ".".repeat(length);
         channel.writeInbound(Unpooled.copiedBuffer(answer, StandardCharsets.US_ASCII));
         assertEquals(List.of(length), lengths);
-        assertFalse(none.isAwaited(), "nobody waits any more");
+        assertFalse(none.hasWaiters(), "nobody waits any more");
         assertTrue(channel.config().isAutoRead(), "the next answer may come on this connection");
         channel.finishAndReleaseAll();
     }
