--- a/src/main/java/tinworks/net/BodyBudget.java
+++ b/src/main/java/tinworks/net/BodyBudget.java
@@ -1,52 +1,52 @@
 package tinworks.net;
 
 /**
- * How much of the memory the bodies of all requests may take. Where short ones have a part of their own, long ones
- * can't keep them out. On one thread.
+ * Memory budget for the bodies of all requests. With a separate share for short bodies, long ones cannot starve them.
+ * Not thread-safe.
  */
 public final class BodyBudget {
-    /** Up to here a body is a short one. */
+    /** Bodies up to this size are short. */
     public static final int SHORT_BODY_BYTES = 64 << 10;
 
-    private final ByteBudget shortOnes;
-    private final ByteBudget longOnes;
-    /** Whether a body of unknown length takes what has come of it, and not the most that it may become. */
-    private final boolean grows;
+    private final ByteBudget shortBodies;
+    private final ByteBudget longBodies;
+    /** Whether a body of unknown length reserves what has been received, rather than the maximum. */
+    private final boolean reservesAsReceived;
 
-    private BodyBudget(ByteBudget shortOnes, ByteBudget longOnes, boolean grows) {
-        this.shortOnes = shortOnes;
-        this.longOnes = longOnes;
-        this.grows = grows;
+    private BodyBudget(ByteBudget shortBodies, ByteBudget longBodies, boolean reservesAsReceived) {
+        this.shortBodies = shortBodies;
+        this.longBodies = longBodies;
+        this.reservesAsReceived = reservesAsReceived;
     }
 
-    /** One budget for all; a body of unknown length takes the most that it may become. */
+    /** One budget for all bodies; a body of unknown length reserves the maximum. */
     public static BodyBudget shared(ByteBudget all) {
         return new BodyBudget(all, all, false);
     }
 
-    /** A budget for short bodies and one for long ones; a body of unknown length takes what has come of it. */
-    public static BodyBudget split(ByteBudget shortOnes, ByteBudget longOnes) {
-        return new BodyBudget(shortOnes, longOnes, true);
+    /** Separate budgets for short and long bodies; a body of unknown length reserves what has been received. */
+    public static BodyBudget split(ByteBudget shortBodies, ByteBudget longBodies) {
+        return new BodyBudget(shortBodies, longBodies, true);
     }
 
-    /** Takes room for a body; null where there is none. A length below 0 is unknown. */
-    Reservation take(long length, long largest) {
-        long wanted = length >= 0 ? length : grows ? 0 : largest;
-        ByteBudget from = wanted <= SHORT_BODY_BYTES ? shortOnes : longOnes;
+    /** Reserves memory for a body, or returns null if there is not enough. A negative length is unknown. */
+    Reservation tryReserve(long length, long maxBytes) {
+        long wanted = length >= 0 ? length : reservesAsReceived ? 0 : maxBytes;
+        ByteBudget from = wanted <= SHORT_BODY_BYTES ? shortBodies : longBodies;
         return from.tryReserve(wanted) ? new Reservation(from, wanted) : null;
     }
 
-    /** Makes a reservation as large as what has come of its body; false where there is no room for it. */
-    boolean cover(Reservation reserved, long come) {
-        if (come <= reserved.bytes()) {
+    /** Extends a reservation to the received size of its body, or returns false if there is not enough memory. */
+    boolean tryCover(Reservation reservation, long receivedBytes) {
+        if (receivedBytes <= reservation.bytes()) {
             return true;
         }
-        if (come <= SHORT_BODY_BYTES || reserved.from() == longOnes) {
-            return reserved.grow(come - reserved.bytes());
+        if (receivedBytes <= SHORT_BODY_BYTES || reservation.budget() == longBodies) {
+            return reservation.grow(receivedBytes - reservation.bytes());
         }
-        boolean fits = longOnes.tryReserve(come);
+        boolean fits = longBodies.tryReserve(receivedBytes);
         if (fits) {
-            reserved.move(longOnes, come);
+            reservation.moveTo(longBodies, receivedBytes);
         }
         return fits;
     }
--- a/src/main/java/tinworks/net/ByteBudget.java
+++ b/src/main/java/tinworks/net/ByteBudget.java
@@ -4,58 +4,60 @@
 import java.util.Iterator;
 import tinworks.invariant.Invariant;
 
-/** So many bytes that several may hold at a time. Who finds no room may wait for it. On one thread. */
+/**
+ * A shared budget of bytes from which memory is reserved, with a first-in-first-out queue of waiters. Not thread-safe.
+ */
 public final class ByteBudget {
-    /** Somebody who waits for room. */
-    private record Waiter(long bytes, Runnable taken) {}
+    private record Waiter(long bytes, Runnable whenReserved) {}
 
-    private final long most;
+    private final long capacity;
     private final ArrayDeque<Waiter> waiters = new ArrayDeque<>();
-    private long taken;
+    private long reserved;
 
-    /** Nothing is taken yet. */
-    public ByteBudget(long most) {
-        this.most = most;
+    /** Creates a budget with nothing reserved. */
+    public ByteBudget(long capacity) {
+        this.capacity = capacity;
     }
 
-    /** Takes bytes, or none and tells false where there aren't so many left. */
+    /** Reserves the bytes, or returns false if not that many are left. */
     public boolean tryReserve(long bytes) {
-        boolean fits = bytes <= most - taken;
-        taken += fits ? bytes : 0;
+        boolean fits = bytes <= capacity - reserved;
+        reserved += fits ? bytes : 0;
         return fits;
     }
 
-    /** Gives back what was taken, and has those who wait take it in their turn. */
+    /** Returns reserved bytes, and grants waiting reservations in their order. */
     public void release(long bytes) {
-        taken -= bytes;
-        Invariant.WITHIN_BUDGET.check(taken >= 0, () -> bytes + " bytes given back leave " + taken);
+        reserved -= bytes;
+        Invariant.WITHIN_BUDGET.check(
+                reserved >= 0, () -> bytes + " bytes released leave a reservation of " + reserved);
         while (!waiters.isEmpty() && tryReserve(waiters.peek().bytes)) {
-            waiters.poll().taken.run();
+            waiters.poll().whenReserved.run();
         }
     }
 
-    /** Takes bytes once there is room for them, and then tells so; more than there can be are never taken. */
-    void await(long bytes, Runnable whenTaken) {
-        waiters.add(new Waiter(bytes, whenTaken));
+    /** Queues a reservation; the callback runs once it is granted. More bytes than the capacity are never granted. */
+    void reserveWhenAvailable(long bytes, Runnable whenReserved) {
+        waiters.add(new Waiter(bytes, whenReserved));
     }
 
-    /** Somebody doesn't wait any more. */
-    void giveUp(Runnable whenTaken) {
-        for (Iterator<Waiter> all = waiters.iterator(); all.hasNext(); ) {
-            if (all.next().taken == whenTaken) {
-                all.remove();
+    /** Removes the queued reservation with this callback. */
+    void cancelWait(Runnable whenReserved) {
+        for (Iterator<Waiter> iterator = waiters.iterator(); iterator.hasNext(); ) {
+            if (iterator.next().whenReserved == whenReserved) {
+                iterator.remove();
                 return;
             }
         }
     }
 
-    /** Whether somebody waits for room. */
+    /** Whether reservations are queued. */
     public boolean hasWaiters() {
         return !waiters.isEmpty();
     }
 
-    /** How many are taken. */
+    /** Bytes that are reserved at present. */
     public long reservedBytes() {
-        return taken;
+        return reserved;
     }
 }
--- a/src/main/java/tinworks/net/ClientCounters.java
+++ b/src/main/java/tinworks/net/ClientCounters.java
@@ -5,29 +5,29 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What became of clients' connections, and of requests that were turned away before anything was decided of them. */
+/** Counters of client connections and of requests rejected before processing. */
 public final class ClientCounters {
-    /** Why a connection ended. */
+    /** Why a connection was closed. The constants' names are written out as metric labels. */
     public enum CloseReason {
-        /** The client closed or broke it. */
+        /** The client closed or reset it. */
         CLIENT,
-        /** Its last answer said so. */
+        /** A response announced {@code Connection: close}. */
         LAST_ANSWER,
-        /** It stood idle for too long. */
+        /** Idle timeout. */
         IDLE,
-        /** Nothing came on it in time. */
+        /** No request was received within the time limit. */
         NOTHING_ASKED,
-        /** Its client took nothing of an answer for too long. */
+        /** The client did not read a response for too long. */
         NOT_READ,
-        /** Others needed its place. */
+        /** Closed to stay within the connection limit. */
         NO_PLACE,
-        /** This process ends. */
+        /** The server shuts down. */
         SHUTDOWN,
-        /** Reading or writing failed here. */
+        /** A fault while reading or writing. */
         BROKEN
     }
 
-    private final Map<CloseReason, Long> ends = new EnumMap<>(CloseReason.class);
+    private final Map<CloseReason, Long> closed = new EnumMap<>(CloseReason.class);
     private final Map<Integer, Long> rejected = new TreeMap<>();
     private long opened;
 
@@ -35,25 +35,25 @@
         opened++;
     }
 
-    void connectionClosed(CloseReason end) {
-        ends.merge(end, 1L, Long::sum);
+    void connectionClosed(CloseReason reason) {
+        closed.merge(reason, 1L, Long::sum);
     }
 
     void requestRejected(HttpResponseStatus status) {
         rejected.merge(status.code(), 1L, Long::sum);
     }
 
-    /** Connections that were accepted. */
+    /** Number of accepted connections. */
     public long connectionsOpened() {
         return opened;
     }
 
-    /** Connections that ended, by why; reasons without any are left out. */
+    /** Closed connections by reason; reasons that did not occur are left out. */
     public Map<CloseReason, Long> connectionsClosed() {
-        return new EnumMap<>(ends);
+        return new EnumMap<>(closed);
     }
 
-    /** Requests that were turned away before anything was decided of them, by their status. */
+    /** Requests rejected before processing, by response status. */
     public Map<Integer, Long> requestsRejected() {
         return new TreeMap<>(rejected);
     }
--- a/src/main/java/tinworks/net/ClientServer.java
+++ b/src/main/java/tinworks/net/ClientServer.java
@@ -44,26 +44,31 @@
 import tinworks.logging.Fatal;
 import tinworks.net.ClientCounters.CloseReason;
 
-/** The side that clients see: takes in requests, and writes one answer to each. */
+/**
+ * HTTP/1.1 server for client connections: reads requests, passes them to a {@link Listener}, and writes exactly one
+ * response to each, in the order of the requests. Enforces the limits on connections, time and memory. It does not
+ * route or forward requests.
+ */
 public final class ClientServer {
-    /** What the gateway makes of requests. Each is told on the event loop. */
+    /** Callbacks for received requests, called on the event loop. */
     public interface Listener {
-        /** What {@link Bounds#readyPath} is answered with. */
+        /** Whether the readiness probe at {@link Bounds#readyPath} succeeds. */
         boolean ready();
 
         /**
-         * A request whose last byte came at the given time; a plain line tells the client what is wrong with a bad one.
+         * Handles a complete request whose last byte was received at {@code receivedAt}. A {@link BadRequest} is
+         * answered with its status and message.
          */
-        void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest;
+        void onRequest(FullHttpRequest request, long receivedAt, Reply reply) throws BadRequest;
     }
 
-    /** A request that can't be taken in. */
+    /** Thrown for a request that is rejected before it is processed. */
     public static final class BadRequest extends Exception {
         private static final long serialVersionUID = 1L;
 
         private final transient HttpResponseStatus status;
 
-        /** Answered with this status and a plain line. */
+        /** The status and the line of plain text to respond with. */
         public BadRequest(HttpResponseStatus status, String line) {
             super(line);
             this.status = status;
@@ -71,14 +76,14 @@
     }
 
     /**
-     * What clients may take.
+     * Limits for client connections and requests.
      *
-     * @param maxConnections the most at a time
-     * @param receiveTimeoutNanos how long a request may take to arrive, from the connect or its first byte
-     * @param idleTimeoutNanos how long a connection may stand idle, 0 for as long as there is room
-     * @param maxHeadBytes the longest head of a request
-     * @param maxBodyBytes the longest body
-     * @param readyPath where {@link Listener#ready} is asked for, or null
+     * @param maxConnections connections that may be open at a time
+     * @param receiveTimeoutNanos time limit for receiving a request, counted from the connect or from its first byte
+     * @param idleTimeoutNanos idle timeout of keep-alive connections; 0 keeps them while there is room
+     * @param maxHeadBytes limit for the head (request line and headers) of a request
+     * @param maxBodyBytes limit for the body of a request
+     * @param readyPath path of the readiness probe, or null for none
      */
     public record Bounds(
             int maxConnections,
@@ -87,7 +92,7 @@
             int maxHeadBytes,
             int maxBodyBytes,
             String readyPath) {
-        /** Those of the earlier protocol, whose requests arrive in less time than any client waits. */
+        /** Limits for the balancer protocol, whose requests arrive in less time than any client waits. */
         static Bounds defaults(int connections) {
             return new Bounds(
                     connections,
@@ -100,50 +105,50 @@
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(ClientServer.class);
-    private static final long FAULT_LINE_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long FAULT_LOG_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final int BACKLOG = 512;
-    private static final int MOST_PIPELINED = 16;
-    private static final long SWEEP_MILLIS = 200;
-    /** Who connects to ask does so within this time. */
-    private static final long YOUNG_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final int MAX_PIPELINED_REQUESTS = 16;
+    private static final long SWEEP_INTERVAL_MILLIS = 200;
+    /** A client that connects to send a request sends it within this time. */
+    private static final long FIRST_REQUEST_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-    private static final long RECHECK_MILLIS = 20;
+    private static final long LIMIT_RECHECK_MILLIS = 20;
     private static final long LINGER_MILLIS = 200;
-    private static final long NO_ROOM_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
-    /** Where places are scarce, who has asked nothing for so long is thought to have no more to ask. */
-    private static final long LONG_IDLE_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final long NO_MEMORY_RETRY_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+    /** Under pressure on connections or memory, a client without activity for this long is taken for inactive. */
+    private static final long INACTIVITY_NANOS = TimeUnit.SECONDS.toNanos(2);
 
     private final EventLoop loop;
     private final Transport transport;
     private final MonotonicClock clock;
     private final Listener listener;
     private final Set<Connection> connections = new LinkedHashSet<>();
-    /** Those that have asked and have no request open, the longest idle first. */
+    /** Connections that have sent a request and have none open, the longest idle first. */
     private final Set<Connection> idle = new LinkedHashSet<>();
-    /** Those that have never asked, or sent a part of a request, with none open, the longest due first. */
-    private final Set<Connection> due = new LinkedHashSet<>();
-    /** Those whose clients haven't taken all of an answer yet. */
-    private final Set<Connection> unread = new LinkedHashSet<>();
-    /** Those that have been told what is wrong and are about to be closed. */
+    /** Connections without an open request that have sent none yet, or part of one; the longest waiting first. */
+    private final Set<Connection> awaitingRequest = new LinkedHashSet<>();
+    /** Connections whose clients have not received all bytes of a response yet. */
+    private final Set<Connection> pendingWrites = new LinkedHashSet<>();
+    /** Connections that close once their last response has been written (lingering close). */
     private final Set<Connection> lingering = new LinkedHashSet<>();
 
     private final Future<?> sweeper;
-    private final ClientCounters tally = new ClientCounters();
-    private final BodyBudget bodies;
-    private final ByteBudget heads;
+    private final ClientCounters counters = new ClientCounters();
+    private final BodyBudget bodyBudget;
+    private final ByteBudget headBudget;
     private Bounds bounds;
     private Channel acceptor;
-    private BooleanSupplier pressed = () -> false;
-    private boolean ending;
-    private boolean rechecking;
-    private long nextFaultLineAt = Long.MIN_VALUE;
+    private BooleanSupplier underMemoryPressure = () -> false;
+    private boolean closingAfterResponse;
+    private boolean recheckScheduled;
+    private long nextFaultLogAt = Long.MIN_VALUE;
 
-    /** A server that doesn't listen yet, with room for all bodies. */
+    /** Creates a server that does not listen yet, without memory limits. */
     public ClientServer(EventLoop loop, Transport transport, MonotonicClock clock, Bounds bounds, Listener listener) {
         this(loop, transport, clock, bounds, new ByteBudget(Long.MAX_VALUE), listener);
     }
 
-    /** One whose bodies come out of one budget, those of unknown length with the largest. */
+    /** Creates a server with one budget for bodies; a body of unknown length reserves the maximum. */
     public ClientServer(
             EventLoop loop,
             Transport transport,
@@ -155,8 +160,8 @@
     }
 
     /**
-     * A server that doesn't listen yet. Heads and bodies come out of budgets, until the listener has done with their
-     * request; whoever finds no room gets a 503 that says when to come back.
+     * Creates a server that does not listen yet. Heads and bodies reserve memory from budgets until the listener has
+     * released the request. A request for which no memory is left gets a 503 response with {@code Retry-After}.
      */
     public ClientServer(
             EventLoop loop,
@@ -166,17 +171,18 @@
             BodyBudget bodies,
             ByteBudget heads,
             Listener listener) {
-        this.bodies = bodies;
-        this.heads = heads;
+        this.bodyBudget = bodies;
+        this.headBudget = heads;
         this.loop = loop;
         this.transport = transport;
         this.clock = clock;
         this.bounds = bounds;
         this.listener = listener;
-        sweeper = loop.scheduleWithFixedDelay(this::endOverdue, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+        sweeper = loop.scheduleWithFixedDelay(
+                this::closeOverdue, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Starts to listen; the future fails where the address can't be had. */
+    /** Starts to listen; the future fails if the address cannot be bound. */
     public ChannelFuture listen(SocketAddress address) {
         ServerBootstrap listening = new ServerBootstrap().group(loop).channel(transport.server());
         if (!transport.equals(Transport.IN_MEMORY)) {
@@ -191,7 +197,7 @@
                                 .addLast(
                                         connection.decoder,
                                         new HttpResponseEncoder(),
-                                        connection.assembler,
+                                        connection.aggregator,
                                         connection);
                     }
                 })
@@ -200,37 +206,37 @@
         return bound;
     }
 
-    /** Where it listens; of use where the port was left to the system. */
+    /** The address that the server listens on, with the actual port if an ephemeral one was requested. */
     public InetSocketAddress address() {
         return (InetSocketAddress) acceptor.localAddress();
     }
 
-    /** Whether it takes clients in. */
+    /** Whether the listening socket is open. */
     public boolean isListening() {
         return acceptor != null && acceptor.isActive();
     }
 
-    /** From now on these hold; the longest head and body for connections that come from now on. */
+    /** Replaces the limits. Those for heads and bodies apply to connections that are accepted from now on. */
     public void updateBounds(Bounds changed) {
         bounds = changed;
     }
 
-    /** From now on each answer ends its connection, but for those behind which more requests have been read. */
+    /** Closes each connection after its next response, unless pipelined requests follow that have been read. */
     public void closeAfterNextResponse() {
-        ending = true;
+        closingAfterResponse = true;
     }
 
-    /** Takes in no more, closes what stands idle, and from now on each answer ends its connection. */
+    /** Begins connection draining: accepts no more, closes idle connections, and the others after their response. */
     public void stopAccepting() {
-        ending = true;
+        closingAfterResponse = true;
         acceptor.close();
         List.copyOf(idle).forEach(connection -> connection.closeWhenWritten(CloseReason.SHUTDOWN));
-        List.copyOf(due).stream()
-                .filter(connection -> !connection.begun)
+        List.copyOf(awaitingRequest).stream()
+                .filter(connection -> !connection.requestStarted)
                 .forEach(connection -> connection.drop(CloseReason.SHUTDOWN));
     }
 
-    /** Closes all connections without a word, and is of no further use. */
+    /** Closes all connections without a response. The server cannot be used afterwards. */
     public void close() {
         sweeper.cancel(false);
         if (isListening()) {
@@ -239,80 +245,81 @@
         List.copyOf(connections).forEach(connection -> connection.drop(CloseReason.SHUTDOWN));
     }
 
-    /** What became of connections and requests so far; it goes on counting. */
+    /** Live counters of connections and rejected requests. */
     public ClientCounters counters() {
-        return tally;
+        return counters;
     }
 
-    /** How many connections are open. */
+    /** Number of open connections. */
     public int connectionCount() {
         return connections.size();
     }
 
-    /** Whether a client still waits for an answer, or for the rest of one. */
+    /** Whether any connection is still open. */
     public boolean hasConnections() {
         return !connections.isEmpty();
     }
 
     /**
-     * Guards against running out of descriptors, and against silent clients who take the places of those who ask: with
-     * too many connections, one of the least use makes room, and while none can be spared, new ones wait in the
-     * backlog.
+     * Enforces the connection limit, so that the process does not run out of file descriptors and inactive clients do
+     * not keep out active ones. Above the limit the least useful connection is closed; while there is none to close,
+     * accepting pauses and new connections wait in the backlog.
      */
-    private void bound() {
+    private void enforceConnectionLimit() {
         while (connections.size() > bounds.maxConnections()) {
-            Connection spared = leastUseful();
-            if (spared == null) {
+            Connection evicted = selectForEviction();
+            if (evicted == null) {
                 break;
             }
-            spared.drop(CloseReason.NO_PLACE);
+            evicted.drop(CloseReason.NO_PLACE);
         }
         boolean room = connections.size() <= bounds.maxConnections();
         acceptor.config().setAutoRead(room);
-        if (!room && !rechecking) {
-            rechecking = true;
+        if (!room && !recheckScheduled) {
+            recheckScheduled = true;
             loop.schedule(
                     () -> {
-                        rechecking = false;
-                        bound();
+                        recheckScheduled = false;
+                        enforceConnectionLimit();
                     },
-                    RECHECK_MILLIS,
+                    LIMIT_RECHECK_MILLIS,
                     TimeUnit.MILLISECONDS);
         }
     }
 
     /**
-     * One that is to be closed anyway, or has long been due; the longest idle only where no other is. One whose client
-     * is still reading an answer is spared no sooner than its client stops.
+     * The connection to close first: one that is closing anyway, else one that has waited for its request for long, and
+     * only then the longest idle one. A connection whose client is still reading a response is not chosen before the
+     * client stops reading.
      */
-    private Connection leastUseful() {
-        Connection closing = firstRead(lingering);
+    private Connection selectForEviction() {
+        Connection closing = firstFullyWritten(lingering);
         if (closing != null) {
             return closing;
         }
-        if (!due.isEmpty()) {
-            Connection longest = due.iterator().next();
-            return clock.nanos() - longest.dueSince >= YOUNG_NANOS ? longest : null;
+        if (!awaitingRequest.isEmpty()) {
+            Connection longestWaiting = awaitingRequest.iterator().next();
+            return clock.nanos() - longestWaiting.awaitingSince >= FIRST_REQUEST_GRACE_NANOS ? longestWaiting : null;
         }
-        Connection rests = firstRead(idle);
-        return rests != null ? rests : nonReader();
+        Connection longestIdle = firstFullyWritten(idle);
+        return longestIdle != null ? longestIdle : stalledReader();
     }
 
-    /** The first whose client has taken its answers, or null. */
-    private Connection firstRead(Set<Connection> among) {
-        for (Connection connection : among) {
-            if (!unread.contains(connection)) {
+    /** The first connection of the set without unwritten response bytes, or null. */
+    private Connection firstFullyWritten(Set<Connection> candidates) {
+        for (Connection connection : candidates) {
+            if (!pendingWrites.contains(connection)) {
                 return connection;
             }
         }
         return null;
     }
 
-    /** One that has no request open, and whose client has taken nothing of its answer for long. */
-    private Connection nonReader() {
-        long before = clock.nanos() - LONG_IDLE_NANOS;
-        for (Connection connection : unread) {
-            if (connection.isFree() && connection.takesNothingSince() <= before) {
+    /** A connection without an open request whose client has stopped reading its response, or null. */
+    private Connection stalledReader() {
+        long before = clock.nanos() - INACTIVITY_NANOS;
+        for (Connection connection : pendingWrites) {
+            if (connection.hasNoRequest() && connection.noProgressSince() <= before) {
                 return connection;
             }
         }
@@ -320,28 +327,28 @@
     }
 
     /**
-     * Guards against clients who keep a connection for good and don't ask on it again: each would cost a place, until
-     * those who ask find none. With half of the places taken an answer ends its connection, and who is still to ask
-     * connects anew; equally against crowds that say nothing and take what is left. It could do harm where connecting
-     * is slow or dear and more clients than half the places come back often.
+     * Whether more than half of the connection limit is in use. Responses then close their connections, and clients
+     * with further requests reconnect. Otherwise clients that keep a connection open and send nothing more, or connect
+     * and send nothing at all, could use up the limit. The cost is reconnects: this does harm where connecting is slow
+     * or expensive and more clients than half the limit come back often.
      */
-    private boolean crowded() {
+    private boolean isOverHalfFull() {
         return connections.size() > bounds.maxConnections() / 2;
     }
 
-    /** Guards against a log that grows as fast as a client can connect. */
+    /** Logs at most one fault per interval: otherwise the log would grow as fast as clients can connect. */
     private void logFault(Throwable cause) {
         long now = clock.nanos();
-        if (now >= nextFaultLineAt) {
-            nextFaultLineAt = now + FAULT_LINE_NANOS;
-            LOG.warn("a client's connection is closed by a fault", cause);
+        if (now >= nextFaultLogAt) {
+            nextFaultLogAt = now + FAULT_LOG_INTERVAL_NANOS;
+            LOG.warn("client connection closed by a fault", cause);
         }
     }
 
-    /** Guards against clients that say nothing, or send so slowly that their request never comes whole. */
-    private void endOverdue() {
-        long unused = clock.nanos() - LONG_IDLE_NANOS;
-        while (crowded() && !idle.isEmpty() && idle.iterator().next().idleSince <= unused) {
+    /** Closes connections of clients that send nothing, or too slowly to ever complete their request. */
+    private void closeOverdue() {
+        long inactiveBefore = clock.nanos() - INACTIVITY_NANOS;
+        while (isOverHalfFull() && !idle.isEmpty() && idle.iterator().next().idleSince <= inactiveBefore) {
             idle.iterator().next().closeWhenWritten(CloseReason.NO_PLACE);
         }
         while (bounds.idleTimeoutNanos() > 0
@@ -349,190 +356,194 @@
                 && idle.iterator().next().idleSince <= clock.nanos() - bounds.idleTimeoutNanos()) {
             idle.iterator().next().drop(CloseReason.IDLE);
         }
-        dropNonReaders();
+        dropSlowReaders();
         long before = clock.nanos() - bounds.receiveTimeoutNanos();
-        for (Connection connection : List.copyOf(due)) {
-            if (connection.dueSince <= before) {
-                connection.overdue();
+        for (Connection connection : List.copyOf(awaitingRequest)) {
+            if (connection.awaitingSince <= before) {
+                connection.handleOverdue();
             }
         }
     }
 
     /**
-     * Guards against clients that ask for long answers and don't read them: such an answer holds memory that others
-     * wait for. It could do harm where a client stops reading for two seconds and then goes on.
+     * Closes connections whose clients do not read their responses: such a response holds memory that other requests
+     * wait for. Under memory pressure this also hits a client that stops reading for two seconds and then goes on.
      */
-    private void dropNonReaders() {
+    private void dropSlowReaders() {
         long idleNanos = bounds.idleTimeoutNanos() > 0 ? bounds.idleTimeoutNanos() : Long.MAX_VALUE;
-        long patience = pressed.getAsBoolean() ? Math.min(LONG_IDLE_NANOS, idleNanos) : idleNanos;
-        for (Connection connection : List.copyOf(unread)) {
-            if (clock.nanos() - connection.takesNothingSince() >= patience) {
+        long stallTimeoutNanos = underMemoryPressure.getAsBoolean() ? Math.min(INACTIVITY_NANOS, idleNanos) : idleNanos;
+        for (Connection connection : List.copyOf(pendingWrites)) {
+            if (clock.nanos() - connection.noProgressSince() >= stallTimeoutNanos) {
                 connection.drop(CloseReason.NOT_READ);
             }
         }
     }
 
-    /** From now on clients that don't read are dropped soon while this holds. */
+    /** Sets the condition of memory pressure under which clients that do not read are disconnected early. */
     public void dropSlowReadersWhile(BooleanSupplier condition) {
-        pressed = condition;
+        underMemoryPressure = condition;
     }
 
-    /** The way back to the client of one request. Only the first answer goes out. */
+    /** The response side of one request. Only the first response is sent, further ones are discarded. */
     public final class Reply {
         private final Connection connection;
         private final boolean keepAlive;
-        /** It answers a HEAD: a body would stand where the next answer begins. */
-        private final boolean headAlone;
-
-        private Runnable left = () -> {};
-        private Runnable written = () -> {};
-        private FullHttpRequest kept;
-        private Reservation head = Reservation.NONE;
-        private Reservation body = Reservation.NONE;
+        /** Responds to HEAD: a body would be read as the start of the next response. */
+        private final boolean headOnly;
+
+        private Runnable disconnectAction = () -> {};
+        private Runnable writtenAction = () -> {};
+        private FullHttpRequest retainedRequest;
+        private Reservation headReservation = Reservation.NONE;
+        private Reservation bodyReservation = Reservation.NONE;
         private long queueingDelayNanos;
         private boolean done;
 
-        private Reply(Connection connection, boolean keepAlive, boolean headAlone) {
+        private Reply(Connection connection, boolean keepAlive, boolean headOnly) {
             this.connection = connection;
             this.keepAlive = keepAlive;
-            this.headAlone = headAlone;
+            this.headOnly = headOnly;
         }
 
-        private void answers(Arrived arrived) {
-            head = arrived.head;
-            body = arrived.body;
-            queueingDelayNanos = arrived.heldUp;
+        private void attach(ReceivedRequest received) {
+            headReservation = received.headReservation;
+            bodyReservation = received.bodyReservation;
+            queueingDelayNanos = received.queueingDelayNanos;
         }
 
-        /** What to do when the client leaves before its answer. */
+        /** Sets the action for a client that disconnects before its response. */
         public void onClientDisconnect(Runnable action) {
-            left = action;
+            disconnectAction = action;
         }
 
-        /** What to do when the answer has been written, or can't be any more. */
+        /** Sets the action for when the response has been written, or can no longer be. */
         public void onWritten(Runnable action) {
-            written = action;
+            writtenAction = action;
         }
 
-        /** How long the request may have lain here before it was read, in nanoseconds. */
+        /** Upper bound of the time that the request waited here before it was read, in nanoseconds. */
         public long queueingDelayNanos() {
             return queueingDelayNanos;
         }
 
-        /**
-         * Keeps the request and its body beyond the call of {@link Listener#onRequest}, until {@link #releaseRequest}.
-         */
+        /** Retains the request beyond the call of {@link Listener#onRequest}, until {@link #releaseRequest}. */
         public void retainRequest(FullHttpRequest request) {
-            kept = request.retain();
+            retainedRequest = request.retain();
         }
 
-        /** Lets a body go that was kept. */
+        /** Releases the request and the memory that its head and body have reserved. */
         public void releaseRequest() {
-            head.release();
-            head = Reservation.NONE;
-            body.release();
-            body = Reservation.NONE;
-            if (kept != null) {
-                kept.release();
-                kept = null;
+            headReservation.release();
+            headReservation = Reservation.NONE;
+            bodyReservation.release();
+            bodyReservation = Reservation.NONE;
+            if (retainedRequest != null) {
+                retainedRequest.release();
+                retainedRequest = null;
             }
         }
 
-        /** Whether the client has its answer, or has gone. */
+        /** Whether a response has been sent, or the client has disconnected. */
         public boolean isDone() {
             return done;
         }
 
-        /** A host's answer, unchanged. */
+        /** Sends the body of a host's response unchanged, with status 200. */
         void ok(ByteBuf body) {
             write(HttpResponseStatus.OK, body.retain(), 0);
         }
 
-        /** A plain line; {@code pauseNanos} tells when to come back, 0 for no advice. */
-        public void text(HttpResponseStatus status, String line, long pauseNanos) {
-            write(status, Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8), pauseNanos);
+        /** Sends a line of plain text; {@code retryAfterNanos} becomes {@code Retry-After}, 0 for none. */
+        public void text(HttpResponseStatus status, String line, long retryAfterNanos) {
+            write(status, Unpooled.copiedBuffer(line + "\n", StandardCharsets.UTF_8), retryAfterNanos);
         }
 
-        private void write(HttpResponseStatus status, ByteBuf body, long pauseNanos) {
-            write(status, new DefaultHttpHeaders(), body, pauseNanos);
+        private void write(HttpResponseStatus status, ByteBuf body, long retryAfterNanos) {
+            write(status, new DefaultHttpHeaders(), body, retryAfterNanos);
         }
 
         /**
-         * An answer with headers of its own; they and the body are the reply's from here on. Where a HEAD is answered
-         * the body stays behind, and a {@code Content-Length} among the headers is what a GET would be told.
+         * Sends a response with the given headers, and takes ownership of them and of the body. To a HEAD request the
+         * body is not sent, and a {@code Content-Length} among the headers is the one that GET would get.
          */
-        public void write(HttpResponseStatus status, HttpHeaders headers, ByteBuf body, long pauseNanos) {
+        public void write(HttpResponseStatus status, HttpHeaders headers, ByteBuf body, long retryAfterNanos) {
             if (done) {
                 body.release();
-                written.run();
+                writtenAction.run();
                 return;
             }
             done = true;
-            if (!headAlone || !headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
+            if (!headOnly || !headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
                 headers.setInt(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
             }
-            if (headAlone) {
+            if (headOnly) {
                 body.clear();
             }
-            DefaultFullHttpResponse answer =
+            DefaultFullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body, headers, EmptyHttpHeaders.INSTANCE);
-            if (pauseNanos > 0) {
-                headers.set(HttpHeaderNames.RETRY_AFTER, seconds(pauseNanos));
+            if (retryAfterNanos > 0) {
+                headers.set(HttpHeaderNames.RETRY_AFTER, formatSeconds(retryAfterNanos));
             }
-            // What was sent ahead is still owed its answer.
-            boolean last = (ending || crowded()) && connection.pipelined.isEmpty();
-            connection.answer(answer, keepAlive && !last, written);
+            // Pipelined requests still get their responses on this connection.
+            boolean last = (closingAfterResponse || isOverHalfFull()) && connection.pipelined.isEmpty();
+            connection.send(response, keepAlive && !last, writtenAction);
         }
     }
 
-    /** Seconds with three decimals, rounded up: a client that comes back too soon is refused again. */
-    static String seconds(long nanos) {
+    /** Seconds with three decimals, rounded up: a client that retries too early is rejected again. */
+    static String formatSeconds(long nanos) {
         long millis = (nanos + 999_999) / 1_000_000;
         String part = String.valueOf(1_000 + millis % 1_000);
         return millis / 1_000 + "." + part.substring(1);
     }
 
     /**
-     * A request, or what came in place of one, when its last byte was read, and how long that may have lain here
-     * before.
+     * A received request, which may be one that failed to decode, with the time that its last byte was read, an upper
+     * bound of its queueing delay before that, and the memory reserved for it.
      */
-    private record Arrived(FullHttpRequest request, long at, long heldUp, Reservation head, Reservation body) {
-        void giveUp() {
-            head.release();
-            body.release();
+    private record ReceivedRequest(
+            FullHttpRequest request,
+            long receivedAt,
+            long queueingDelayNanos,
+            Reservation headReservation,
+            Reservation bodyReservation) {
+        void release() {
+            headReservation.release();
+            bodyReservation.release();
             request.release();
         }
     }
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Channel channel;
-        private final RequestDecoder decoder = new RequestDecoder(bounds.maxHeadBytes(), heads);
-        private final RequestAggregator assembler = new RequestAggregator(this::isFree, bounds.maxBodyBytes(), bodies);
-        /** Requests that came before the one ahead had its answer. */
-        private final ArrayDeque<Arrived> pipelined = new ArrayDeque<>();
-
-        private Reply open;
-        /** When it was accepted, and how long it may have waited for that. */
+        private final RequestDecoder decoder = new RequestDecoder(bounds.maxHeadBytes(), headBudget);
+        private final RequestAggregator aggregator =
+                new RequestAggregator(this::hasNoRequest, bounds.maxBodyBytes(), bodyBudget);
+        /** Pipelined requests, which wait for the response to an earlier one. */
+        private final ArrayDeque<ReceivedRequest> pipelined = new ArrayDeque<>();
+
+        private Reply openReply;
+        /** When the connection was accepted, and how long it may have waited for that. */
         private long acceptedAt;
 
-        private long acceptedLateBy;
-        /** Since when the next request is due: the connect, or its first byte. */
-        private long dueSince;
+        private long acceptDelayNanos;
+        /** Start of the receive timeout of the next request: the connect, or its first byte. */
+        private long awaitingSince;
 
         private long idleSince;
-        /** Since when the client has taken nothing of what waits for it, and how much that was. */
-        private long unreadSince;
+        /** When the number of unwritten response bytes last fell, and that number. */
+        private long lastProgressAt;
 
-        private long unreadBytes;
-        private boolean asked;
-        /** A part of the next request has come. */
-        private boolean begun;
-        /** Nothing more is read: what came can't be, or the answer on its way says that the connection ends. */
-        private boolean deaf;
+        private long lastUnwrittenBytes;
+        private boolean hasSentRequest;
+        /** Part of the next request has been received. */
+        private boolean requestStarted;
+        /** Requests are no longer read: the input is invalid, or the response being sent closes the connection. */
+        private boolean readingStopped;
 
         private boolean closing;
-        /** Why it ends, as far as that is known here. */
-        private CloseReason end = CloseReason.CLIENT;
+        /** Why the connection closes; the client unless set otherwise. */
+        private CloseReason closeReason = CloseReason.CLIENT;
 
         Connection(Channel channel) {
             super(false);
@@ -542,74 +553,81 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             connections.add(this);
-            tally.connectionOpened();
+            counters.connectionOpened();
             acceptedAt = clock.nanos();
-            acceptedLateBy = clock.queueingDelayNanos();
-            dueSince = acceptedAt;
-            due.add(this);
-            bound();
+            acceptDelayNanos = clock.queueingDelayNanos();
+            awaitingSince = acceptedAt;
+            awaitingRequest.add(this);
+            enforceConnectionLimit();
         }
 
-        private boolean isFree() {
-            return open == null && pipelined.isEmpty();
+        private boolean hasNoRequest() {
+            return openReply == null && pipelined.isEmpty();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            Arrived arrived =
-                    new Arrived(request, clock.nanos(), heldUpNanos(), decoder.handOver(), assembler.handOver());
-            if (deaf) {
-                arrived.giveUp();
+            ReceivedRequest received = new ReceivedRequest(
+                    request,
+                    clock.nanos(),
+                    queueingDelayNanos(),
+                    decoder.detachReservation(),
+                    aggregator.detachReservation());
+            if (readingStopped) {
+                received.release();
                 return;
             }
-            begun = false;
-            // Of one that there is no room for the rest is read past: its client sends all of it before it looks for an
-            // answer, or leaves, which is to be noticed.
-            boolean readsPast = request.decoderResult().cause() instanceof RequestAggregator.BudgetExceededException;
+            requestStarted = false;
+            // The rest of a request without memory is read and discarded: its client may send all of it before it reads
+            // the response, and a disconnect has to be noticed.
+            boolean discardsRest = request.decoderResult().cause() instanceof RequestAggregator.BudgetExceededException;
             if (!request.decoderResult().isSuccess()) {
-                // Guards against spending time on the rest of what can't be read.
-                deaf = true;
-                channel.config().setAutoRead(readsPast);
+                // Does not spend time on the rest of invalid input.
+                readingStopped = true;
+                channel.config().setAutoRead(discardsRest);
             }
-            if (isFree() && channel.isWritable()) {
-                take(arrived);
+            if (hasNoRequest() && channel.isWritable()) {
+                process(received);
             } else {
-                pipelined.add(arrived);
-                // Guards against piling up what one client sends ahead, without breaking off what is open.
-                channel.config().setAutoRead(readsPast || (!deaf && pipelined.size() < MOST_PIPELINED));
+                pipelined.add(received);
+                // Limits the pipelined requests of one client without aborting the open one.
+                channel.config()
+                        .setAutoRead(discardsRest || (!readingStopped && pipelined.size() < MAX_PIPELINED_REQUESTS));
             }
         }
 
-        /** What came right behind its connect lay here for as long as the connection waited to be accepted. */
-        private long heldUpNanos() {
-            long heldUp = clock.queueingDelayNanos();
+        /** The first request may also have waited here while its connection waited to be accepted. */
+        private long queueingDelayNanos() {
+            long loopDelayNanos = clock.queueingDelayNanos();
             long sinceAccepted = clock.nanos() - acceptedAt;
-            return !asked && sinceAccepted <= heldUp + acceptedLateBy ? sinceAccepted + acceptedLateBy : heldUp;
+            return !hasSentRequest && sinceAccepted <= loopDelayNanos + acceptDelayNanos
+                    ? sinceAccepted + acceptDelayNanos
+                    : loopDelayNanos;
         }
 
-        /** The limit counts from a request's first byte, and no later byte renews it. */
+        /** The receive timeout counts from a request's first byte, and later bytes do not extend it. */
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            boolean amidst = decoder.holdsBytes() || assembler.amidst();
-            if (amidst && !begun) {
-                dueSince = asked ? clock.nanos() : dueSince;
+            boolean incomplete = decoder.hasPartialHead() || aggregator.isInBody();
+            if (incomplete && !requestStarted) {
+                awaitingSince = hasSentRequest ? clock.nanos() : awaitingSince;
             }
-            begun = amidst;
-            place();
+            requestStarted = incomplete;
+            updateSets();
             ctx.fireChannelReadComplete();
         }
 
-        /** Puts the connection into the set where it belongs. */
-        private void place() {
-            boolean rests = connections.contains(this) && isFree() && !deaf;
-            boolean isDue = rests && (begun || !asked);
-            keep(due, isDue);
+        /** Updates the membership in the sets of idle and of waiting connections. */
+        private void updateSets() {
+            boolean awaitsClient = connections.contains(this) && hasNoRequest() && !readingStopped;
+            boolean isAwaitingRequest = awaitsClient && (requestStarted || !hasSentRequest);
+            setMembership(awaitingRequest, isAwaitingRequest);
             boolean wasIdle = idle.contains(this);
-            keep(idle, rests && !isDue);
+            setMembership(idle, awaitsClient && !isAwaitingRequest);
             idleSince = wasIdle ? idleSince : clock.nanos();
         }
 
-        private void keep(Set<Connection> set, boolean in) {
+        private void setMembership(Set<Connection> set, boolean in) {
             if (in) {
                 set.add(this);
             } else {
@@ -617,123 +635,126 @@
             }
         }
 
-        private void take(Arrived arrived) {
-            FullHttpRequest request = arrived.request;
-            asked = true;
+        private void process(ReceivedRequest received) {
+            FullHttpRequest request = received.request;
+            hasSentRequest = true;
             boolean readable = request.decoderResult().isSuccess();
-            boolean probes = request.uri().equals(bounds.readyPath());
-            // Guards against probes that take clients' places: each comes on a connection of its own.
+            boolean isProbe = request.uri().equals(bounds.readyPath());
+            // Readiness probes come on a new connection each time: kept open, these would use up the connection limit.
             Reply reply = new Reply(
                     this,
-                    readable && !probes && HttpUtil.isKeepAlive(request),
+                    readable && !isProbe && HttpUtil.isKeepAlive(request),
                     request.method().equals(HttpMethod.HEAD));
-            reply.answers(arrived);
-            open = reply;
-            place();
+            reply.attach(received);
+            openReply = reply;
+            updateSets();
             try {
                 if (!readable) {
                     reject(request.decoderResult().cause(), reply);
-                } else if (probes) {
+                } else if (isProbe) {
                     boolean ready = listener.ready();
                     reply.text(
                             ready ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE,
                             ready ? "ready" : "starting",
                             0);
                 } else {
-                    listener.onRequest(request, arrived.at, reply);
+                    listener.onRequest(request, received.receivedAt, reply);
                 }
             } catch (BadRequest e) {
-                tally.requestRejected(e.status);
+                counters.requestRejected(e.status);
                 reply.text(e.status, e.getMessage(), 0);
             } catch (RuntimeException e) {
-                // Guards against a fault of the program leaving its request without an answer.
-                Invariant.NO_FAULT.violatedBy(e, "taking in a request for " + request.uri());
+                // A fault of the program must not leave the request without a response.
+                Invariant.NO_FAULT.violatedBy(e, "processing a request for " + request.uri());
                 reply.text(HttpResponseStatus.INTERNAL_SERVER_ERROR, "a fault of the gateway", 0);
             } finally {
-                if (reply.kept == null) {
+                if (reply.retainedRequest == null) {
                     reply.releaseRequest();
                 }
                 request.release();
             }
         }
 
-        /** Tells why a request can't be taken. */
+        /** Responds to a request that failed to decode, or for which no memory was left. */
         private void reject(Throwable cause, Reply reply) {
             if (cause instanceof RequestAggregator.BudgetExceededException) {
-                tally.requestRejected(HttpResponseStatus.SERVICE_UNAVAILABLE);
-                reply.text(HttpResponseStatus.SERVICE_UNAVAILABLE, "no room for the request at present", NO_ROOM_NANOS);
+                counters.requestRejected(HttpResponseStatus.SERVICE_UNAVAILABLE);
+                reply.text(
+                        HttpResponseStatus.SERVICE_UNAVAILABLE,
+                        "no room for the request at present",
+                        NO_MEMORY_RETRY_AFTER_NANOS);
                 return;
             }
             boolean tooLong = cause instanceof TooLongHttpContentException;
             HttpResponseStatus status =
                     tooLong ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE : HttpResponseStatus.BAD_REQUEST;
-            tally.requestRejected(status);
+            counters.requestRejected(status);
             reply.text(status, tooLong ? "the body is too long" : "not a readable HTTP request", 0);
         }
 
-        private void answer(DefaultFullHttpResponse answer, boolean keepAlive, Runnable whenWritten) {
-            open = null;
+        private void send(DefaultFullHttpResponse response, boolean keepAlive, Runnable whenWritten) {
+            openReply = null;
             if (keepAlive) {
-                ChannelFuture written = channel.writeAndFlush(answer)
+                ChannelFuture written = channel.writeAndFlush(response)
                         .addListener(ChannelFutureListener.CLOSE_ON_FAILURE)
                         .addListener(done -> whenWritten.run());
-                watch(written);
+                trackWrite(written);
                 if (!pipelined.isEmpty()) {
-                    // Guards against recursion through a run of requests that are answered at once.
-                    loop.execute(this::takeNext);
+                    // Avoids recursion through a run of requests that are answered at once.
+                    loop.execute(this::processNext);
                 }
             } else {
-                boolean unread = deaf;
-                deaf = true;
+                boolean inputUnread = readingStopped;
+                readingStopped = true;
                 closing = true;
-                end = CloseReason.LAST_ANSWER;
-                answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-                ChannelFuture written = channel.writeAndFlush(answer).addListener(done -> whenWritten.run());
-                watch(written);
-                if (unread) {
+                closeReason = CloseReason.LAST_ANSWER;
+                response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+                ChannelFuture written = channel.writeAndFlush(response).addListener(done -> whenWritten.run());
+                trackWrite(written);
+                if (inputUnread) {
                     linger(written);
                 } else {
                     written.addListener(ChannelFutureListener.CLOSE);
                 }
             }
-            place();
+            updateSets();
         }
 
-        /** Looks after an answer that its client hasn't taken whole yet. */
-        private void watch(ChannelFuture written) {
+        /** Tracks a response until all its bytes have been written. */
+        private void trackWrite(ChannelFuture written) {
             if (written.isDone()) {
                 return;
             }
-            if (unread.add(this)) {
-                unreadSince = clock.nanos();
-                unreadBytes = Long.MAX_VALUE;
+            if (pendingWrites.add(this)) {
+                lastProgressAt = clock.nanos();
+                lastUnwrittenBytes = Long.MAX_VALUE;
             }
             written.addListener(done -> {
-                if (waitingBytes() == 0) {
-                    unread.remove(this);
+                if (unwrittenBytes() == 0) {
+                    pendingWrites.remove(this);
                 }
             });
         }
 
-        /** How much of answers has not gone out yet. */
-        private long waitingBytes() {
-            ChannelOutboundBuffer waiting = channel.unsafe().outboundBuffer();
-            return waiting == null ? 0 : waiting.totalPendingWriteBytes() - Math.max(0, waiting.currentProgress());
+        /** Response bytes that have not been written to the socket yet. */
+        private long unwrittenBytes() {
+            ChannelOutboundBuffer buffer = channel.unsafe().outboundBuffer();
+            return buffer == null ? 0 : buffer.totalPendingWriteBytes() - Math.max(0, buffer.currentProgress());
         }
 
-        /** Since when its client has taken nothing of what waits for it. */
-        private long takesNothingSince() {
-            long bytes = waitingBytes();
-            if (bytes < unreadBytes) {
-                unreadBytes = bytes;
-                unreadSince = clock.nanos();
+        /** Since when the client has read none of the unwritten response bytes. */
+        private long noProgressSince() {
+            long bytes = unwrittenBytes();
+            if (bytes < lastUnwrittenBytes) {
+                lastUnwrittenBytes = bytes;
+                lastProgressAt = clock.nanos();
             }
-            return unreadSince;
+            return lastProgressAt;
         }
 
         /**
-         * Guards against the reset that closing with bytes unread would be: it would take the answer away from a client
-         * that is still sending. The rest isn't read either, as it may have no end.
+         * Lingering close: shuts down the output and closes later. Closing with unread input would reset the connection
+         * and lose the response for a client that is still sending. The rest is not read, as it may have no end.
          */
         private void linger(ChannelFuture written) {
             lingering.add(this);
@@ -741,31 +762,31 @@
             loop.schedule(() -> channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
         }
 
-        /** Guards against answers that pile up for a client that asks on and doesn't read them. */
+        /** Backpressure: does not process further requests of a client that does not read its responses. */
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             if (channel.isWritable()) {
-                loop.execute(this::takeNext);
+                loop.execute(this::processNext);
             }
             ctx.fireChannelWritabilityChanged();
         }
 
-        private void takeNext() {
-            if (open == null && !closing && channel.isActive() && channel.isWritable() && !pipelined.isEmpty()) {
-                Arrived next = pipelined.poll();
-                channel.config().setAutoRead(!deaf);
-                take(next);
+        private void processNext() {
+            if (openReply == null && !closing && channel.isActive() && channel.isWritable() && !pipelined.isEmpty()) {
+                ReceivedRequest next = pipelined.poll();
+                channel.config().setAutoRead(!readingStopped);
+                process(next);
             }
         }
 
-        /** Ends a connection whose next request has not come in time, with a word where it has begun. */
-        private void overdue() {
-            if (begun) {
-                deaf = true;
+        /** Closes a connection whose request was not received in time, with a 408 response if part of it was. */
+        private void handleOverdue() {
+            if (requestStarted) {
+                readingStopped = true;
                 channel.config().setAutoRead(false);
                 Reply reply = new Reply(this, false, false);
-                open = reply;
-                tally.requestRejected(HttpResponseStatus.REQUEST_TIMEOUT);
+                openReply = reply;
+                counters.requestRejected(HttpResponseStatus.REQUEST_TIMEOUT);
                 reply.text(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time", 0);
             } else {
                 drop(CloseReason.NOTHING_ASKED);
@@ -773,8 +794,8 @@
         }
 
         /**
-         * Closes it once its last answer has gone out. Guards against cutting the rest of an answer that its client
-         * reads slowly. A client that never reads keeps its place only until another needs it.
+         * Closes the connection once its last response has been written, so that a client that reads slowly gets all of
+         * it. A client that never reads keeps its connection only until the limit needs it.
          */
         private void closeWhenWritten(CloseReason why) {
             ChannelFuture written = channel.writeAndFlush(Unpooled.EMPTY_BUFFER);
@@ -782,53 +803,53 @@
                 drop(why);
                 return;
             }
-            end = why;
-            deaf = true;
+            closeReason = why;
+            readingStopped = true;
             closing = true;
             channel.config().setAutoRead(false);
             lingering.add(this);
-            place();
+            updateSets();
             written.addListener(ChannelFutureListener.CLOSE);
         }
 
-        /** Closes it, and forgets it at once so that its place is free. */
+        /** Closes the connection and deregisters it at once, so that it no longer counts towards the limit. */
         private void drop(CloseReason why) {
-            end = why;
-            forget();
+            closeReason = why;
+            deregister();
             channel.close();
         }
 
-        private void forget() {
+        private void deregister() {
             connections.remove(this);
             idle.remove(this);
-            due.remove(this);
+            awaitingRequest.remove(this);
             lingering.remove(this);
-            unread.remove(this);
+            pendingWrites.remove(this);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            tally.connectionClosed(end);
-            forget();
-            assembler.giveUp();
-            decoder.handOver().release();
-            pipelined.forEach(Arrived::giveUp);
+            counters.connectionClosed(closeReason);
+            deregister();
+            aggregator.releaseReservation();
+            decoder.detachReservation().release();
+            pipelined.forEach(ReceivedRequest::release);
             pipelined.clear();
-            bound();
-            Reply unanswered = open;
-            open = null;
+            enforceConnectionLimit();
+            Reply unanswered = openReply;
+            openReply = null;
             if (unanswered != null && !unanswered.done) {
                 unanswered.done = true;
-                unanswered.left.run();
+                unanswered.disconnectAction.run();
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             Fatal.pass(cause);
-            // A client that leaves amid its request is no fault; others may come as often as clients like.
+            // A client that disconnects within its request is no fault; other faults can come as often as clients like.
             if (!(cause instanceof IOException) && !(cause instanceof PrematureChannelClosureException)) {
-                end = CloseReason.BROKEN;
+                closeReason = CloseReason.BROKEN;
                 logFault(cause);
             }
             ctx.close();
--- a/src/main/java/tinworks/net/ClosingEventLoopGroup.java
+++ b/src/main/java/tinworks/net/ClosingEventLoopGroup.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.Executor;
 
 /**
- * Event loops that close all their channels before they end. Netty's own do so only in a round that begins after the
- * end was asked for: one that is amid its tasks then, and has no quiet period to wait for, ends without such a round.
- * Its sockets stay open and the bytes that they had read are never released.
+ * Event loops that close all their channels before they terminate. Netty's own do so only in an iteration that begins
+ * after shutdown was requested: a loop that is running tasks then, and has no quiet period, terminates without such an
+ * iteration. Its sockets stay open and the buffers that they had read are never released.
  */
 public final class ClosingEventLoopGroup extends MultiThreadIoEventLoopGroup {
-    /** So many event loops. */
+    /** Creates a group of {@code loops} event loops. */
     public ClosingEventLoopGroup(int loops, IoHandlerFactory factory) {
         super(loops, factory);
     }
@@ -24,21 +24,24 @@
     }
 
     private static final class ClosingEventLoop extends SingleThreadIoEventLoop {
-        /** Guards against a handler that opens a channel for each that is closed: the loop would never end. */
-        private static final int MOST_ROUNDS = 16;
+        /** A handler that opens a channel for each closed one would otherwise keep the loop from terminating. */
+        private static final int MAX_EXTRA_ROUNDS = 16;
 
-        private int rounds;
+        private int extraRounds;
 
         ClosingEventLoop(IoEventLoopGroup parent, Executor executor, IoHandlerFactory factory) {
             super(parent, executor, factory);
         }
 
-        /** Not before a round in which all channels were closed. */
+        /** Delays termination until an iteration has closed all channels. */
         @Override
         protected boolean confirmShutdown() {
-            if (isShuttingDown() && !isShutdown() && getNumOfRegisteredChannels() > 0 && rounds < MOST_ROUNDS) {
-                rounds++;
-                // Guards against waiting for a wake-up in that round: a loop that has a task does not wait.
+            if (isShuttingDown()
+                    && !isShutdown()
+                    && getNumOfRegisteredChannels() > 0
+                    && extraRounds < MAX_EXTRA_ROUNDS) {
+                extraRounds++;
+                // A loop with a pending task does not block in that iteration.
                 execute(() -> {});
                 return false;
             }
--- a/src/main/java/tinworks/net/Framing.java
+++ b/src/main/java/tinworks/net/Framing.java
@@ -12,19 +12,19 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Where a message ends. */
+/** Checks of HTTP/1.x message framing against request and response smuggling. */
 final class Framing {
-    private static final String VERSION = "HTTP/1.";
+    private static final String VERSION_PREFIX = "HTTP/1.";
     private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] \\d{3}");
 
     private Framing() {}
 
     /**
-     * Whether all who read this head agree on where its message ends. Guards against bytes that are a body to one
-     * reader and the next message to another: a coding other than chunked, which Netty passes over, would leave its
-     * whole body standing where the next message begins.
+     * Whether every reader of this head agrees on where the message ends. Otherwise bytes that are a body to one reader
+     * are the next message to another (smuggling): Netty ignores a transfer coding other than chunked, and would read
+     * the whole body as the next message.
      */
-    static boolean hasOneReading(HttpMessage head) {
+    static boolean isUnambiguous(HttpMessage head) {
         HttpHeaders headers = head.headers();
         List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
         HttpVersion version = head.protocolVersion();
@@ -37,21 +37,22 @@
     }
 
     /**
-     * Whether a status line stands within this head. Guards against the beginning of an answer that was broken off, and
-     * came late, with the answer to this request behind it: the status of the one, its seal or its proof that nothing
-     * ran would be taken for the other's.
+     * Whether the reason phrase or a header value contains a status line. This happens when a late response is
+     * truncated within its head and the response to this request follows: the status, the seal or the proof of not
+     * having run of the first would be taken for the second.
      */
-    static boolean holdsAnother(HttpResponse head) {
-        boolean holds = holdsStatusLine(head.status().reasonPhrase());
+    static boolean containsStatusLine(HttpResponse head) {
+        boolean found = matchesStatusLine(head.status().reasonPhrase());
         for (Iterator<Map.Entry<CharSequence, CharSequence>> all =
                         head.headers().iteratorCharSequence();
-                !holds && all.hasNext(); ) {
-            holds = holdsStatusLine(all.next().getValue());
+                !found && all.hasNext(); ) {
+            found = matchesStatusLine(all.next().getValue());
         }
-        return holds;
+        return found;
     }
 
-    private static boolean holdsStatusLine(CharSequence text) {
-        return AsciiString.contains(text, VERSION) && STATUS_LINE.matcher(text).find();
+    private static boolean matchesStatusLine(CharSequence text) {
+        return AsciiString.contains(text, VERSION_PREFIX)
+                && STATUS_LINE.matcher(text).find();
     }
 }
--- a/src/main/java/tinworks/net/LoopLag.java
+++ b/src/main/java/tinworks/net/LoopLag.java
@@ -12,94 +12,94 @@
 import java.nio.channels.spi.SelectorProvider;
 
 /**
- * How long what comes from the network may lie unread because the event loop is at other work. A pass of the loop looks
- * at its sockets, reads what is there, and then runs what is due; whatever arrives meanwhile waits for the next look.
- * Guards against a gateway that takes its own stall for its hosts'.
+ * Measures event loop lag: an upper bound of the queueing delay of network input while the event loop is busy. An
+ * iteration of the loop polls its sockets, reads what is ready, and then runs its tasks; input that arrives meanwhile
+ * waits for the next poll. With this, a gateway does not attribute its own stalls to its hosts.
  *
- * <p>Stands round the {@link IoHandler} of one event loop; all but {@link #newHandler} belongs to that loop.
+ * <p>Wraps the {@link IoHandler} of one event loop; all but {@link #newHandler} must be called on that loop.
  */
 public final class LoopLag implements IoHandlerFactory {
-    /** Work for so long is worth a look of its own at what came meanwhile. */
+    /** After work of at least this length, input that arrived meanwhile is polled for separately. */
     private static final long LONG_WORK_NANOS = 2_000_000L;
 
-    private final IoHandlerFactory wrapped;
-    /** When this pass began to look; when the last look ended; how long the pass before this one was at work. */
-    private long enteredAt = System.nanoTime();
+    private final IoHandlerFactory delegate;
+    /** When this iteration began to poll; when the last poll ended; how long the previous iteration worked. */
+    private long pollStartedAt = System.nanoTime();
 
-    private long lookedAt = enteredAt;
-    private long workBefore;
-    /** When the first thing of this look was told, 0 before that. */
-    private long firstAt;
+    private long pollEndedAt = pollStartedAt;
+    private long previousWorkNanos;
+    /** When the first event of this poll was handled, 0 before that. */
+    private long firstEventAt;
 
-    private boolean reading;
-    /** What is read now was there when this pass began to look. */
-    private boolean wasThere;
+    private boolean inPoll;
+    /** The input being read was ready when this iteration began to poll. */
+    private boolean readyBeforePoll;
 
-    /** Watches the one handler that this factory makes. */
+    /** Creates the factory of the one handler that is measured. */
     public LoopLag() {
-        wrapped = NioIoHandler.newFactory(SelectorProvider.provider(), () -> this::select);
+        delegate = NioIoHandler.newFactory(SelectorProvider.provider(), () -> this::select);
     }
 
     /**
-     * Guards against taking what came while the loop was at work for what came while it waited: after long work it
-     * looks before it waits. How soon a wait ends doesn't tell, as on a small part of a core the thread itself is held
-     * up.
+     * After long work, selects without blocking first, to tell input that arrived during the work from input that
+     * arrives during the wait. A wait that ends at once is no evidence, as with a small CPU quota the thread itself may
+     * be delayed.
      */
     private int select(IntSupplier selectNow, boolean hasTasks) throws Exception {
-        if (!hasTasks && workBefore < LONG_WORK_NANOS) {
+        if (!hasTasks && previousWorkNanos < LONG_WORK_NANOS) {
             return SelectStrategy.SELECT;
         }
         int ready = selectNow.get();
-        wasThere = ready > 0;
-        return hasTasks || wasThere ? ready : SelectStrategy.SELECT;
+        readyBeforePoll = ready > 0;
+        return hasTasks || readyBeforePoll ? ready : SelectStrategy.SELECT;
     }
 
-    /** The most that something which is told now can have waited here, in nanoseconds. */
+    /** Upper bound of the time that the event being handled has waited in this process, in nanoseconds. */
     public long nanos() {
         long now = System.nanoTime();
-        if (!reading) {
-            return now - lookedAt;
+        if (!inPoll) {
+            return now - pollEndedAt;
         }
-        if (wasThere) {
-            return now - enteredAt + workBefore;
+        if (readyBeforePoll) {
+            return now - pollStartedAt + previousWorkNanos;
         }
-        firstAt = firstAt == 0 ? now : firstAt;
-        return now - firstAt;
+        firstEventAt = firstEventAt == 0 ? now : firstEventAt;
+        return now - firstEventAt;
     }
 
     @Override
     public IoHandler newHandler(ThreadAwareExecutor executor) {
-        return new Watched(wrapped.newHandler(executor));
+        return new TimedIoHandler(delegate.newHandler(executor));
     }
 
     @Override
     public boolean isChangingThreadSupported() {
-        return wrapped.isChangingThreadSupported();
+        return delegate.isChangingThreadSupported();
     }
 
-    /** A handler whose passes are timed. */
-    private final class Watched implements IoHandler {
+    /** Times the polls of the wrapped handler. */
+    private final class TimedIoHandler implements IoHandler {
         private final IoHandler handler;
         private final Context context = new Context();
 
-        Watched(IoHandler handler) {
+        TimedIoHandler(IoHandler handler) {
             this.handler = handler;
         }
 
         @Override
-        public int run(IoHandlerContext asked) {
-            enteredAt = System.nanoTime();
-            workBefore = enteredAt - lookedAt;
-            firstAt = 0;
-            wasThere = false;
-            reading = true;
-            context.asked = asked;
-            context.active = 0;
+        public int run(IoHandlerContext delegateContext) {
+            pollStartedAt = System.nanoTime();
+            previousWorkNanos = pollStartedAt - pollEndedAt;
+            firstEventAt = 0;
+            readyBeforePoll = false;
+            inPoll = true;
+            context.delegate = delegateContext;
+            context.activeIoNanos = 0;
             try {
                 return handler.run(context);
             } finally {
-                reading = false;
-                lookedAt = System.nanoTime() - context.active;
+                inPoll = false;
+                pollEndedAt = System.nanoTime() - context.activeIoNanos;
             }
         }
 
@@ -134,24 +134,24 @@
         }
     }
 
-    /** Asks the handler how long it read, and passes all else on. */
+    /** Collects the time that the handler spends on I/O, and delegates everything else. */
     private static final class Context implements IoHandlerContext {
-        private IoHandlerContext asked;
-        private long active;
+        private IoHandlerContext delegate;
+        private long activeIoNanos;
 
         @Override
         public boolean canBlock() {
-            return asked.canBlock();
+            return delegate.canBlock();
         }
 
         @Override
         public long delayNanos(long now) {
-            return asked.delayNanos(now);
+            return delegate.delayNanos(now);
         }
 
         @Override
         public long deadlineNanos() {
-            return asked.deadlineNanos();
+            return delegate.deadlineNanos();
         }
 
         @Override
@@ -161,7 +161,7 @@
 
         @Override
         public void reportActiveIoTime(long nanos) {
-            active += nanos;
+            activeIoNanos += nanos;
         }
     }
 }
--- a/src/main/java/tinworks/net/RequestAggregator.java
+++ b/src/main/java/tinworks/net/RequestAggregator.java
@@ -20,135 +20,133 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Collects a client's request whole and within bounds. Guards against the answers that Netty's own collector writes
- * past the connection (413, 417 and 100): they would overtake the answer that an earlier request is still owed, and
- * pass for it. Here a request that is too long comes out as one that can't be read, in its turn.
+ * Aggregates a client's request within limits of size and memory. Netty's own aggregator writes 413, 417 and 100
+ * responses itself, past the queue of pipelined requests: they could overtake the pending response to an earlier
+ * request and be taken for it. This one passes a request that is too long on as one that failed to decode, in its turn.
  */
 final class RequestAggregator extends HttpObjectAggregator {
-    /** Why a request was turned away whose body there was no room for. */
+    /** The decoder failure of a request whose head or body does not fit into the memory budget. */
     static final class BudgetExceededException extends Exception {
         private static final long serialVersionUID = 1L;
 
         BudgetExceededException() {
-            super("no room for the body");
+            super("request exceeds the memory budget");
         }
     }
 
-    private static final long UNKNOWN = -1;
+    private static final long UNKNOWN_LENGTH = -1;
 
-    private final BooleanSupplier free;
-    private final int largestBody;
-    private final BodyBudget bodies;
-    private boolean amidst;
-    /** What the request under way, or the one that has just come whole, has taken of the budget. */
-    private Reservation taken = Reservation.NONE;
-    /** How much of the body under way has come. */
-    private long come;
+    private final BooleanSupplier mayContinue;
+    private final int maxBodyBytes;
+    private final BodyBudget budget;
+    private boolean inBody;
+    /** Memory reserved for the body of the request being read, or of the one just completed. */
+    private Reservation reservation = Reservation.NONE;
+    /** Bytes received of the current body. */
+    private long receivedBytes;
 
     /**
-     * Tells clients to go on with a body only while {@code free}: while no earlier request waits. Bodies come out of a
-     * budget.
+     * Bodies reserve memory from {@code budget}. A 100 (Continue) response is sent only while {@code mayContinue},
+     * which holds while no earlier request is pending.
      */
-    RequestAggregator(BooleanSupplier free, int largestBody, BodyBudget bodies) {
-        super(largestBody);
-        this.free = free;
-        this.largestBody = largestBody;
-        this.bodies = bodies;
+    RequestAggregator(BooleanSupplier mayContinue, int maxBodyBytes, BodyBudget budget) {
+        super(maxBodyBytes);
+        this.mayContinue = mayContinue;
+        this.maxBodyBytes = maxBodyBytes;
+        this.budget = budget;
     }
 
-    /** What the request that has come whole has taken of the budget; the caller gives it back. */
-    Reservation handOver() {
-        Reservation handed = taken;
-        taken = Reservation.NONE;
-        return handed;
+    /** Passes the reservation of the completed request to the caller, who releases it. */
+    Reservation detachReservation() {
+        Reservation detached = reservation;
+        reservation = Reservation.NONE;
+        return detached;
     }
 
-    /** Gives back what a request has taken that will never be whole. */
-    void giveUp() {
-        handOver().release();
+    /** Releases the reservation of a request that will not be completed. */
+    void releaseReservation() {
+        detachReservation().release();
     }
 
-    /** Whether the head of a request has come and the end of its body has not. */
-    boolean amidst() {
-        return amidst;
+    /** Whether the head of a request has been received, but not the end of its body. */
+    boolean isInBody() {
+        return inBody;
     }
 
-    /**
-     * Guards against a request whose end another reader would see elsewhere: it comes out as one that can't be read.
-     */
+    /** Fails requests with ambiguous framing (request smuggling), and those that outgrow the memory budget. */
     @Override
     protected void decode(ChannelHandlerContext ctx, HttpObject part, List<Object> out) throws Exception {
-        if (part instanceof HttpRequest head && head.decoderResult().isSuccess() && !Framing.hasOneReading(head)) {
-            head.setDecoderResult(DecoderResult.failure(new IllegalArgumentException("its end can't be told")));
+        if (part instanceof HttpRequest head && head.decoderResult().isSuccess() && !Framing.isUnambiguous(head)) {
+            head.setDecoderResult(DecoderResult.failure(new IllegalArgumentException("ambiguous message framing")));
         }
         if (part instanceof HttpContent content
-                && amidst
+                && inBody
                 && part.decoderResult().isSuccess()
-                && !isCovered(content)) {
-            // What has come of it goes on as a request that can't be taken, in its turn; the rest is read past.
+                && !fitsBudget(content)) {
+            // The received part is passed on in its turn as a request that failed to decode; the rest is discarded.
             part.setDecoderResult(DecoderResult.failure(new BudgetExceededException()));
         }
         super.decode(ctx, part, out);
     }
 
-    /** Whether the budget has room for this further part of a body. */
-    private boolean isCovered(HttpContent content) {
-        come += content.content().readableBytes();
-        return come > largestBody || bodies.cover(taken, come);
+    /** Whether the budget has memory for this further part of a body. */
+    private boolean fitsBudget(HttpContent content) {
+        receivedBytes += content.content().readableBytes();
+        return receivedBytes > maxBodyBytes || budget.tryCover(reservation, receivedBytes);
     }
 
     @Override
-    protected Object newContinueResponse(HttpMessage start, int most, ChannelPipeline pipeline) {
-        boolean usual = !isContentLengthInvalid(start, most) && free.getAsBoolean();
-        return usual && start.headers().contains(HttpHeaderNames.EXPECT, HttpHeaderValues.CONTINUE, true)
-                ? super.newContinueResponse(start, most, pipeline)
+    protected Object newContinueResponse(HttpMessage start, int maxBytes, ChannelPipeline pipeline) {
+        boolean isAcceptable = !isContentLengthInvalid(start, maxBytes) && mayContinue.getAsBoolean();
+        return isAcceptable && start.headers().contains(HttpHeaderNames.EXPECT, HttpHeaderValues.CONTINUE, true)
+                ? super.newContinueResponse(start, maxBytes, pipeline)
                 : null;
     }
 
-    /** Guards against bodies that together are more than the memory: whoever finds no room is told so at once. */
+    /** Bounds the memory of all bodies together: a request for which none is left is rejected at once. */
     @Override
-    protected boolean isContentLengthInvalid(HttpMessage start, int most) {
-        if (super.isContentLengthInvalid(start, most)) {
+    protected boolean isContentLengthInvalid(HttpMessage start, int maxBytes) {
+        if (super.isContentLengthInvalid(start, maxBytes)) {
             return true;
         }
-        giveUp();
-        come = 0;
-        // A head that can't be read may name any length; its request is refused without a body.
+        releaseReservation();
+        receivedBytes = 0;
+        // The length in an invalid head means nothing; the request is rejected without a body.
         long length = start.decoderResult().isFailure()
                 ? 0
                 : HttpUtil.isTransferEncodingChunked(start)
-                        ? UNKNOWN
+                        ? UNKNOWN_LENGTH
                         : Math.max(0, HttpUtil.getContentLength(start, 0L));
-        Reservation wanted = bodies.take(length, largestBody);
-        if (wanted == null) {
+        Reservation reserved = budget.tryReserve(length, maxBodyBytes);
+        if (reserved == null) {
             return true;
         }
-        taken = wanted;
+        reservation = reserved;
         return false;
     }
 
     @Override
     protected FullHttpMessage beginAggregation(HttpMessage start, ByteBuf content) throws Exception {
-        amidst = true;
+        inBody = true;
         return super.beginAggregation(start, content);
     }
 
     @Override
     protected void finishAggregation(FullHttpMessage aggregated) throws Exception {
-        amidst = false;
+        inBody = false;
         super.finishAggregation(aggregated);
     }
 
     @Override
     protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-        amidst = false;
-        giveUp();
+        inBody = false;
+        releaseReservation();
         HttpRequest request = (HttpRequest) oversized;
-        boolean tooLong = super.isContentLengthInvalid(oversized, largestBody) || oversized instanceof FullHttpMessage;
-        DefaultFullHttpRequest told = new DefaultFullHttpRequest(
+        boolean tooLong = super.isContentLengthInvalid(oversized, maxBodyBytes) || oversized instanceof FullHttpMessage;
+        DefaultFullHttpRequest failed = new DefaultFullHttpRequest(
                 request.protocolVersion(), request.method(), request.uri(), Unpooled.EMPTY_BUFFER);
-        told.setDecoderResult(DecoderResult.failure(
+        failed.setDecoderResult(DecoderResult.failure(
                 tooLong ? new TooLongHttpContentException("body too long") : new BudgetExceededException()));
-        ctx.fireChannelRead(told);
+        ctx.fireChannelRead(failed);
     }
 }
--- a/src/main/java/tinworks/net/RequestDecoder.java
+++ b/src/main/java/tinworks/net/RequestDecoder.java
@@ -16,88 +16,88 @@
 import java.util.List;
 
 /**
- * Reads requests off one connection. Guards against heads that together are more than the memory: each takes room of a
- * budget as it comes, by its bytes and its lines, since a header of five bytes takes thirty times that in memory. A
- * head that finds no room comes out as a request that can't be taken, and what follows it is read past.
+ * Decodes the requests of one connection and bounds the memory of all request heads together. Each head reserves memory
+ * from a budget as it is received, by its bytes and its lines, since a header of five bytes takes thirty times that in
+ * memory. A head that does not fit becomes a request that failed to decode, and all that follows it is discarded.
  */
 final class RequestDecoder extends HttpRequestDecoder {
-    /** What a header takes beside its bytes: its entry, two strings, and an entry in the copy that goes to a host. */
-    static final int BYTES_PER_LINE = 200;
-
-    private static final int LONGEST_LINE = 4_096;
-
-    /** A head of no more than this is read before room is sought for it. */
-    private static final int SHORT_HEAD = 1_024;
-
-    private final int longestHead;
-    private final ByteBudget heads;
-    /** A head has been read, and the end of its request's body has not. */
-    private boolean amidstBody;
-    /** A part of a head has been read, and its end has not. */
-    private boolean amidstHead;
-    /** What that part takes in memory. */
-    private long headWeight;
-
-    private long headBytes;
-    /** What the head under way, or the one that has just come whole, has taken of the budget. */
-    private Reservation taken = Reservation.NONE;
-    /** There was no room: whatever comes is read past. */
-    private boolean full;
-
-    RequestDecoder(int headBytes, ByteBudget heads) {
+    /** Memory for a header besides its bytes: its entry, two strings, and an entry in the copy sent to a host. */
+    static final int OVERHEAD_BYTES_PER_LINE = 200;
+
+    private static final int MIN_REQUEST_LINE_LIMIT_BYTES = 4_096;
+
+    /** Input shorter than this is decoded before memory is reserved for it. */
+    private static final int SHORT_HEAD_BYTES = 1_024;
+
+    private final int maxHeadBytes;
+    private final ByteBudget budget;
+    /** A head has been read, but not the end of its request's body. */
+    private boolean inBody;
+    /** Part of a head has been read, but not its end. */
+    private boolean inHead;
+    /** Memory that this part takes. */
+    private long partialMemoryBytes;
+
+    private long partialHeadBytes;
+    /** Memory reserved for the head being read, or for the one just completed. */
+    private Reservation reservation = Reservation.NONE;
+    /** A head did not fit into the budget: all further input is discarded. */
+    private boolean discarding;
+
+    RequestDecoder(int maxHeadBytes, ByteBudget budget) {
         super(new HttpDecoderConfig()
-                .setMaxHeaderSize(headBytes)
-                .setMaxInitialLineLength(Math.max(LONGEST_LINE, headBytes / 2)));
-        longestHead = headBytes;
-        this.heads = heads;
+                .setMaxHeaderSize(maxHeadBytes)
+                .setMaxInitialLineLength(Math.max(MIN_REQUEST_LINE_LIMIT_BYTES, maxHeadBytes / 2)));
+        this.maxHeadBytes = maxHeadBytes;
+        this.budget = budget;
     }
 
     @Override
     protected HttpMessage createMessage(String[] firstLine) throws Exception {
-        amidstHead = true;
+        inHead = true;
         return super.createMessage(firstLine);
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf bytes, List<Object> out) throws Exception {
-        if (full) {
+        if (discarding) {
             bytes.skipBytes(bytes.readableBytes());
             return;
         }
-        if (!amidstBody && !hasRoomFor(bytes)) {
-            refuse(bytes, out);
+        if (!inBody && !fitsBudget(bytes)) {
+            reject(bytes, out);
             return;
         }
         int start = bytes.readerIndex();
         int before = out.size();
         super.decode(ctx, bytes, out);
         if (out.size() == before) {
-            unfinished(bytes, start, out);
+            headContinues(bytes, start, out);
             return;
         }
-        amidstHead = false;
+        inHead = false;
         if (out.get(before) instanceof HttpRequest head) {
-            amidstBody = true;
-            finished(head, bytes.readerIndex() - start);
+            inBody = true;
+            headComplete(head, bytes.readerIndex() - start);
         }
-        amidstBody &= !(out.get(out.size() - 1) instanceof LastHttpContent);
+        inBody &= !(out.get(out.size() - 1) instanceof LastHttpContent);
     }
 
-    /** Guards against reading, line by line, what there will be no room for: that costs far more than to count it. */
-    private boolean hasRoomFor(ByteBuf bytes) {
+    /** Checks the budget before decoding, as parsing the lines costs far more than counting them. */
+    private boolean fitsBudget(ByteBuf bytes) {
         int from = bytes.readerIndex();
-        int to = from + Math.min(bytes.readableBytes(), longestHead);
-        return to - from < SHORT_HEAD || cover(headWeight + weight(bytes, from, to));
+        int to = from + Math.min(bytes.readableBytes(), maxHeadBytes);
+        return to - from < SHORT_HEAD_BYTES || tryCover(partialMemoryBytes + memoryBytes(bytes, from, to));
     }
 
-    /** What these bytes take, up to the end of the head if it is among them. */
-    private static long weight(ByteBuf bytes, int from, int to) {
+    /** Memory for these bytes, up to the end of the head if it is among them. */
+    private static long memoryBytes(ByteBuf bytes, int from, int to) {
         long lines = 0;
         int at = from;
         while (at < to) {
             int found = bytes.forEachByte(at, to - at, ByteProcessor.FIND_LF);
             if (found < 0) {
-                return to - from + lines * BYTES_PER_LINE;
+                return to - from + lines * OVERHEAD_BYTES_PER_LINE;
             }
             boolean isEmpty = found == at || (found == at + 1 && bytes.getByte(at) == '\r');
             at = found + 1;
@@ -106,67 +106,68 @@
             }
             lines++;
         }
-        return at - from + lines * BYTES_PER_LINE;
+        return at - from + lines * OVERHEAD_BYTES_PER_LINE;
     }
 
-    private void unfinished(ByteBuf bytes, int start, List<Object> out) {
-        if (amidstHead) {
-            headWeight += weight(bytes, start, bytes.readerIndex());
-            headBytes += bytes.readerIndex() - start;
+    private void headContinues(ByteBuf bytes, int start, List<Object> out) {
+        if (inHead) {
+            partialMemoryBytes += memoryBytes(bytes, start, bytes.readerIndex());
+            partialHeadBytes += bytes.readerIndex() - start;
         }
-        if (!cover(headWeight + bytes.readableBytes())) {
-            refuse(bytes, out);
+        if (!tryCover(partialMemoryBytes + bytes.readableBytes())) {
+            reject(bytes, out);
         }
     }
 
-    private void refuse(ByteBuf bytes, List<Object> out) {
-        full = true;
-        amidstHead = false;
+    private void reject(ByteBuf bytes, List<Object> out) {
+        discarding = true;
+        inHead = false;
         bytes.skipBytes(bytes.readableBytes());
-        out.add(noRoom());
+        out.add(rejectedRequest());
     }
 
-    private static HttpRequest noRoom() {
-        DefaultFullHttpRequest told =
+    private static HttpRequest rejectedRequest() {
+        DefaultFullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/", Unpooled.EMPTY_BUFFER);
-        told.setDecoderResult(DecoderResult.failure(new RequestAggregator.BudgetExceededException()));
-        return told;
+        request.setDecoderResult(DecoderResult.failure(new RequestAggregator.BudgetExceededException()));
+        return request;
     }
 
-    private void finished(HttpRequest head, long lastBytes) {
-        long weight = headBytes + lastBytes + (long) head.headers().size() * BYTES_PER_LINE;
-        headWeight = 0;
-        headBytes = 0;
-        if (head.decoderResult().isSuccess() && !cover(weight)) {
-            full = true;
+    private void headComplete(HttpRequest head, long lastBytes) {
+        long headMemoryBytes =
+                partialHeadBytes + lastBytes + (long) head.headers().size() * OVERHEAD_BYTES_PER_LINE;
+        partialMemoryBytes = 0;
+        partialHeadBytes = 0;
+        if (head.decoderResult().isSuccess() && !tryCover(headMemoryBytes)) {
+            discarding = true;
             head.setDecoderResult(DecoderResult.failure(new RequestAggregator.BudgetExceededException()));
         }
     }
 
-    private boolean cover(long wanted) {
-        long more = wanted - taken.bytes();
+    private boolean tryCover(long bytes) {
+        long more = bytes - reservation.bytes();
         if (more <= 0) {
             return true;
         }
-        if (taken != Reservation.NONE) {
-            return taken.grow(more);
+        if (reservation != Reservation.NONE) {
+            return reservation.grow(more);
         }
-        if (!heads.tryReserve(wanted)) {
+        if (!budget.tryReserve(bytes)) {
             return false;
         }
-        taken = new Reservation(heads, wanted);
+        reservation = new Reservation(budget, bytes);
         return true;
     }
 
-    /** What the request that has come whole has taken of the budget for its head; the caller gives it back. */
-    Reservation handOver() {
-        Reservation handed = taken;
-        taken = Reservation.NONE;
-        return handed;
+    /** Passes the reservation for the completed head to the caller, who releases it. */
+    Reservation detachReservation() {
+        Reservation detached = reservation;
+        reservation = Reservation.NONE;
+        return detached;
     }
 
-    /** Whether a part of a head has come, and its end has not. */
-    boolean holdsBytes() {
-        return actualReadableBytes() > 0 || amidstHead;
+    /** Whether part of a head has been received, but not its end. */
+    boolean hasPartialHead() {
+        return actualReadableBytes() > 0 || inHead;
     }
 }
--- a/src/main/java/tinworks/net/RequestReader.java
+++ b/src/main/java/tinworks/net/RequestReader.java
@@ -18,16 +18,16 @@
 import tinworks.policy.LoadBalancerApi.RequestArrived;
 import tinworks.policy.LoadBalancerApi.RequestClass;
 
-/** Reads a client's request as the module's event, and makes the request that goes on to a host. */
+/** Converts a client's request to an event of the decision module, and to the request forwarded to a host. */
 final class RequestReader {
-    private static final String ID = "X-Request-ID";
-    private static final String TIMEOUT = "X-Timeout";
-    private static final String KEY = "Idempotency-Key";
-    private static final Pattern UNCHANGED = Pattern.compile("[!-~]{1,4000}");
-    /** Longer figures of a time-out are no time-out that anyone waits for. */
-    private static final int MOST_DIGITS = 12;
-    /** Headers that are between two neighbours only, or are made anew for the host. */
-    private static final Set<String> NOT_PASSED_ON = Set.of(
+    private static final String REQUEST_ID = "X-Request-ID";
+    private static final String TIMEOUT_HEADER = "X-Timeout";
+    private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
+    private static final Pattern VISIBLE_ASCII = Pattern.compile("[!-~]{1,4000}");
+    /** Numbers with more digits are rejected: no client waits for such a timeout. */
+    private static final int MAX_DIGITS = 12;
+    /** Hop-by-hop headers, and headers that are set anew for the host. */
+    private static final Set<String> NOT_FORWARDED = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -41,22 +41,22 @@
 
     private RequestReader() {}
 
-    /** {@code waitedNanos} is how long ago the request's last byte came: that much of its time has passed. */
+    /** Parses a request. {@code waitedNanos}, the time since its last byte was received, counts towards its timeout. */
     static RequestArrived read(FullHttpRequest request, Map<String, RequestClass> classes, long waitedNanos)
             throws BadRequest {
         HttpHeaders headers = request.headers();
-        RequestClass requestClass = classes.get(firstPart(request.uri()));
+        RequestClass requestClass = classes.get(firstSegment(request.uri()));
         if (requestClass == null) {
             throw new BadRequest(HttpResponseStatus.NOT_FOUND, "no such class of requests");
         }
         checkMethod(request, requestClass.idempotency());
-        if (!UNCHANGED.matcher(request.uri()).matches()) {
+        if (!VISIBLE_ASCII.matcher(request.uri()).matches()) {
             throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "can't read the path");
         }
-        String id = only(headers, ID);
-        String timeout = headers.contains(TIMEOUT) ? only(headers, TIMEOUT) : null;
-        long left = (timeout == null ? requestClass.deadlineNanos() : timeoutNanos(timeout)) - waitedNanos;
-        if (left <= 0) {
+        String id = singleValue(headers, REQUEST_ID);
+        String timeout = headers.contains(TIMEOUT_HEADER) ? singleValue(headers, TIMEOUT_HEADER) : null;
+        long remainingNanos = (timeout == null ? requestClass.deadlineNanos() : timeoutNanos(timeout)) - waitedNanos;
+        if (remainingNanos <= 0) {
             throw new BadRequest(HttpResponseStatus.SERVICE_UNAVAILABLE, "its time ran out before its turn");
         }
         return new RequestArrived(
@@ -64,14 +64,14 @@
                 requestClass.name(),
                 headers.get("X-Tenant-Id"),
                 headers.get("X-Route-Key"),
-                left,
+                remainingNanos,
                 workNanos(headers.get("X-Cost")),
                 "1".equals(headers.get("X-Retried")));
     }
 
-    /** Guards against asking a host for what it turns away, and against passing an unsafe request for a safe one. */
+    /** Rejects requests that a host would reject, and unsafe requests that would pass for safe ones. */
     private static void checkMethod(FullHttpRequest request, Idempotency effect) throws BadRequest {
-        boolean keyed = request.headers().contains(KEY);
+        boolean keyed = request.headers().contains(IDEMPOTENCY_KEY);
         if (!request.method().equals(effect == Idempotency.SAFE ? HttpMethod.GET : HttpMethod.POST)) {
             throw new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "not the method of its class");
         }
@@ -80,23 +80,23 @@
             throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "a key or a body that its class has not, or no key");
         }
         if (keyed) {
-            only(request.headers(), KEY);
+            singleValue(request.headers(), IDEMPOTENCY_KEY);
         }
     }
 
     /**
-     * The only value of the header. Guards against two readings of a request, and against values that would not reach a
-     * host as they came.
+     * The single value of the header. Rejects repeated headers, which can be interpreted in two ways, and values that
+     * would not reach a host unchanged.
      */
-    private static String only(HttpHeaders headers, String name) throws BadRequest {
+    private static String singleValue(HttpHeaders headers, String name) throws BadRequest {
         List<String> values = headers.getAll(name);
-        if (values.size() != 1 || !UNCHANGED.matcher(values.get(0)).matches()) {
+        if (values.size() != 1 || !VISIBLE_ASCII.matcher(values.get(0)).matches()) {
             throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "no readable " + name + ", or more than one");
         }
         return values.get(0);
     }
 
-    private static String firstPart(String uri) {
+    private static String firstSegment(String uri) {
         int end = 1;
         while (end < uri.length() && uri.charAt(end) != '/' && uri.charAt(end) != '?') {
             end++;
@@ -104,30 +104,30 @@
         return uri.startsWith("/") ? uri.substring(1, end) : "";
     }
 
-    /** A number and a unit: {@code 480m} milliseconds or {@code 480000u} microseconds. */
+    /** Parses a number with a unit: {@code 480m} milliseconds or {@code 480000u} microseconds. */
     private static long timeoutNanos(String text) throws BadRequest {
         int digits = text.length() - 1;
         TimeUnit unit = text.endsWith("m") ? TimeUnit.MILLISECONDS : text.endsWith("u") ? TimeUnit.MICROSECONDS : null;
-        long figure = unit == null ? 0 : positive(text.substring(0, digits));
-        if (figure <= 0) {
-            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "can't read " + TIMEOUT);
+        long number = unit == null ? 0 : parsePositive(text.substring(0, digits));
+        if (number <= 0) {
+            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "can't read " + TIMEOUT_HEADER);
         }
-        return unit.toNanos(figure);
+        return unit.toNanos(number);
     }
 
-    /** A guess at the work, so one that can't be read is as good as none. */
+    /** Parses the estimated cost of the request; an invalid estimate counts as none. */
     private static long workNanos(String micros) {
-        return micros == null ? 0 : TimeUnit.MICROSECONDS.toNanos(positive(micros));
+        return micros == null ? 0 : TimeUnit.MICROSECONDS.toNanos(parsePositive(micros));
     }
 
-    /** The number, or 0 where the text is not one of a usual size. */
-    private static long positive(String text) {
-        boolean plain =
-                !text.isEmpty() && text.length() <= MOST_DIGITS && text.chars().allMatch(c -> c >= '0' && c <= '9');
-        return plain ? Long.parseLong(text) : 0;
+    /** Parses a decimal number, or returns 0 if the text is not one of at most {@link #MAX_DIGITS} digits. */
+    private static long parsePositive(String text) {
+        boolean isNumber =
+                !text.isEmpty() && text.length() <= MAX_DIGITS && text.chars().allMatch(c -> c >= '0' && c <= '9');
+        return isNumber ? Long.parseLong(text) : 0;
     }
 
-    /** The same request with what is left of its time. */
+    /** Copies the request for a host, with its remaining timeout. */
     static FullHttpRequest forHost(FullHttpRequest request, long timeoutNanos) {
         FullHttpRequest copy = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
@@ -135,11 +135,11 @@
                 request.uri(),
                 request.content().retainedDuplicate());
         request.headers().forEach(header -> {
-            if (!NOT_PASSED_ON.contains(header.getKey().toLowerCase(Locale.ROOT))) {
+            if (!NOT_FORWARDED.contains(header.getKey().toLowerCase(Locale.ROOT))) {
                 copy.headers().add(header.getKey(), header.getValue());
             }
         });
-        copy.headers().set(TIMEOUT, Math.max(1, TimeUnit.NANOSECONDS.toMicros(timeoutNanos)) + "u");
+        copy.headers().set(TIMEOUT_HEADER, Math.max(1, TimeUnit.NANOSECONDS.toMicros(timeoutNanos)) + "u");
         copy.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
         return copy;
     }
--- a/src/main/java/tinworks/net/Reservation.java
+++ b/src/main/java/tinworks/net/Reservation.java
@@ -1,54 +1,52 @@
 package tinworks.net;
 
-/** Bytes taken out of a {@link ByteBudget}, which go back once the last holder has released them. On one thread. */
+/** Reference-counted bytes of a {@link ByteBudget}, returned when the last holder releases them. Not thread-safe. */
 public final class Reservation {
-    /** Of nothing: it may be retained and released as often as anybody likes. */
+    /** Reserves nothing; retaining and releasing it has no effect. */
     static final Reservation NONE = new Reservation(null, 0);
 
-    private ByteBudget from;
+    private ByteBudget budget;
     private long bytes;
     private int holders = 1;
 
-    /** Bytes that were taken; the caller is their first holder. */
-    Reservation(ByteBudget from, long bytes) {
-        this.from = from;
+    /** Wraps bytes that the caller has reserved; the caller is the first holder. */
+    Reservation(ByteBudget budget, long bytes) {
+        this.budget = budget;
         this.bytes = bytes;
     }
 
-    /** How many bytes are held. */
     long bytes() {
         return bytes;
     }
 
-    /** Which budget they were taken from. */
-    ByteBudget from() {
-        return from;
+    ByteBudget budget() {
+        return budget;
     }
 
-    /** Takes more out of the same budget, or nothing and tells false where there aren't so many left. */
+    /** Reserves more from the same budget, or returns false if not that many bytes are left. */
     boolean grow(long more) {
-        boolean fits = from.tryReserve(more);
+        boolean fits = budget.tryReserve(more);
         bytes += fits ? more : 0;
         return fits;
     }
 
-    /** Holds bytes of another budget, which were taken, in place of its own. */
-    void move(ByteBudget to, long taken) {
-        from.release(bytes);
-        from = to;
-        bytes = taken;
+    /** Replaces the reserved bytes by ones that the caller has reserved from another budget. */
+    void moveTo(ByteBudget other, long reservedBytes) {
+        budget.release(bytes);
+        budget = other;
+        bytes = reservedBytes;
     }
 
-    /** One more holder. */
+    /** Adds a holder. */
     public Reservation retain() {
-        holders += from == null ? 0 : 1;
+        holders += budget == null ? 0 : 1;
         return this;
     }
 
-    /** One holder less; the last one gives the bytes back. */
+    /** Removes a holder; the last one returns the bytes to the budget. */
     public void release() {
-        if (from != null && --holders == 0) {
-            from.release(bytes);
+        if (budget != null && --holders == 0) {
+            budget.release(bytes);
             bytes = 0;
         }
     }
--- a/src/main/java/tinworks/net/ResponseReader.java
+++ b/src/main/java/tinworks/net/ResponseReader.java
@@ -21,66 +21,68 @@
 import java.util.List;
 
 /**
- * Collects a host's answer whole and within bounds, and tells of it once all that came with it has been looked at: only
- * then is it known whether the connection can carry another request.
+ * Aggregates a host's response within limits of size and memory, and validates its framing. Reports it only once all
+ * bytes of the same read have been processed: only then is it known whether the connection can be reused. Sends no
+ * requests and does not manage connections; {@link HostPool} does.
  */
 final class ResponseReader extends ChannelInboundHandlerAdapter {
-    /** What waits for the answer. */
+    /** Callbacks of the connection that the response is read from. */
     interface Listener {
-        /** Whether a request is out on the connection. */
+        /** Whether a request is in flight on the connection. */
         boolean isAwaitingResponse();
 
-        /** Whether the request that is out is a HEAD, whose answer has no body whatever its head says. */
+        /** Whether the request in flight is a HEAD, whose response has no body whatever its head says. */
         boolean isHeadRequest();
 
-        /** Whose answer begins with this head, which is not an informational one. */
+        /** Which request the response with this head belongs to. Not called for informational (1xx) responses. */
         HostPool.ResponseMatch ownerOf(HttpResponse head);
 
         /**
-         * The answer has come whole; {@code framed} says that its head told its length, {@code clean} that nothing came
-         * behind it, and no other answer before it. The body and its room are the listener's for the call's length.
+         * The response is complete. {@code framed} says that its head determined the body length, {@code clean} that no
+         * bytes followed and no other response was skipped. The body and its reservation are valid during the call
+         * only.
          */
         void onResponse(HttpResponse head, ByteBuf body, Reservation reserved, boolean framed, boolean clean);
 
-        /** What came is no answer, or none that this gateway takes. The connection is of no further use. */
+        /** The received bytes are not an acceptable response. The connection must not be reused. */
         void onInvalidResponse();
     }
 
-    /** The longest body that the earlier protocol knows. */
+    /** Limit of the balancer protocol for bodies. */
     static final int DEFAULT_MAX_BODY_BYTES = 64 * 1024;
-    /** How much more room a body of unknown length takes at a time. */
-    private static final int STEP = 256 << 10;
-    /** Answers to other requests that are passed over on one connection before it is given up. */
-    private static final int MOST_PASSED_OVER = 4;
+    /** Increment of the reservation for a body of unknown length. */
+    private static final int RESERVATION_STEP_BYTES = 256 << 10;
+    /** Responses to other requests that are skipped on one connection before it is closed. */
+    private static final int MAX_SKIPPED_RESPONSES = 4;
 
     private final Decoder decoder = new Decoder();
     private final Listener listener;
     private final ByteBudget budget;
-    private final int largestBody;
+    private final int maxBodyBytes;
     private HttpResponse head;
     private CompositeByteBuf body;
     private boolean framed;
-    private boolean whole;
-    private boolean surplus;
-    private boolean spoilt;
-    /** The answer that is being read is another request's. */
-    private boolean passingOver;
+    private boolean complete;
+    private boolean hasSurplus;
+    private boolean invalid;
+    /** The response being read belongs to another request. */
+    private boolean skipping;
 
-    private int passedOver;
-    /** The room that the body takes of the budget; short bodies take none. */
-    private Reservation reserved = Reservation.NONE;
-    /** What is done once there is room for more of the body; null while nobody waits for it. */
-    private Runnable whenRoom;
-    /** The connection that isn't read meanwhile. */
-    private Channel paused;
+    private int skippedCount;
+    /** Memory reserved for the body; short bodies reserve none. */
+    private Reservation reservation = Reservation.NONE;
+    /** Called once memory for more of the body is reserved; null while none is awaited. */
+    private Runnable whenReserved;
+    /** The channel whose reading is paused while memory is awaited. */
+    private Channel pausedChannel;
 
-    ResponseReader(Listener listener, int largestBody, ByteBudget budget) {
+    ResponseReader(Listener listener, int maxBodyBytes, ByteBudget budget) {
         this.budget = budget;
         this.listener = listener;
-        this.largestBody = largestBody;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** What stands before this reader on the connection. */
+    /** The decoder, which precedes this handler in the pipeline. */
     HttpResponseDecoder decoder() {
         return decoder;
     }
@@ -88,11 +90,11 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            if (whole || spoilt) {
-                surplus = true;
+            if (complete || invalid) {
+                hasSurplus = true;
             } else if (!(message instanceof HttpObject part)
                     || part.decoderResult().isFailure()) {
-                spoilt = true;
+                invalid = true;
             } else {
                 read(ctx, part);
             }
@@ -104,82 +106,83 @@
     private void read(ChannelHandlerContext ctx, HttpObject part) {
         if (part instanceof HttpResponse response) {
             head = response;
-            // Guards against gathering what is said to have gigabytes, and against a switch that nobody asked for.
-            spoilt = !Framing.hasOneReading(response)
-                    || Framing.holdsAnother(response)
-                    || HttpUtil.getContentLength(response, 0L) > largestBody
+            // Rejects announced bodies over the limit before any of them is read, and unrequested protocol switches.
+            invalid = !Framing.isUnambiguous(response)
+                    || Framing.containsStatusLine(response)
+                    || HttpUtil.getContentLength(response, 0L) > maxBodyBytes
                     || response.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
             framed = response.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
                     || HttpUtil.isTransferEncodingChunked(response)
                     || decoder.isContentAlwaysEmpty(response);
-            if (!spoilt && !informational()) {
-                judge(listener.ownerOf(response));
+            if (!invalid && !informational()) {
+                checkMatch(listener.ownerOf(response));
             }
-            // Guards against waiting for the end of a body that only the end of its connection would tell.
-            whole = !framed && !informational() && !spoilt;
+            // A body that ends with the connection is not awaited.
+            complete = !framed && !informational() && !invalid;
             body = ctx.alloc().compositeBuffer();
-            reserve(ctx, Math.min(largestBody, HttpUtil.getContentLength(response, 0L)));
+            reserve(ctx, Math.min(maxBodyBytes, HttpUtil.getContentLength(response, 0L)));
         }
         if (part instanceof HttpContent content) {
-            spoilt |= body.readableBytes() + content.content().readableBytes() > largestBody;
-            if (!spoilt) {
+            invalid |= body.readableBytes() + content.content().readableBytes() > maxBodyBytes;
+            if (!invalid) {
                 body.addComponent(true, content.content().retain());
                 reserve(ctx, body.readableBytes());
             }
         }
         if (part instanceof LastHttpContent) {
-            // Guards against taking what a host says ahead of its answer for the answer itself.
-            whole = !informational() && !passingOver;
-            if (!whole) {
-                passingOver = false;
-                forget();
+            // Informational responses precede the final one and are not taken for it.
+            complete = !informational() && !skipping;
+            if (!complete) {
+                skipping = false;
+                reset();
             }
         }
     }
 
     /**
-     * Guards against an answer that comes late, where the next one is due: it would pass for this request's, and every
-     * later answer on the connection for that of the request before it. One that names another request is passed over,
-     * as the own one is still to come; one that names none proves nothing.
+     * Guards against response desynchronization: a late response to an earlier request would be taken for the one to
+     * this request, and each later response for that of the request before it. A response that names another request is
+     * skipped, as the right one is still to come. One that names none cannot be attributed and is invalid.
      */
-    private void judge(HostPool.ResponseMatch whose) {
-        passingOver = whose == HostPool.ResponseMatch.OTHER_REQUEST;
-        passedOver += passingOver ? 1 : 0;
-        spoilt = whose == HostPool.ResponseMatch.UNIDENTIFIED
-                || (passingOver && (!framed || passedOver > MOST_PASSED_OVER));
+    private void checkMatch(HostPool.ResponseMatch match) {
+        skipping = match == HostPool.ResponseMatch.OTHER_REQUEST;
+        skippedCount += skipping ? 1 : 0;
+        invalid = match == HostPool.ResponseMatch.UNIDENTIFIED
+                || (skipping && (!framed || skippedCount > MAX_SKIPPED_RESPONSES));
     }
 
     /**
-     * Guards against answers that together are more than the memory: while there is no room for a long one, no more of
-     * it is read, until there is or its attempt ends.
+     * Bounds the memory of all response bodies together. While no memory is left for a long body, reading is paused
+     * (backpressure) until there is, or until its attempt ends.
      */
     private void reserve(ChannelHandlerContext ctx, long bytes) {
-        if (spoilt || bytes <= BodyBudget.SHORT_BODY_BYTES || bytes <= reserved.bytes() || whenRoom != null) {
+        if (invalid || bytes <= BodyBudget.SHORT_BODY_BYTES || bytes <= reservation.bytes() || whenReserved != null) {
             return;
         }
-        long more = Math.min(largestBody - reserved.bytes(), Math.max(STEP, bytes - reserved.bytes()));
+        long more = Math.min(
+                maxBodyBytes - reservation.bytes(), Math.max(RESERVATION_STEP_BYTES, bytes - reservation.bytes()));
         if (budget.tryReserve(more)) {
-            hold(more);
+            extendReservation(more);
             return;
         }
-        paused = ctx.channel();
-        paused.config().setAutoRead(false);
-        whenRoom = () -> {
-            hold(more);
+        pausedChannel = ctx.channel();
+        pausedChannel.config().setAutoRead(false);
+        whenReserved = () -> {
+            extendReservation(more);
             resume();
         };
-        budget.await(more, whenRoom);
+        budget.reserveWhenAvailable(more, whenReserved);
     }
 
-    /** Reads on, also where the end of the answer was in what had been read, and the next one may come here. */
+    /** Resumes reading. Needed also if the response is already complete, as the connection may carry the next one. */
     private void resume() {
-        whenRoom = null;
-        paused.config().setAutoRead(true);
-        paused = null;
+        whenReserved = null;
+        pausedChannel.config().setAutoRead(true);
+        pausedChannel = null;
     }
 
-    private void hold(long taken) {
-        reserved = new Reservation(budget, reserved.bytes() + taken);
+    private void extendReservation(long bytes) {
+        reservation = new Reservation(budget, reservation.bytes() + bytes);
     }
 
     private boolean informational() {
@@ -187,28 +190,28 @@
     }
 
     /**
-     * Guards against using the connection again while more of the same read is to come: a second copy, or noise, would
-     * pass for the answer to the next request.
+     * Reports the response only at the end of the read. If the connection were reused while the same read still held
+     * bytes, a duplicate response or garbage would be taken for the response to the next request.
      */
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (spoilt) {
-            forget();
+        if (invalid) {
+            reset();
             listener.onInvalidResponse();
-        } else if (whole) {
-            HttpResponse answer = head;
+        } else if (complete) {
+            HttpResponse response = head;
             CompositeByteBuf bytes = body;
-            boolean clean = !surplus && !decoder.holdsBytes() && passedOver == 0;
+            boolean clean = !hasSurplus && !decoder.hasPartialMessage() && skippedCount == 0;
             boolean hasLength = framed;
-            Reservation room = reserved;
+            Reservation responseReservation = reservation;
             body = null;
-            reserved = Reservation.NONE;
-            forget();
+            reservation = Reservation.NONE;
+            reset();
             try {
-                listener.onResponse(answer, bytes, room, hasLength, clean);
+                listener.onResponse(response, bytes, responseReservation, hasLength, clean);
             } finally {
                 bytes.release();
-                room.release();
+                responseReservation.release();
             }
         }
     }
@@ -220,30 +223,30 @@
 
     @Override
     public void handlerRemoved(ChannelHandlerContext ctx) {
-        forget();
+        reset();
     }
 
-    private void forget() {
+    private void reset() {
         if (body != null) {
             body.release();
         }
-        // Before room is given back, which this one would get itself.
-        if (whenRoom != null) {
-            budget.giveUp(whenRoom);
+        // Before the release below, which could otherwise grant the memory to this reader itself.
+        if (whenReserved != null) {
+            budget.cancelWait(whenReserved);
             resume();
         }
-        reserved.release();
-        reserved = Reservation.NONE;
+        reservation.release();
+        reservation = Reservation.NONE;
         head = null;
         body = null;
-        whole = false;
-        surplus = false;
+        complete = false;
+        hasSurplus = false;
     }
 
-    /** Netty's decoder, made strict where it is lenient with hosts. */
+    /** Netty's decoder with stricter validation. */
     private final class Decoder extends HttpResponseDecoder {
-        /** A part of a head has been read, and its end has not. */
-        private boolean amidstHead;
+        /** Part of a head has been read, but not its end. */
+        private boolean inHead;
 
         Decoder() {
             super(new HttpDecoderConfig());
@@ -251,7 +254,7 @@
 
         @Override
         protected HttpMessage createMessage(String[] firstLine) {
-            amidstHead = true;
+            inHead = true;
             return super.createMessage(firstLine);
         }
 
@@ -259,10 +262,10 @@
         protected void decode(ChannelHandlerContext ctx, ByteBuf bytes, List<Object> out) throws Exception {
             int before = out.size();
             super.decode(ctx, bytes, out);
-            amidstHead &= out.size() == before;
+            inHead &= out.size() == before;
         }
 
-        /** Guards against bytes that nobody asked for: they would be taken for the start of the next answer. */
+        /** Rejects bytes that no request awaits: they would be taken for the start of the next response. */
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
             if (listener.isAwaitingResponse()) {
@@ -273,11 +276,11 @@
             }
         }
 
-        /** Guards against a line without a colon in a head, which would pass for a header of no value. */
+        /** Rejects header lines without a colon, which Netty would read as headers with an empty value. */
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
             if (line[start + length] != ':') {
-                throw new IllegalArgumentException("no colon behind the name of a header");
+                throw new IllegalArgumentException("header line without a colon");
             }
             return super.splitHeaderName(line, start, length);
         }
@@ -287,9 +290,9 @@
             return super.isContentAlwaysEmpty(message) || listener.isHeadRequest();
         }
 
-        /** Whether a part of an answer has come, and its end has not. */
-        boolean holdsBytes() {
-            return actualReadableBytes() > 0 || amidstHead;
+        /** Whether part of a response has been received, but not its end. */
+        boolean hasPartialMessage() {
+            return actualReadableBytes() > 0 || inHead;
         }
     }
 }
--- a/src/test/java/tinworks/net/RequestMemoryTest.java
+++ b/src/test/java/tinworks/net/RequestMemoryTest.java
@@ -323,7 +323,7 @@
             awaitHeads(true);
             third.setSoTimeout(2_000);
             long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-            while (NodeProcess.call(loop, heads::reservedBytes) < 3 * 600 * RequestDecoder.BYTES_PER_LINE) {
+            while (NodeProcess.call(loop, heads::reservedBytes) < 3 * 600 * RequestDecoder.OVERHEAD_BYTES_PER_LINE) {
                 assertTrue(System.nanoTime() < until, "taken: " + heads.reservedBytes());
                 TimeUnit.MILLISECONDS.sleep(5);
             }
