--- a/src/test/java/tinworks/net/ClosingEventLoopGroupTest.java
+++ b/src/test/java/tinworks/net/ClosingEventLoopGroupTest.java
@@ -17,12 +17,12 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Event loops that are told to end amid a task, which is when Netty's own leave their channels open. */
+/** Shutdown of event loops that is requested during a task, in which Netty's own loops leave their channels open. */
 class ClosingEventLoopGroupTest {
     private static final int CLIENTS = 3;
 
-    /** How many of an acceptor and its clients are open after the end. */
-    private static long leftOpen(MultiThreadIoEventLoopGroup group) {
+    /** How many channels of a listener and its clients are open after the group has terminated. */
+    private static long openAfterTermination(MultiThreadIoEventLoopGroup group) {
         Channel acceptor = new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
@@ -46,26 +46,26 @@
     }
 
     @Test
-    void closesAllChannelsBeforeItEnds() {
-        assertEquals(0, leftOpen(new ClosingEventLoopGroup(1, NioIoHandler.newFactory())));
+    void closesAllChannelsBeforeItTerminates() {
+        assertEquals(0, openAfterTermination(new ClosingEventLoopGroup(1, NioIoHandler.newFactory())));
     }
 
-    /** The mutant: without the extra round. Where this fails, Netty closes them itself and the class can go. */
+    /** Shows the fault in Netty. If this fails, Netty closes the channels itself, and the class can be removed. */
     @Test
-    void withoutTheExtraRoundTheyStayOpen() {
-        assertEquals(CLIENTS + 1, leftOpen(new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())));
+    void withoutTheExtraIterationChannelsStayOpen() {
+        assertEquals(CLIENTS + 1, openAfterTermination(new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())));
     }
 
     @Test
-    void endsAlsoWhereAChannelIsOpenedForEachThatIsClosed() {
+    void terminatesEvenIfAChannelIsOpenedForEachClosedOne() {
         MultiThreadIoEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
-        bindAgainAndAgain(group);
+        rebindOnClose(group);
         group.next().execute(() -> group.shutdownGracefully(0, 1, TimeUnit.SECONDS));
         assertTrue(group.terminationFuture().awaitUninterruptibly(GatewayFixture.AWAIT_TIMEOUT_MILLIS));
         assertTrue(group.isTerminated());
     }
 
-    private static void bindAgainAndAgain(MultiThreadIoEventLoopGroup group) {
+    private static void rebindOnClose(MultiThreadIoEventLoopGroup group) {
         new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
@@ -73,6 +73,6 @@
                 .bind(new InetSocketAddress("127.0.0.1", 0))
                 .channel()
                 .closeFuture()
-                .addListener(closed -> bindAgainAndAgain(group));
+                .addListener(closed -> rebindOnClose(group));
     }
 }
--- a/src/test/java/tinworks/net/HostResponseTest.java
+++ b/src/test/java/tinworks/net/HostResponseTest.java
@@ -20,15 +20,15 @@
 import tinworks.net.ScriptedHost.Message;
 import tinworks.net.ScriptedHost.Script;
 
-/** What a gateway makes of answers that are spoilt, and of good ones that bring more than belongs to them. */
+/** How a gateway handles invalid responses of hosts, and valid ones that are preceded or followed by other bytes. */
 class HostResponseTest {
-    private static final String FINE = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine";
+    private static final String VALID = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine";
 
     private static Script sends(String bytes) {
         return (socket, request) -> ScriptedHost.write(socket, bytes);
     }
 
-    /** The host keeps the connection open, so only the gateway's own judgement ends the attempt. */
+    /** The host keeps the connection open, so the attempt ends only if the gateway detects the invalid response. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -45,17 +45,17 @@
                 "HTTP/1.1 200 OK\r\n\r\nfine",
                 "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n"
             })
-    void aSpoiltAnswerFailsItsAttemptAndEndsTheConnection(String bytes) throws Exception {
+    void anInvalidResponseFailsItsAttemptAndClosesTheConnection(String bytes) throws Exception {
         try (ScriptedHost host = new ScriptedHost(sends(bytes));
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
-            Message answer = f.client().exchange(submit("r", LONG_TIMEOUT_MILLIS, "x"));
-            assertTrue(answer.firstLine().contains(" 502 "), answer.firstLine());
+            Message response = f.client().exchange(submit("r", LONG_TIMEOUT_MILLIS, "x"));
+            assertTrue(response.firstLine().contains(" 502 "), response.firstLine());
             assertEquals(1, host.requests.size(), "it may have run");
             await("the close", () -> host.connections.get(0).isClosed());
         }
     }
 
-    /** Each would fill the memory if the gateway went on reading. */
+    /** Endless responses, which would fill the memory if the gateway went on reading. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -63,8 +63,8 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n|4\r\nmore\r\n",
                 "|HTTP/1.1 200 OK"
             })
-    void anAnswerWithoutEndIsCutOff(String headAndRest) throws Exception {
-        String[] parts = headAndRest.split("\\|");
+    void anEndlessResponseIsAborted(String headAndRepeatedPart) throws Exception {
+        String[] parts = headAndRepeatedPart.split("\\|");
         try (ScriptedHost host = new ScriptedHost((socket, request) -> {
                     ScriptedHost.write(socket, parts[0]);
                     for (int i = 0; i < 1_000_000; i++) {
@@ -72,24 +72,24 @@
                     }
                 });
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
-            Message answer = f.client().exchange(submit("r", LONG_TIMEOUT_MILLIS, "x"));
-            assertTrue(answer.firstLine().contains(" 502 "), answer.firstLine());
+            Message response = f.client().exchange(submit("r", LONG_TIMEOUT_MILLIS, "x"));
+            assertTrue(response.firstLine().contains(" 502 "), response.firstLine());
             await("the close", () -> host.connections.get(0).isClosed());
         }
     }
 
-    /** Were the connection used again, what came behind would pass for the second request's answer. */
+    /** If the connection were reused, the extra bytes would be taken for the response to the second request. */
     @ParameterizedTest
     @ValueSource(
             strings = {
-                FINE,
+                VALID,
                 "noise",
                 "noise\r\n\r\n",
                 "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
                 "HTTP/1.1 100 Continue\r\n\r\n"
             })
-    void aGoodAnswerWithMoreBehindItIsServedAndItsConnectionNotUsedAgain(String more) throws Exception {
-        try (ScriptedHost host = new ScriptedHost(sends(FINE + more));
+    void aValidResponseFollowedByMoreBytesIsServedAndItsConnectionNotReused(String more) throws Exception {
+        try (ScriptedHost host = new ScriptedHost(sends(VALID + more));
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
             assertEquals(
@@ -104,16 +104,16 @@
     }
 
     @Test
-    void bytesOnAnIdleConnectionEndIt() throws Exception {
-        try (ScriptedHost host = new ScriptedHost(sends(FINE));
+    void bytesOnAnIdleConnectionCloseIt() throws Exception {
+        try (ScriptedHost host = new ScriptedHost(sends(VALID));
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
             assertEquals(
                     "fine",
                     client.exchange(submit("r1", LONG_TIMEOUT_MILLIS, "x")).body());
-            Socket kept = host.connections.get(0);
-            ScriptedHost.write(kept, "late noise without a line's end");
-            await("the close", () -> closed(kept));
+            Socket connection = host.connections.get(0);
+            ScriptedHost.write(connection, "late noise without a line's end");
+            await("the close", () -> closed(connection));
             assertEquals(
                     "fine",
                     client.exchange(submit("r2", LONG_TIMEOUT_MILLIS, "x")).body());
@@ -131,9 +131,9 @@
     }
 
     @Test
-    void whatComesAheadOfAnAnswerIsSkippedAndTheConnectionKept() throws Exception {
-        String ahead = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
-        try (ScriptedHost host = new ScriptedHost(sends(ahead + FINE));
+    void informationalResponsesAreSkippedAndTheConnectionIsReused() throws Exception {
+        String informational = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
+        try (ScriptedHost host = new ScriptedHost(sends(informational + VALID));
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
             assertEquals(
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void anAnswerInPiecesIsPassedOnWhole() throws Exception {
+    void aResponseReceivedInPartsIsForwardedWhole() throws Exception {
         String body = "0123456789".repeat(5000);
         try (ScriptedHost host = new ScriptedHost((socket, request) -> {
                     String chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -179,12 +179,12 @@
                 "tps=1,load_share=x",
                 "tps=1,load_share"
             })
-    void aReportThatCannotBeReadIsNone(String report) {
+    void anInvalidLoadReportIsIgnored(String report) {
         assertNull(LoadReportParser.parse(List.of(report)));
     }
 
     @Test
-    void aReportIsReadByEitherNameAndTwoAreNone() {
+    void aLoadReportIsParsedByEitherSetOfNamesAndARepeatedOneIsIgnored() {
         assertEquals(
                 LoadReportParser.parse(List.of("qps=140,util=0.62,eps=0.5")),
                 LoadReportParser.parse(List.of("tps=140,load_share=0.62,err_ps=0.5")));
--- a/src/test/java/tinworks/net/LoopLagTest.java
+++ b/src/test/java/tinworks/net/LoopLagTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What an event loop tells of the time that bytes lay unread, on real sockets. */
+/** Measurement of event loop lag on real sockets. */
 @Timeout(value = 30, unit = TimeUnit.SECONDS)
 class LoopLagTest {
     private static final long BLOCK_MILLIS = 200;
@@ -29,7 +29,7 @@
 
     private final LoopLag lag = new LoopLag();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, lag);
-    private final BlockingQueue<Long> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Long> measured = new LinkedBlockingQueue<>();
 
     @AfterEach
     void stop() {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Tells the lag for each read, some milliseconds into it, as a decoder that isn't compiled yet does. */
+    /** Records the lag some milliseconds into each read, as happens with a decoder that is not compiled yet. */
     private int listen() {
         Channel server = new ServerBootstrap()
                 .group(group)
@@ -56,7 +56,7 @@
                             @Override
                             protected void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
                                 pause(SLOW_READ_MILLIS);
-                                told.add(lag.nanos());
+                                measured.add(lag.nanos());
                             }
                         });
                     }
@@ -68,14 +68,14 @@
     }
 
     @Test
-    void whatComesWhileTheLoopIsAtWorkHasLainForAllOfIt() throws Exception {
+    void inputDuringWorkHasWaitedForAllOfIt() throws Exception {
         try (Socket client = new Socket("127.0.0.1", listen())) {
             client.getOutputStream().write(1);
-            told.take();
-            CountDownLatch begun = new CountDownLatch(1);
+            measured.take();
+            CountDownLatch started = new CountDownLatch(1);
             CountDownLatch sent = new CountDownLatch(1);
             group.next().execute(() -> {
-                begun.countDown();
+                started.countDown();
                 try {
                     sent.await();
                 } catch (InterruptedException e) {
@@ -83,25 +83,27 @@
                 }
                 pause(BLOCK_MILLIS);
             });
-            begun.await();
+            started.await();
             client.getOutputStream().write(2);
             sent.countDown();
-            long lay = TimeUnit.NANOSECONDS.toMillis(told.take());
-            assertTrue(lay >= BLOCK_MILLIS, "told " + lay + " ms");
+            long lagMillis = TimeUnit.NANOSECONDS.toMillis(measured.take());
+            assertTrue(lagMillis >= BLOCK_MILLIS, "measured " + lagMillis + " ms");
         }
     }
 
     @Test
-    void whatComesWhileTheLoopWaitsHasNotLainSinceItsLastWork() throws Exception {
+    void inputDuringAnIdleWaitHasNotWaitedSinceTheLastWork() throws Exception {
         try (Socket client = new Socket("127.0.0.1", listen())) {
             client.getOutputStream().write(1);
-            told.take();
+            measured.take();
             group.next().submit(() -> pause(BLOCK_MILLIS)).sync();
             long idleSince = System.nanoTime();
             pause(IDLE_MILLIS);
             client.getOutputStream().write(2);
-            long lay = told.take();
-            assertTrue(lay < System.nanoTime() - idleSince, "told " + lay + " ns, which is from before it waited");
+            long lagNanos = measured.take();
+            assertTrue(
+                    lagNanos < System.nanoTime() - idleSince,
+                    "measured " + lagNanos + " ns, which includes time before the wait");
         }
     }
 }
--- a/src/test/java/tinworks/net/ResponseFuzzTest.java
+++ b/src/test/java/tinworks/net/ResponseFuzzTest.java
@@ -19,15 +19,15 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.IntRange;
 
-/** Answers spoilt and cut into reads at any place. */
+/** Fuzzes {@link ResponseReader} with corrupted responses that are split into reads at arbitrary offsets. */
 class ResponseFuzzTest {
     private static final String SEED = "20261202";
-    private static final int LARGEST = 64;
-    private static final List<String> ANSWERS = List.of(
+    private static final int MAX_BODY_BYTES = 64;
+    private static final List<String> RESPONSES = List.of(
             "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nOrigin-Seal: a\r\n\r\nfine",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nfi\r\n2\r\nne\r\n0\r\n\r\n",
             "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Service Unavailable\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
-    private static final List<String> PIECES = List.of(
+    private static final List<String> INSERTIONS = List.of(
             "\r\n",
             "\r",
             "\n",
@@ -41,25 +41,25 @@
             " ",
             "HTTP/1.1 101 Switching Protocols\r\n\r\n");
 
-    /** What a reader said of the bytes of one request's answer. */
-    private static final class Heard implements ResponseReader.Listener {
-        private int answered;
+    /** Records what a reader reports for the bytes received after one request. */
+    private static final class RecordingListener implements ResponseReader.Listener {
+        private int responses;
         private boolean clean;
-        private boolean isSpoilt;
+        private boolean isInvalid;
         private String body = "";
 
-        private Heard copy() {
-            Heard copy = new Heard();
-            copy.answered = answered;
+        private RecordingListener copy() {
+            RecordingListener copy = new RecordingListener();
+            copy.responses = responses;
             copy.clean = clean;
-            copy.isSpoilt = isSpoilt;
+            copy.isInvalid = isInvalid;
             copy.body = body;
             return copy;
         }
 
         @Override
         public boolean isAwaitingResponse() {
-            return answered == 0 && !isSpoilt;
+            return responses == 0 && !isInvalid;
         }
 
         @Override
@@ -74,37 +74,37 @@
 
         @Override
         public void onResponse(
-                HttpResponse head, ByteBuf bytes, Reservation reserved, boolean framed, boolean nothingBehind) {
-            answered++;
-            clean = nothingBehind;
+                HttpResponse head, ByteBuf bytes, Reservation reserved, boolean framed, boolean isClean) {
+            responses++;
+            clean = isClean;
             body = bytes.toString(StandardCharsets.US_ASCII);
         }
 
         @Override
         public void onInvalidResponse() {
-            isSpoilt = true;
+            isInvalid = true;
         }
     }
 
-    /** Reads on as a connection does: it is closed at once after a spoilt answer or one with something behind it. */
-    private static Heard hear(String bytes, List<Integer> cuts) {
-        Heard heard = new Heard();
-        ResponseReader reader = new ResponseReader(heard, LARGEST, new ByteBudget(Long.MAX_VALUE));
+    /** Reads like a connection, which closes at once after an invalid response or one followed by more bytes. */
+    private static RecordingListener read(String bytes, List<Integer> splits) {
+        RecordingListener result = new RecordingListener();
+        ResponseReader reader = new ResponseReader(result, MAX_BODY_BYTES, new ByteBudget(Long.MAX_VALUE));
         EmbeddedChannel channel = new EmbeddedChannel(reader.decoder(), reader);
         int from = 0;
-        for (int i = 0; i <= cuts.size() && channel.isOpen() && heard.isAwaitingResponse(); i++) {
-            int to = i == cuts.size() ? bytes.length() : Math.max(from, Math.min(bytes.length(), cuts.get(i)));
+        for (int i = 0; i <= splits.size() && channel.isOpen() && result.isAwaitingResponse(); i++) {
+            int to = i == splits.size() ? bytes.length() : Math.max(from, Math.min(bytes.length(), splits.get(i)));
             channel.writeInbound(Unpooled.copiedBuffer(bytes.substring(from, to), StandardCharsets.ISO_8859_1));
             from = to;
         }
-        // What comes out after that concerns nobody.
-        Heard before = heard.isAwaitingResponse() ? heard : heard.copy();
+        // Reports after the close do not count.
+        RecordingListener before = result.isAwaitingResponse() ? result : result.copy();
         channel.finishAndReleaseAll();
         return before;
     }
 
     @Provide
-    Arbitrary<List<Integer>> cuts() {
+    Arbitrary<List<Integer>> splits() {
         return Arbitraries.integers()
                 .between(0, 120)
                 .list()
@@ -113,40 +113,40 @@
     }
 
     @Provide
-    Arbitrary<String> spoilt() {
+    Arbitrary<String> corrupted() {
         return Combinators.combine(
-                        Arbitraries.of(ANSWERS),
+                        Arbitraries.of(RESPONSES),
                         Arbitraries.integers().between(0, 120),
                         Arbitraries.integers().between(0, 6),
-                        Arbitraries.of(PIECES))
-                .as((answer, at, length, by) -> new StringBuilder(answer)
-                        .replace(Math.min(at, answer.length()), Math.min(at + length, answer.length()), by)
+                        Arbitraries.of(INSERTIONS))
+                .as((response, at, length, insertion) -> new StringBuilder(response)
+                        .replace(Math.min(at, response.length()), Math.min(at + length, response.length()), insertion)
                         .toString());
     }
 
     @Property(tries = 4_000, seed = SEED, shrinking = ShrinkingMode.BOUNDED)
-    void atMostOneAnswerComesOutAndNoneThatIsTooLong(
-            @ForAll("spoilt") String bytes, @ForAll("cuts") List<Integer> cuts) {
-        Heard heard = hear(bytes, cuts);
-        assertTrue(heard.answered <= 1);
-        assertFalse(heard.answered == 1 && heard.isSpoilt);
-        assertTrue(heard.body.length() <= LARGEST);
+    void reportsAtMostOneResponseAndNoneOverTheLimit(
+            @ForAll("corrupted") String bytes, @ForAll("splits") List<Integer> splits) {
+        RecordingListener result = read(bytes, splits);
+        assertTrue(result.responses <= 1);
+        assertFalse(result.responses == 1 && result.isInvalid);
+        assertTrue(result.body.length() <= MAX_BODY_BYTES);
     }
 
     @Property(tries = 1_000, seed = SEED)
-    void aGoodAnswerIsTheSameHoweverItsReadsFall(
-            @ForAll @IntRange(max = 2) int which, @ForAll("cuts") List<Integer> cuts) {
-        Heard heard = hear(ANSWERS.get(which), cuts);
-        assertEquals(1, heard.answered);
-        assertTrue(heard.clean);
-        assertEquals(which == 2 ? "" : "fine", heard.body);
+    void aValidResponseDoesNotDependOnHowReadsSplitIt(
+            @ForAll @IntRange(max = 2) int which, @ForAll("splits") List<Integer> splits) {
+        RecordingListener result = read(RESPONSES.get(which), splits);
+        assertEquals(1, result.responses);
+        assertTrue(result.clean);
+        assertEquals(which == 2 ? "" : "fine", result.body);
     }
 
     @Property(tries = 1_000, seed = SEED)
-    void whatIsCutShortIsNoAnswer(
+    void aTruncatedResponseIsNotReported(
             @ForAll @IntRange(max = 1) int which, @ForAll @IntRange(min = 1, max = 30) int missing) {
-        String whole = ANSWERS.get(which);
-        Heard heard = hear(whole.substring(0, whole.length() - missing), List.of());
-        assertEquals(0, heard.answered);
+        String complete = RESPONSES.get(which);
+        RecordingListener result = read(complete.substring(0, complete.length() - missing), List.of());
+        assertEquals(0, result.responses);
     }
 }
