--- a/src/test/java/tinworks/net/LargeResponseTest.java
+++ b/src/test/java/tinworks/net/LargeResponseTest.java
@@ -24,14 +24,14 @@
 import tinworks.node.NodeProcess;
 import tinworks.policy.LoadBalancerApi.Outcome;
 
-/** Long answers of hosts together: one that there is no room for waits at its host until there is. */
+/** Memory budget for long responses of hosts: reading one that does not fit pauses until memory is released. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class LargeResponseTest {
     private static final int LENGTH = 3 << 20;
 
     private final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final ByteBudget answers = new ByteBudget(LENGTH + LENGTH / 2);
+    private final ByteBudget budget = new ByteBudget(LENGTH + LENGTH / 2);
     private final HostPool pool = NodeProcess.call(
             loop,
             () -> new HostPool(
@@ -39,9 +39,9 @@
                     Transport.TCP,
                     new MonotonicClock(),
                     new HostPool.Bounds(1_000_000_000L, 9_000_000_000L, 10, 2 * LENGTH),
-                    answers,
+                    budget,
                     BalancerProtocol.INSTANCE));
-    /** Each outcome and how many bytes came. */
+    /** The outcome of each attempt and the number of its body bytes. */
     private final List<String> ended = new CopyOnWriteArrayList<>();
 
     private final List<Reservation> held = new ArrayList<>();
@@ -54,11 +54,11 @@
 
     private static ScriptedHost host(boolean chunked) throws Exception {
         String body = ".".repeat(LENGTH);
-        String answer = chunked
+        String response = chunked
                 ? "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Integer.toHexString(LENGTH) + "\r\n" + body
                         + "\r\n0\r\n\r\n"
                 : "HTTP/1.1 200 OK\r\nContent-Length: " + LENGTH + "\r\n\r\n" + body;
-        return new ScriptedHost((socket, request) -> ScriptedHost.write(socket, answer));
+        return new ScriptedHost((socket, request) -> ScriptedHost.write(socket, response));
     }
 
     private void send(String host, long timeoutMillis) {
@@ -70,12 +70,12 @@
                         new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/a", Unpooled.EMPTY_BUFFER),
                         TimeUnit.MILLISECONDS.toNanos(timeoutMillis),
                         Long.MAX_VALUE,
-                        (attempt, outcome, at, load, answer) -> {
-                            if (answer != null) {
-                                held.add(answer.reserved().retain());
+                        (attempt, outcome, at, load, response) -> {
+                            if (response != null) {
+                                held.add(response.reserved().retain());
                             }
                             ended.add(outcome + " "
-                                    + (answer == null ? 0 : answer.body().readableBytes()));
+                                    + (response == null ? 0 : response.body().readableBytes()));
                         }));
     }
 
@@ -87,45 +87,46 @@
         }
     }
 
-    private void twoAnswers(boolean chunked) throws Exception {
-        try (ScriptedHost one = host(chunked);
-                ScriptedHost two = host(chunked)) {
+    private void twoResponses(boolean chunked) throws Exception {
+        try (ScriptedHost first = host(chunked);
+                ScriptedHost second = host(chunked)) {
             NodeProcess.run(
                     loop,
                     () -> pool.update(
                             List.of(
-                                    new HostPool.HostEntry("one", one.address(), 0, true, false),
-                                    new HostPool.HostEntry("two", two.address(), 0, true, false)),
+                                    new HostPool.HostEntry("one", first.address(), 0, true, false),
+                                    new HostPool.HostEntry("two", second.address(), 0, true, false)),
                             true));
             send("one", 15_000);
             await(1);
             send("two", 15_000);
             TimeUnit.MILLISECONDS.sleep(400);
-            assertEquals(List.of(Outcome.SERVED + " " + LENGTH), ended, "there is no room for the second yet");
+            assertEquals(List.of(Outcome.SERVED + " " + LENGTH), ended, "the second does not fit yet");
             NodeProcess.run(loop, () -> held.remove(0).release());
             await(2);
             assertEquals(Outcome.SERVED + " " + LENGTH, ended.get(1));
             send("one", 300);
             await(3);
-            assertEquals(Outcome.TIMED_OUT + " 0", ended.get(2), "the second one is still held");
+            assertEquals(Outcome.TIMED_OUT + " 0", ended.get(2), "the second response's memory is still held");
             NodeProcess.run(loop, () -> held.remove(0).release());
-            assertEquals(0, NodeProcess.call(loop, answers::reservedBytes), "what was given up takes no room later");
+            assertEquals(
+                    0, NodeProcess.call(loop, budget::reservedBytes), "the abandoned attempt reserves nothing later");
         }
     }
 
     @Test
-    void theSecondWaitsForTheFirst() throws Exception {
-        twoAnswers(false);
+    void theSecondResponseWaitsForTheFirst() throws Exception {
+        twoResponses(false);
     }
 
     @Test
-    void theSameWhereNoLengthIsTold() throws Exception {
-        twoAnswers(true);
+    void theSecondResponseWaitsForTheFirstIfTheirLengthsAreUnknown() throws Exception {
+        twoResponses(true);
     }
 
     @Test
-    void aShortOneNeedsNoRoom() throws Exception {
-        NodeProcess.run(loop, () -> answers.tryReserve(LENGTH + LENGTH / 2));
+    void aShortResponseNeedsNoMemory() throws Exception {
+        NodeProcess.run(loop, () -> budget.tryReserve(LENGTH + LENGTH / 2));
         try (ScriptedHost host = new ScriptedHost(
                 (socket, request) -> ScriptedHost.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"))) {
             NodeProcess.run(
@@ -137,10 +138,10 @@
         }
     }
 
-    /** The end of an answer may lie in the very read that finds no room for more of it. */
+    /** The read in which memory runs out may also contain the end of the response. */
     @Test
-    void aConnectionIsReadOnWhereItsAnswerEndedWhileItWaited() {
-        ByteBudget none = new ByteBudget(0);
+    void readingResumesIfTheResponseIsCompleteWhenMemoryRunsOut() {
+        ByteBudget emptyBudget = new ByteBudget(0);
         List<Integer> lengths = new ArrayList<>();
         ResponseReader.Listener listener = new ResponseReader.Listener() {
             @Override
@@ -169,14 +170,14 @@
                 lengths.add(-1);
             }
         };
-        ResponseReader reader = new ResponseReader(listener, LENGTH, none);
+        ResponseReader reader = new ResponseReader(listener, LENGTH, emptyBudget);
         EmbeddedChannel channel = new EmbeddedChannel(reader.decoder(), reader);
         int length = BodyBudget.SHORT_BODY_BYTES + 4_000;
-        String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n" + ".".repeat(length);
-        channel.writeInbound(Unpooled.copiedBuffer(answer, StandardCharsets.US_ASCII));
+        String response = "HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n" + ".".repeat(length);
+        channel.writeInbound(Unpooled.copiedBuffer(response, StandardCharsets.US_ASCII));
         assertEquals(List.of(length), lengths);
-        assertFalse(none.hasWaiters(), "nobody waits any more");
-        assertTrue(channel.config().isAutoRead(), "the next answer may come on this connection");
+        assertFalse(emptyBudget.hasWaiters(), "no reservation is queued any more");
+        assertTrue(channel.config().isAutoRead(), "the next response may come on this connection");
         channel.finishAndReleaseAll();
     }
 }
--- a/src/test/java/tinworks/net/RequestMemoryTest.java
+++ b/src/test/java/tinworks/net/RequestMemoryTest.java
@@ -20,23 +20,23 @@
 import org.junit.jupiter.api.Timeout;
 import tinworks.node.NodeProcess;
 
-/** Bodies of several clients together: what there is no room for is told to come back, and the room is had again. */
+/** Memory budgets for request heads and bodies: a request that exceeds them gets a 503, and memory is released. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class RequestMemoryTest {
-    private static final int LONGEST = 1 << 20;
-    private static final int HEADS = 400_000;
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    private static final int HEAD_BUDGET_BYTES = 400_000;
 
     private final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final ByteBudget bodies = new ByteBudget(2 * LONGEST);
-    private final ByteBudget heads = new ByteBudget(HEADS);
+    private final ByteBudget bodies = new ByteBudget(2 * MAX_BODY_BYTES);
+    private final ByteBudget heads = new ByteBudget(HEAD_BUDGET_BYTES);
     private ClientServer server;
 
     /**
-     * Each request is answered with the length of its body; one for {@code /keep} keeps its body until another comes.
+     * Responds with the length of the request body. A request for {@code /keep} is retained until one for another path.
      */
-    private static final class Counting implements ClientServer.Listener {
-        private final List<ClientServer.Reply> kept = new ArrayList<>();
+    private static final class CountingListener implements ClientServer.Listener {
+        private final List<ClientServer.Reply> retained = new ArrayList<>();
 
         @Override
         public boolean ready() {
@@ -47,17 +47,17 @@
         public void onRequest(FullHttpRequest request, long arrivedAt, ClientServer.Reply reply) {
             if (request.uri().equals("/keep")) {
                 reply.retainRequest(request);
-                kept.add(reply);
+                retained.add(reply);
             } else {
-                kept.forEach(ClientServer.Reply::releaseRequest);
-                kept.clear();
+                retained.forEach(ClientServer.Reply::releaseRequest);
+                retained.clear();
             }
             reply.text(HttpResponseStatus.OK, "took " + request.content().readableBytes(), 0);
         }
     }
 
     private void start(ByteBudget budget) {
-        start(BodyBudget.shared(budget), new Counting());
+        start(BodyBudget.shared(budget), new CountingListener());
     }
 
     private void start(BodyBudget budget, ClientServer.Listener listener) {
@@ -67,7 +67,7 @@
                         loop,
                         Transport.TCP,
                         new MonotonicClock(),
-                        new ClientServer.Bounds(50, TimeUnit.SECONDS.toNanos(20), 0, 8_192, LONGEST, "/ready"),
+                        new ClientServer.Bounds(50, TimeUnit.SECONDS.toNanos(20), 0, 8_192, MAX_BODY_BYTES, "/ready"),
                         budget,
                         heads,
                         listener));
@@ -81,7 +81,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(5, TimeUnit.SECONDS);
     }
 
-    private Socket begin(String path, String length) throws IOException {
+    private Socket sendPart(String path, String length) throws IOException {
         Socket socket = new Socket();
         socket.connect(server.address(), 2_000);
         socket.setSoTimeout(10_000);
@@ -95,84 +95,87 @@
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
     }
 
-    private String whole(String path, int length) throws IOException {
-        try (Socket socket = begin(path, "Content-Length: " + length)) {
+    private String exchange(String path, int length) throws IOException {
+        try (Socket socket = sendPart(path, "Content-Length: " + length)) {
             socket.getOutputStream().write(new byte[length - "begun".length()]);
             return answer(socket);
         }
     }
 
-    private void awaitTaken(long bytes) throws InterruptedException {
+    private void awaitReservedBytes(long bytes) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         while (NodeProcess.call(loop, bodies::reservedBytes) != bytes) {
-            assertTrue(System.nanoTime() < until, "taken: " + bodies.reservedBytes() + ", wanted " + bytes);
+            assertTrue(System.nanoTime() < until, "reserved: " + bodies.reservedBytes() + ", expected " + bytes);
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
 
-    /** The third of three of the longest while two are under way. */
+    /** The response to the third of three requests of maximum length while the other two are incomplete. */
     private String third(ByteBudget budget) throws IOException, InterruptedException {
         start(budget);
-        try (Socket one = begin("/a", "Content-Length: " + LONGEST);
-                Socket two = begin("/a", "Transfer-Encoding: chunked")) {
+        try (Socket first = sendPart("/a", "Content-Length: " + MAX_BODY_BYTES);
+                Socket second = sendPart("/a", "Transfer-Encoding: chunked")) {
             if (budget == bodies) {
-                awaitTaken(2 * LONGEST);
+                awaitReservedBytes(2 * MAX_BODY_BYTES);
             }
-            assertTrue(two.isConnected());
-            String third = whole("/a", LONGEST);
-            assertTrue(whole("/a", LONGEST + 1).startsWith("HTTP/1.1 413 "), "too long for any time");
-            one.getOutputStream().write(new byte[LONGEST - "begun".length()]);
-            assertTrue(answer(one).endsWith("took " + LONGEST + "\n"));
+            assertTrue(second.isConnected());
+            String third = exchange("/a", MAX_BODY_BYTES);
+            assertTrue(
+                    exchange("/a", MAX_BODY_BYTES + 1).startsWith("HTTP/1.1 413 "),
+                    "exceeds the limit for a single body");
+            first.getOutputStream().write(new byte[MAX_BODY_BYTES - "begun".length()]);
+            assertTrue(answer(first).endsWith("took " + MAX_BODY_BYTES + "\n"));
             return third;
         }
     }
 
     @Test
-    void aBodyThatThereIsNoRoomForIsToldToComeBackAndTheRoomIsHadAgain() throws Exception {
+    void aBodyOverTheBudgetIsRejectedWithRetryAfterAndMemoryIsReleased() throws Exception {
         String third = third(bodies);
         assertTrue(third.startsWith("HTTP/1.1 503 "), third);
         assertTrue(third.toLowerCase(java.util.Locale.ROOT).contains("retry-after: 0.2"), third);
-        awaitTaken(0);
-        assertTrue(whole("/a", LONGEST).endsWith("took " + LONGEST + "\n"));
-        awaitTaken(0);
+        awaitReservedBytes(0);
+        assertTrue(exchange("/a", MAX_BODY_BYTES).endsWith("took " + MAX_BODY_BYTES + "\n"));
+        awaitReservedBytes(0);
     }
 
     @Test
-    void aLengthThatIsNoneIsABadRequestAndTakesNoRoom() throws Exception {
+    void anInvalidLengthIsABadRequestAndReservesNothing() throws Exception {
         start(bodies);
         for (String length : List.of("five", "-5", "99999999999999999999", "5, 6", "")) {
-            try (Socket socket = begin("/a", "Content-Length: " + length)) {
+            try (Socket socket = sendPart("/a", "Content-Length: " + length)) {
                 assertTrue(answer(socket).startsWith("HTTP/1.1 400 "), length);
             }
         }
-        awaitTaken(0);
+        awaitReservedBytes(0);
     }
 
     @Test
-    void withoutABudgetAllAreTaken() throws Exception {
+    void withoutABudgetAllAreAccepted() throws Exception {
         assertTrue(third(new ByteBudget(Long.MAX_VALUE)).startsWith("HTTP/1.1 200 "));
     }
 
     @Test
-    void aBodyThatIsKeptCountsUntilItIsDroppedAndOneThatBreaksOffNoMore() throws Exception {
+    void aRetainedBodyCountsUntilReleasedAndAnAbortedOneDoesNot() throws Exception {
         start(bodies);
-        assertTrue(whole("/keep", LONGEST).startsWith("HTTP/1.1 200 "));
-        assertTrue(whole("/keep", LONGEST).startsWith("HTTP/1.1 200 "));
-        assertEquals(2 * LONGEST, NodeProcess.call(loop, bodies::reservedBytes));
-        assertTrue(whole("/a", 100).startsWith("HTTP/1.1 503 "));
-        try (Socket asks = new Socket()) {
-            asks.connect(server.address(), 2_000);
-            asks.getOutputStream()
+        assertTrue(exchange("/keep", MAX_BODY_BYTES).startsWith("HTTP/1.1 200 "));
+        assertTrue(exchange("/keep", MAX_BODY_BYTES).startsWith("HTTP/1.1 200 "));
+        assertEquals(2 * MAX_BODY_BYTES, NodeProcess.call(loop, bodies::reservedBytes));
+        assertTrue(exchange("/a", 100).startsWith("HTTP/1.1 503 "));
+        try (Socket withoutBody = new Socket()) {
+            withoutBody.connect(server.address(), 2_000);
+            withoutBody
+                    .getOutputStream()
                     .write("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
-            assertTrue(answer(asks).startsWith("HTTP/1.1 200 "), "what has no body needs no room");
+            assertTrue(answer(withoutBody).startsWith("HTTP/1.1 200 "), "a request without a body needs no memory");
         }
-        awaitTaken(0);
-        try (Socket breaks = begin("/a", "Content-Length: " + LONGEST)) {
-            awaitTaken(LONGEST);
-            assertFalse(breaks.isClosed());
+        awaitReservedBytes(0);
+        try (Socket aborted = sendPart("/a", "Content-Length: " + MAX_BODY_BYTES)) {
+            awaitReservedBytes(MAX_BODY_BYTES);
+            assertFalse(aborted.isClosed());
         }
-        awaitTaken(0);
+        awaitReservedBytes(0);
     }
 
     private static void chunk(Socket socket, int bytes) throws IOException {
@@ -191,39 +194,40 @@
         return socket;
     }
 
-    /** As at an edge: short bodies have room of their own, and a body of unknown length takes what has come of it. */
+    /** The setup of an edge: short bodies have a budget of their own, and unknown lengths reserve what is received. */
     @Test
-    void longBodiesDontKeepOutShortOnesAndUnknownLengthsGrow() throws Exception {
-        ByteBudget shortOnes = new ByteBudget(BodyBudget.SHORT_BODY_BYTES);
-        start(BodyBudget.split(shortOnes, bodies), new Counting());
-        try (Socket one = chunked();
-                Socket two = chunked();
+    void longBodiesDoNotStarveShortOnesAndUnknownLengthsReserveAsReceived() throws Exception {
+        ByteBudget shortBodies = new ByteBudget(BodyBudget.SHORT_BODY_BYTES);
+        start(BodyBudget.split(shortBodies, bodies), new CountingListener());
+        try (Socket first = chunked();
+                Socket second = chunked();
                 Socket third = chunked()) {
-            chunk(one, LONGEST - 1);
-            awaitTaken(LONGEST - 1);
-            chunk(two, LONGEST / 2);
-            awaitTaken(LONGEST - 1 + LONGEST / 2);
+            chunk(first, MAX_BODY_BYTES - 1);
+            awaitReservedBytes(MAX_BODY_BYTES - 1);
+            chunk(second, MAX_BODY_BYTES / 2);
+            awaitReservedBytes(MAX_BODY_BYTES - 1 + MAX_BODY_BYTES / 2);
             chunk(third, BodyBudget.SHORT_BODY_BYTES / 2);
-            chunk(third, LONGEST);
-            String told = answer(third);
-            assertTrue(told.startsWith("HTTP/1.1 503 "), told);
-            assertTrue(told.toLowerCase(java.util.Locale.ROOT).contains("retry-after: 0.2"), told);
-            assertTrue(whole("/a", BodyBudget.SHORT_BODY_BYTES).endsWith("took " + BodyBudget.SHORT_BODY_BYTES + "\n"));
-            chunk(two, LONGEST / 2 - 1);
-            awaitTaken(2 * LONGEST - 2);
-            one.getOutputStream().write("0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            assertTrue(answer(one).endsWith("took " + (LONGEST - 1) + "\n"));
+            chunk(third, MAX_BODY_BYTES);
+            String response = answer(third);
+            assertTrue(response.startsWith("HTTP/1.1 503 "), response);
+            assertTrue(response.toLowerCase(java.util.Locale.ROOT).contains("retry-after: 0.2"), response);
+            assertTrue(
+                    exchange("/a", BodyBudget.SHORT_BODY_BYTES).endsWith("took " + BodyBudget.SHORT_BODY_BYTES + "\n"));
+            chunk(second, MAX_BODY_BYTES / 2 - 1);
+            awaitReservedBytes(2 * MAX_BODY_BYTES - 2);
+            first.getOutputStream().write("0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            assertTrue(answer(first).endsWith("took " + (MAX_BODY_BYTES - 1) + "\n"));
         }
-        awaitTaken(0);
-        assertEquals(0, NodeProcess.call(loop, shortOnes::reservedBytes));
+        awaitReservedBytes(0);
+        assertEquals(0, NodeProcess.call(loop, shortBodies::reservedBytes));
     }
 
-    /** A client sends two hundred requests ahead and reads nothing: their answers don't pile up here. */
+    /** A client pipelines two hundred requests and reads nothing: the responses must not accumulate in memory. */
     @Test
-    void answersAreMadeAsTheirClientReadsThem() throws Exception {
+    void requestsAreProcessedAsTheirClientReadsResponses() throws Exception {
         int requests = 200;
         int length = 50_000;
-        java.util.concurrent.atomic.AtomicInteger taken = new java.util.concurrent.atomic.AtomicInteger();
+        java.util.concurrent.atomic.AtomicInteger processed = new java.util.concurrent.atomic.AtomicInteger();
         start(BodyBudget.shared(bodies), new ClientServer.Listener() {
             @Override
             public boolean ready() {
@@ -232,7 +236,7 @@
 
             @Override
             public void onRequest(FullHttpRequest request, long arrivedAt, ClientServer.Reply reply) {
-                taken.incrementAndGet();
+                processed.incrementAndGet();
                 reply.text(HttpResponseStatus.OK, ".".repeat(length - 1), 0);
             }
         });
@@ -243,19 +247,19 @@
             socket.getOutputStream()
                     .write("GET /a HTTP/1.1\r\nHost: x\r\n\r\n".repeat(requests).getBytes(StandardCharsets.US_ASCII));
             TimeUnit.MILLISECONDS.sleep(500);
-            int before = taken.get();
+            int before = processed.get();
             TimeUnit.MILLISECONDS.sleep(300);
-            assertEquals(before, taken.get(), "goes on though nothing is read");
-            assertTrue(before < requests, before + " of " + requests + " answers were made");
+            assertEquals(before, processed.get(), "requests are processed though the client reads nothing");
+            assertTrue(before < requests, before + " of " + requests + " requests were processed");
             long read = 0;
             byte[] buffer = new byte[1 << 16];
             while (read < (long) requests * length) {
                 int some = socket.getInputStream().read(buffer);
-                assertTrue(some > 0, read + " bytes came");
+                assertTrue(some > 0, read + " bytes received");
                 read += some;
             }
         }
-        assertEquals(requests, taken.get());
+        assertEquals(requests, processed.get());
     }
 
     /** A head of many short lines, without its end. */
@@ -271,39 +275,39 @@
         return socket;
     }
 
-    private void awaitHeads(boolean taken) throws InterruptedException {
+    private void awaitHeadReservation(boolean reserved) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (NodeProcess.call(loop, () -> heads.reservedBytes() > 0) != taken) {
-            assertTrue(System.nanoTime() < until, "taken: " + heads.reservedBytes());
+        while (NodeProcess.call(loop, () -> heads.reservedBytes() > 0) != reserved) {
+            assertTrue(System.nanoTime() < until, "reserved: " + heads.reservedBytes());
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
 
-    /** Whether its head comes whole, in parts, or never. */
+    /** Holds whether the end of the head is received or not. */
     @Test
-    void aHeadThatThereIsNoRoomForIsToldToComeBackAndTheRoomIsHadAgain() throws Exception {
+    void aHeadOverTheBudgetIsRejectedWithRetryAfterAndMemoryIsReleased() throws Exception {
         start(bodies);
         try (Socket unfinished = send(longHead("/a"))) {
-            awaitHeads(true);
-            try (Socket whole = send(longHead("/a") + "\r\n");
-                    Socket never = send(longHead("/a"));
-                    Socket usual = send("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")) {
-                for (Socket refused : List.of(whole, never)) {
-                    String told = answer(refused);
-                    assertTrue(told.startsWith("HTTP/1.1 503 "), told);
-                    assertTrue(told.toLowerCase(java.util.Locale.ROOT).contains("retry-after: 0.2"), told);
+            awaitHeadReservation(true);
+            try (Socket complete = send(longHead("/a") + "\r\n");
+                    Socket unterminated = send(longHead("/a"));
+                    Socket small = send("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")) {
+                for (Socket rejected : List.of(complete, unterminated)) {
+                    String response = answer(rejected);
+                    assertTrue(response.startsWith("HTTP/1.1 503 "), response);
+                    assertTrue(response.toLowerCase(java.util.Locale.ROOT).contains("retry-after: 0.2"), response);
                 }
-                assertTrue(answer(usual).endsWith("took 0\n"), "there is room for a usual one");
+                assertTrue(answer(small).endsWith("took 0\n"), "a small head fits");
             }
             unfinished.getOutputStream().write("Connection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             assertTrue(answer(unfinished).endsWith("took 0\n"));
         }
-        awaitHeads(false);
+        awaitHeadReservation(false);
     }
 
-    /** A request that is sent ahead holds its room until its turn; a client that leaves gives all of it back. */
+    /** A pipelined request keeps its reservation until its turn; a disconnect releases all of them. */
     @Test
-    void headsThatWaitForTheirTurnHoldTheirRoom() throws Exception {
+    void headsOfPipelinedRequestsKeepTheirReservations() throws Exception {
         start(BodyBudget.shared(bodies), new ClientServer.Listener() {
             @Override
             public boolean ready() {
@@ -320,15 +324,15 @@
         try (Socket ahead = send(small + small);
                 Socket third = send(small + small)) {
             assertTrue(ahead.isConnected());
-            awaitHeads(true);
+            awaitHeadReservation(true);
             third.setSoTimeout(2_000);
             long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
             while (NodeProcess.call(loop, heads::reservedBytes) < 3 * 600 * RequestDecoder.OVERHEAD_BYTES_PER_LINE) {
-                assertTrue(System.nanoTime() < until, "taken: " + heads.reservedBytes());
+                assertTrue(System.nanoTime() < until, "reserved: " + heads.reservedBytes());
                 TimeUnit.MILLISECONDS.sleep(5);
             }
-            assertTrue(NodeProcess.call(loop, heads::reservedBytes) <= HEADS);
+            assertTrue(NodeProcess.call(loop, heads::reservedBytes) <= HEAD_BUDGET_BYTES);
         }
-        awaitHeads(false);
+        awaitHeadReservation(false);
     }
 }
--- a/src/test/java/tinworks/net/RequestReceptionTest.java
+++ b/src/test/java/tinworks/net/RequestReceptionTest.java
@@ -21,14 +21,14 @@
 import tinworks.net.GatewayFixture.Client;
 import tinworks.net.ScriptedHost.Message;
 
-/** What a gateway makes of requests that don't come whole, in time or in one reading, and of who sends them. */
+/** How a gateway handles incomplete, late, ambiguous and invalid requests, and connections that are idle or silent. */
 class RequestReceptionTest {
     private static final ScriptedHost.Script SERVES = ScriptedHost.reply("200 OK", "fine");
     private static final String HEAD = "Host: x\r\nX-Timeout: 20000m\r\n";
 
-    /** Clients that ask once and keep their connection: they would take all places from those who ask. */
+    /** Clients that send one request and keep the connection would otherwise use up the connection limit. */
     @Test
-    void withHalfThePlacesTakenAnAnswerEndsItsConnection() throws Exception {
+    void overHalfTheConnectionLimitResponsesCloseTheirConnections() throws Exception {
         // 64 descriptors are kept for other uses; half of the other 16 are for clients.
         ScriptedHost host = new ScriptedHost(SERVES);
         try (host;
@@ -53,12 +53,12 @@
                     first.exchange(status("again", LONG_TIMEOUT_MILLIS))
                             .firstLine()
                             .contains(" 200 "),
-                    "it still has its place");
+                    "its connection is still open");
         }
     }
 
     @Test
-    void aProbeOfReadinessKeepsNoPlace() throws Exception {
+    void aReadinessProbeClosesItsConnection() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client probe = f.client();
@@ -84,31 +84,32 @@
                 "GET /status HTTP/1.1\r\nHost:",
                 "POST /submit HTTP/1.1\r\nX-Request-ID: r\r\nContent-Length: 9000\r\n\r\nbegun"
             })
-    void aRequestThatGrowsByteByByteIsGivenUp(String beginning) throws Exception {
+    void aRequestSentByteByByteTimesOut(String partOfRequest) throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
             client.socket.setSoTimeout(20);
-            client.write(beginning);
-            Message answer = null;
-            for (long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_TIMEOUT_MILLIS); answer == null; ) {
+            client.write(partOfRequest);
+            Message response = null;
+            for (long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_TIMEOUT_MILLIS);
+                    response == null; ) {
                 assertTrue(System.nanoTime() < end, "each byte renews the limit");
                 try {
-                    answer = client.read();
+                    response = client.read();
                 } catch (SocketTimeoutException e) {
                     client.write("x");
                 }
             }
-            assertTrue(answer.firstLine().contains(" 408 "), answer.firstLine());
+            assertTrue(response.firstLine().contains(" 408 "), response.firstLine());
             client.socket.setSoTimeout(AWAIT_TIMEOUT_MILLIS);
             assertNull(client.read());
             assertEquals(0, host.requests.size());
         }
     }
 
-    /** What has been read of its head ends with a line, and so nothing is left over that waits for more. */
+    /** The received part of the head ends with a line break, so the decoder holds no unread bytes. */
     @Test
-    void aRequestThatStopsAtTheEndOfALineIsGivenUp() throws Exception {
+    void aRequestThatStopsAtTheEndOfALineTimesOut() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
@@ -120,7 +121,7 @@
         }
     }
 
-    /** What can't be taken behind an open request must not be answered before it. */
+    /** A rejected pipelined request must not be answered before the open request ahead of it. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -128,7 +129,7 @@
                 "413|POST /submit HTTP/1.1\r\nX-Request-ID: b\r\nExpect: 100-continue\r\nContent-Length: 60000000\r\n\r\n",
                 "400|GET /status NOT-HTTP\r\n\r\n"
             })
-    void whatCannotBeTakenIsAnsweredInItsTurn(String statusAndRequest) throws Exception {
+    void aRejectedPipelinedRequestIsAnsweredInItsTurn(String statusAndRequest) throws Exception {
         String[] parts = statusAndRequest.split("\\|");
         CompletableFuture<Socket> held = new CompletableFuture<>();
         try (ScriptedHost host = new ScriptedHost((socket, request) -> held.complete(socket));
@@ -156,17 +157,17 @@
                 "POST /status HTTP/1.1\r\nX-Request-ID: r\r\nContent-Length: 0\r\n\r\n",
                 "GET /status HTTP/1.1\r\nX-Request-ID: r\r\nContent-Length: 1\r\n\r\nx"
             })
-    void aRequestWithTwoReadingsIsRefused(String request) throws Exception {
+    void anAmbiguousOrInvalidRequestIsRejected(String request) throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
-            Message answer = f.client().exchange(request.replaceFirst("\r\n", "\r\n" + HEAD));
-            assertTrue(answer.firstLine().matches("HTTP/1.1 4\\d\\d .*"), answer.firstLine());
-            assertEquals(0, host.requests.size(), "it goes to no host");
+            Message response = f.client().exchange(request.replaceFirst("\r\n", "\r\n" + HEAD));
+            assertTrue(response.firstLine().matches("HTTP/1.1 4\\d\\d .*"), response.firstLine());
+            assertEquals(0, host.requests.size(), "must not be forwarded");
         }
     }
 
     @Test
-    void clientsThatNeverAskedMakeRoomBeforeOneThatDid() throws Exception {
+    void connectionsWithoutARequestAreClosedBeforeOneThatSentOne() throws Exception {
         ScriptedHost host = new ScriptedHost(SERVES);
         // 64 descriptors are kept for other uses; half of the other 16 are for clients.
         try (host;
@@ -175,9 +176,9 @@
                         GatewayFixture.quietDiscovery(),
                         60_000_000_000L,
                         80)) {
-            Client good = f.client();
+            Client active = f.client();
             assertEquals(
-                    "fine", good.exchange(status("r1", LONG_TIMEOUT_MILLIS)).body());
+                    "fine", active.exchange(status("r1", LONG_TIMEOUT_MILLIS)).body());
             Client firstSilent = f.client();
             for (int i = 0; i < 20; i++) {
                 f.client();
@@ -185,21 +186,21 @@
             assertNull(firstSilent.read());
             assertEquals(
                     "fine",
-                    good.exchange(status("r2", LONG_TIMEOUT_MILLIS)).body(),
-                    "the good client's connection is kept");
+                    active.exchange(status("r2", LONG_TIMEOUT_MILLIS)).body(),
+                    "the active client's connection is kept");
         }
     }
 
-    /** The first waits out its whole time at the host, and the second came with it. */
+    /** The first request times out at the host. The second was received with it, so its timeout has passed too. */
     @Test
-    void aRequestSentAheadHasItsTimeFromItsLastByte() throws Exception {
+    void theTimeoutOfAPipelinedRequestCountsFromItsLastByte() throws Exception {
         try (ScriptedHost host = new ScriptedHost((socket, request) -> {});
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
             client.write(submit("a", 1000, "x") + submit("b", 900, "x"));
             assertTrue(client.read().firstLine().contains(" 502 "));
             assertTrue(client.read().firstLine().contains(" 503 "));
-            assertEquals(1, host.requests.size(), "nothing of the second was sent on");
+            assertEquals(1, host.requests.size(), "the second must not be forwarded");
         }
     }
 }
--- a/src/test/java/tinworks/net/UnreadResponseTest.java
+++ b/src/test/java/tinworks/net/UnreadResponseTest.java
@@ -24,14 +24,14 @@
 import tinworks.node.NodeProcess;
 
 /**
- * A connection that is closed to make room for another, while its client has not read all of its last answer. It
- * counted as the longest idle one, since no request was open on it: the client saw the end of the connection amid the
- * answer, beside connections on which nothing was left to read.
+ * Guards against closing a connection at the connection limit while its client is still reading the last response.
+ * Without an open request such a connection counted as the longest idle one, so its response was truncated, although
+ * other connections had no unread bytes.
  */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class UnreadResponseTest {
-    private static final int PLACES = 8;
-    private static final int LENGTH = 16 << 20;
+    private static final int MAX_CONNECTIONS = 8;
+    private static final int RESPONSE_BYTES = 16 << 20;
 
     private final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -43,7 +43,7 @@
                     loop,
                     Transport.TCP,
                     new MonotonicClock(),
-                    new ClientServer.Bounds(PLACES, TimeUnit.SECONDS.toNanos(20), 0, 8_192, 1_024, null),
+                    new ClientServer.Bounds(MAX_CONNECTIONS, TimeUnit.SECONDS.toNanos(20), 0, 8_192, 1_024, null),
                     new ClientServer.Listener() {
                         @Override
                         public boolean ready() {
@@ -56,7 +56,7 @@
                                 held.add(reply);
                                 return;
                             }
-                            byte[] body = new byte[request.uri().equals("/long") ? LENGTH : 1];
+                            byte[] body = new byte[request.uri().equals("/long") ? RESPONSE_BYTES : 1];
                             reply.write(
                                     HttpResponseStatus.OK, new DefaultHttpHeaders(), Unpooled.wrappedBuffer(body), 0);
                         }
@@ -71,7 +71,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(5_000);
     }
 
-    private Socket ask(String path) throws IOException {
+    private Socket send(String path) throws IOException {
         Socket socket = new Socket();
         sockets.add(socket);
         socket.setReceiveBufferSize(4_096);
@@ -83,28 +83,29 @@
     }
 
     @Test
-    void whoStillReadsIsNotTheOneToMakeRoom() throws Exception {
+    void aClientThatIsStillReadingIsNotDisconnected() throws Exception {
         NodeProcess.call(loop, () -> server.listen(new InetSocketAddress("127.0.0.1", 0)))
                 .syncUninterruptibly();
-        Socket reader = ask("/long");
+        Socket reader = send("/long");
         InputStream in = reader.getInputStream();
         in.readNBytes(1_000);
-        for (int i = 0; i < PLACES / 2 - 1; i++) {
-            assertEquals('H', ask("/short").getInputStream().read());
+        for (int i = 0; i < MAX_CONNECTIONS / 2 - 1; i++) {
+            assertEquals('H', send("/short").getInputStream().read());
         }
-        for (int i = 0; i < PLACES / 2 + 1; i++) {
-            ask("/held");
+        for (int i = 0; i < MAX_CONNECTIONS / 2 + 1; i++) {
+            send("/held");
         }
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (NodeProcess.call(loop, server::connectionCount) != PLACES || held.size() != PLACES / 2 + 1) {
-            assertTrue(System.nanoTime() < until, "no place is made");
+        while (NodeProcess.call(loop, server::connectionCount) != MAX_CONNECTIONS
+                || held.size() != MAX_CONNECTIONS / 2 + 1) {
+            assertTrue(System.nanoTime() < until, "no connection was closed");
             TimeUnit.MILLISECONDS.sleep(5);
         }
-        long left = 0;
-        byte[] some = new byte[1 << 16];
-        for (int read = in.read(some); read >= 0 && left < LENGTH - 1_000; read = in.read(some)) {
-            left += read;
+        long received = 0;
+        byte[] buffer = new byte[1 << 16];
+        for (int read = in.read(buffer); read >= 0 && received < RESPONSE_BYTES - 1_000; read = in.read(buffer)) {
+            received += read;
         }
-        assertTrue(left >= LENGTH - 1_000, "cut after " + left + " bytes");
+        assertTrue(received >= RESPONSE_BYTES - 1_000, "truncated after " + received + " bytes");
     }
 }
