--- a/src/main/java/tinworks/net/ClientServer.java
+++ b/src/main/java/tinworks/net/ClientServer.java
@@ -80,7 +80,7 @@
      *
      * @param maxConnections connections that may be open at a time
      * @param receiveTimeoutNanos time limit for receiving a request, counted from the connect or from its first byte
-     * @param idleTimeoutNanos idle timeout of keep-alive connections; 0 keeps them while there is room
+     * @param idleTimeoutNanos idle timeout of keep-alive connections; 0 keeps them while the connection limit allows
      * @param maxHeadBytes limit for the head (request line and headers) of a request
      * @param maxBodyBytes limit for the body of a request
      * @param readyPath path of the readiness probe, or null for none
@@ -273,9 +273,9 @@
             }
             evicted.drop(CloseReason.NO_PLACE);
         }
-        boolean room = connections.size() <= bounds.maxConnections();
-        acceptor.config().setAutoRead(room);
-        if (!room && !recheckScheduled) {
+        boolean withinLimit = connections.size() <= bounds.maxConnections();
+        acceptor.config().setAutoRead(withinLimit);
+        if (!withinLimit && !recheckScheduled) {
             recheckScheduled = true;
             loop.schedule(
                     () -> {
--- a/src/test/java/tinworks/net/RequestMemoryTest.java
+++ b/src/test/java/tinworks/net/RequestMemoryTest.java
@@ -91,14 +91,14 @@
         return socket;
     }
 
-    private static String answer(Socket socket) throws IOException {
+    private static String readResponse(Socket socket) throws IOException {
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
     }
 
     private String exchange(String path, int length) throws IOException {
         try (Socket socket = sendPart(path, "Content-Length: " + length)) {
             socket.getOutputStream().write(new byte[length - "begun".length()]);
-            return answer(socket);
+            return readResponse(socket);
         }
     }
 
@@ -124,7 +124,7 @@
                     exchange("/a", MAX_BODY_BYTES + 1).startsWith("HTTP/1.1 413 "),
                     "exceeds the limit for a single body");
             first.getOutputStream().write(new byte[MAX_BODY_BYTES - "begun".length()]);
-            assertTrue(answer(first).endsWith("took " + MAX_BODY_BYTES + "\n"));
+            assertTrue(readResponse(first).endsWith("took " + MAX_BODY_BYTES + "\n"));
             return third;
         }
     }
@@ -144,7 +144,7 @@
         start(bodies);
         for (String length : List.of("five", "-5", "99999999999999999999", "5, 6", "")) {
             try (Socket socket = sendPart("/a", "Content-Length: " + length)) {
-                assertTrue(answer(socket).startsWith("HTTP/1.1 400 "), length);
+                assertTrue(readResponse(socket).startsWith("HTTP/1.1 400 "), length);
             }
         }
         awaitReservedBytes(0);
@@ -168,7 +168,8 @@
                     .getOutputStream()
                     .write("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
                             .getBytes(StandardCharsets.US_ASCII));
-            assertTrue(answer(withoutBody).startsWith("HTTP/1.1 200 "), "a request without a body needs no memory");
+            assertTrue(
+                    readResponse(withoutBody).startsWith("HTTP/1.1 200 "), "a request without a body needs no memory");
         }
         awaitReservedBytes(0);
         try (Socket aborted = sendPart("/a", "Content-Length: " + MAX_BODY_BYTES)) {
@@ -208,7 +209,7 @@
             awaitReservedBytes(MAX_BODY_BYTES - 1 + MAX_BODY_BYTES / 2);
             chunk(third, BodyBudget.SHORT_BODY_BYTES / 2);
             chunk(third, MAX_BODY_BYTES);
-            String response = answer(third);
+            String response = readResponse(third);
             assertTrue(response.startsWith("HTTP/1.1 503 "), response);
             assertTrue(response.toLowerCase(java.util.Locale.ROOT).contains("retry-after: 0.2"), response);
             assertTrue(
@@ -216,7 +217,7 @@
             chunk(second, MAX_BODY_BYTES / 2 - 1);
             awaitReservedBytes(2 * MAX_BODY_BYTES - 2);
             first.getOutputStream().write("0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            assertTrue(answer(first).endsWith("took " + (MAX_BODY_BYTES - 1) + "\n"));
+            assertTrue(readResponse(first).endsWith("took " + (MAX_BODY_BYTES - 1) + "\n"));
         }
         awaitReservedBytes(0);
         assertEquals(0, NodeProcess.call(loop, shortBodies::reservedBytes));
@@ -293,14 +294,14 @@
                     Socket unterminated = send(longHead("/a"));
                     Socket small = send("GET /a HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")) {
                 for (Socket rejected : List.of(complete, unterminated)) {
-                    String response = answer(rejected);
+                    String response = readResponse(rejected);
                     assertTrue(response.startsWith("HTTP/1.1 503 "), response);
                     assertTrue(response.toLowerCase(java.util.Locale.ROOT).contains("retry-after: 0.2"), response);
                 }
-                assertTrue(answer(small).endsWith("took 0\n"), "a small head fits");
+                assertTrue(readResponse(small).endsWith("took 0\n"), "a small head fits");
             }
             unfinished.getOutputStream().write("Connection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            assertTrue(answer(unfinished).endsWith("took 0\n"));
+            assertTrue(readResponse(unfinished).endsWith("took 0\n"));
         }
         awaitHeadReservation(false);
     }
