--- a/src/main/java/tinworks/policy/InFlightReport.java
+++ b/src/main/java/tinworks/policy/InFlightReport.java
@@ -4,17 +4,17 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import tinworks.policy.State.Server;
+import tinworks.policy.LoadBalancerState.Server;
 
 /**
  * The message in which a gateway tells the others how many requests it has out at which server: a byte for the form,
  * then four bytes that stand for a server's id and one for the count. It decides nothing.
  */
 final class InFlightReport {
-    private static final byte FORM = 1;
-    private static final int ENTRY = Integer.BYTES + 1;
-    private static final int MOST_BYTES = 256;
-    private static final int MOST_COUNT = 255;
+    private static final byte FORMAT_VERSION = 1;
+    private static final int ENTRY_BYTES = Integer.BYTES + 1;
+    private static final int MAX_BYTES = 256;
+    private static final int MAX_COUNT = 255;
 
     private InFlightReport() {}
 
@@ -24,11 +24,11 @@
     }
 
     static byte[] write(List<Server> servers) {
-        ByteBuffer message = ByteBuffer.allocate(MOST_BYTES);
-        message.put(FORM);
+        ByteBuffer message = ByteBuffer.allocate(MAX_BYTES);
+        message.put(FORMAT_VERSION);
         for (Server s : servers) {
-            if (s.inFlight > 0 && message.remaining() >= ENTRY) {
-                message.putInt(code(s.info.id())).put((byte) Math.min(MOST_COUNT, s.inFlight));
+            if (s.inFlight > 0 && message.remaining() >= ENTRY_BYTES) {
+                message.putInt(code(s.info.id())).put((byte) Math.min(MAX_COUNT, s.inFlight));
             }
         }
         byte[] bytes = new byte[message.position()];
@@ -39,7 +39,7 @@
     /** The counts of the servers that are known here; a message of another form tells nothing. */
     static Map<Server, Integer> read(byte[] bytes, Map<Integer, Server> byCode) {
         Map<Server, Integer> counts = new LinkedHashMap<>();
-        if (bytes.length == 0 || bytes[0] != FORM || (bytes.length - 1) % ENTRY != 0) {
+        if (bytes.length == 0 || bytes[0] != FORMAT_VERSION || (bytes.length - 1) % ENTRY_BYTES != 0) {
             return counts;
         }
         ByteBuffer message = ByteBuffer.wrap(bytes, 1, bytes.length - 1);
--- a/src/main/java/tinworks/policy/State.java
+++ b/src/main/java/tinworks/policy/LoadBalancerState.java
@@ -9,43 +9,43 @@
 import tinworks.policy.LoadBalancerApi.ServerInfo;
 
 /** What a gateway remembers: plain holders without a decision, all of which are in {@link LoadBalancer}. */
-interface State {
+interface LoadBalancerState {
 
     /** A server as this gateway has seen it since its last start. */
     final class Server {
         ServerInfo info;
         /** The same for servers that are held alike. */
-        String likes;
+        String similarityKey;
 
         boolean ready;
         double share;
         /** The part of it that is this gateway's own, from 0 to 1. */
-        double portion;
+        double subsetFraction;
         /** Latencies in this tick, as multiples of their classes' means. */
-        Pool tick = new Pool();
+        LatencySum tickLatencies = new LatencySum();
 
         double latency;
         boolean sampled;
         int inFlight;
         /** What other gateways said that they have out here. */
-        int elsewhere;
+        int peerInFlight;
 
         double limit;
         double lateness;
-        double failures;
-        long failuresAt;
-        long answeredAt;
+        double failureRate;
+        long failureRateAt;
+        long lastResponseAt;
         /** When the latest sent of its answered attempts went out. */
-        long answeredSentAt;
+        long lastAnsweredSentAt;
 
-        boolean silent;
-        long trialAt;
-        final Map<Kind, ClassHealth> classes = new HashMap<>();
-        final Bucket cold;
-        final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
+        boolean unresponsive;
+        long nextTrialAt;
+        final Map<ClassState, ClassHealth> classHealth = new HashMap<>();
+        final TokenBucket slowStartBucket;
+        final ArrayDeque<Attempt> openAttempts = new ArrayDeque<>();
 
-        Server(Bucket cold, double share, double limit) {
-            this.cold = cold;
+        Server(TokenBucket cold, double share, double limit) {
+            this.slowStartBucket = cold;
             this.share = share;
             this.limit = limit;
         }
@@ -53,13 +53,13 @@
 
     /** How a server has answered one class: the part of errors, and when the next trial may be. */
     final class ClassHealth {
-        double errors;
-        long errorsAt;
-        long trialAt;
+        double errorRate;
+        long errorRateAt;
+        long nextTrialAt;
     }
 
     /** Samples of latency, and how many. */
-    final class Pool {
+    final class LatencySum {
         double sum;
         int samples;
 
@@ -72,7 +72,7 @@
             return sum / Math.max(1, samples);
         }
 
-        double mixed(double prior, double weight) {
+        double shrunkMean(double prior, double weight) {
             return (sum + weight * prior) / (samples + weight);
         }
     }
@@ -80,51 +80,51 @@
     /** One send of a request to a server. */
     record Attempt(Request request, Server server, int number, long sentAt) {
         boolean ended() {
-            return (request.ended >> number & 1) == 1;
+            return (request.endedAttempts >> number & 1) == 1;
         }
     }
 
     /** A request that is owed an answer, or whose attempts have not all ended. */
     final class Request {
         final String id;
-        final Kind kind;
-        final boolean overShare;
-        final long arrivedAt;
+        final ClassState classState;
+        final boolean overQuota;
+        final long firstSentAt;
         /** When it has passed for certain: until then nothing is broken off at a server for it. */
         final long deadline;
         /** When it may have passed, as the request may have lain unread before: what waits here is given up then. */
-        long waitsUntil;
+        long queueDeadline;
 
         final List<Attempt> attempts = new ArrayList<>(2);
         /** A bit for each attempt that ended, and for each that is proved never to have run. */
-        long ended;
+        long endedAttempts;
 
-        long neverRan;
+        long notExecutedAttempts;
         /** A bit for each attempt that holds no place any more, and for each that was called off. */
-        long lost;
+        long releasedAttempts;
 
-        long calledOff;
+        long cancelledAttempts;
         int outstanding;
         boolean concluded;
         boolean streaming;
-        double value;
+        double valueDensity;
         /** The fewest tries, and the class of the gravest effect, of the versions since it came. */
-        int tries;
+        int maxAttempts;
 
         RequestClass strictest;
 
-        Request(String id, Kind kind, boolean overShare, long firstAsked, long deadline) {
+        Request(String id, ClassState kind, boolean overShare, long firstAsked, long deadline) {
             this.id = id;
-            this.kind = kind;
-            this.overShare = overShare;
-            arrivedAt = firstAsked;
+            this.classState = kind;
+            this.overQuota = overShare;
+            firstSentAt = firstAsked;
             this.deadline = deadline;
-            tries = kind.spec.maxAttempts();
+            maxAttempts = kind.spec.maxAttempts();
             strictest = kind.spec;
         }
 
         /** Whether an attempt of it went to the server. */
-        boolean wasAt(Server server) {
+        boolean wasSentTo(Server server) {
             for (int i = 0; i < attempts.size(); i++) {
                 if (attempts.get(i).server() == server) {
                     return true;
@@ -134,51 +134,51 @@
         }
 
         /** The first attempt that may have run or may yet run, or null. */
-        Attempt firstThatMayRun() {
-            int i = Long.numberOfTrailingZeros(~neverRan);
+        Attempt firstPossiblyExecuted() {
+            int i = Long.numberOfTrailingZeros(~notExecutedAttempts);
             return i < attempts.size() ? attempts.get(i) : null;
         }
     }
 
     /** A class as this gateway has seen it. */
-    final class Kind {
+    final class ClassState {
         RequestClass spec;
-        double latency;
-        double calmest;
+        double meanLatency;
+        double minMeanLatency;
         long served;
-        long usualTimeOut;
-        int votes;
-        boolean failsEverywhere;
+        long usualTimeoutNanos;
+        int timeoutVotes;
+        boolean failsOnAllServers;
         /** Its requests of about the last minute, and how many of them went to a server. */
-        double asked;
+        double recentArrivals;
 
-        double sent;
+        double recentSends;
 
-        Kind(RequestClass spec, double firstLatency) {
+        ClassState(RequestClass spec, double firstLatency) {
             this.spec = spec;
-            latency = firstLatency;
+            meanLatency = firstLatency;
         }
     }
 
     /** A tenant's part of its share at this gateway, and what of it is left. */
-    record Quota(double perSecond, Bucket bucket) {}
+    record Quota(double perSecond, TokenBucket bucket) {}
 
     /** What another gateway last said that it has out, and when. */
-    record Heard(long at, Map<Server, Integer> counts) {}
+    record PeerReport(long receivedAt, Map<Server, Integer> counts) {}
 
     /** Tokens that come at a rate up to a most. */
-    final class Bucket {
+    final class TokenBucket {
         double tokens;
-        private long at;
+        private long refilledAt;
 
-        Bucket(double tokens, long now) {
+        TokenBucket(double tokens, long now) {
             this.tokens = tokens;
-            at = now;
+            refilledAt = now;
         }
 
         double refill(long now, double perNano, double most) {
-            tokens = Math.min(most, tokens + (now - at) * perNano);
-            at = now;
+            tokens = Math.min(most, tokens + (now - refilledAt) * perNano);
+            refilledAt = now;
             return tokens;
         }
 
--- a/src/test/java/tinworks/policy/TryBudgetTest.java
+++ b/src/test/java/tinworks/policy/AttemptLimitTest.java
@@ -35,10 +35,10 @@
 import tinworks.policy.LoadBalancerApi.Settings;
 import tinworks.policy.LoadBalancerApi.ShutdownStarted;
 import tinworks.policy.LoadBalancerApi.TimerFired;
-import tinworks.policy.State.Request;
+import tinworks.policy.LoadBalancerState.Request;
 
 /** A request's tries, however its attempts end and whatever hosts and versions do meanwhile. */
-class TryBudgetTest {
+class AttemptLimitTest {
     private static final String SEED = "20261202";
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
@@ -276,7 +276,7 @@
 
         @Override
         void restrict(Request request, RequestClass version) {
-            request.tries = version.maxAttempts();
+            request.maxAttempts = version.maxAttempts();
             request.strictest = version;
         }
     }
--- a/src/test/java/tinworks/policy/SystemRulesTest.java
+++ b/src/test/java/tinworks/policy/EdgeSettingsTest.java
@@ -25,7 +25,7 @@
 import tinworks.policy.LoadBalancerApi.TimerFired;
 
 /** What the decision module does for the system beyond what the earlier protocol asks. */
-class SystemRulesTest {
+class EdgeSettingsTest {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
     private static final long TIMEOUT = 1_200 * MS;
--- a/src/test/java/tinworks/policy/Fleet.java
+++ b/src/test/java/tinworks/policy/GatewayFixture.java
@@ -20,36 +20,36 @@
 import tinworks.policy.LoadBalancerApi.TimerFired;
 
 /** A gateway under test: its module, its recorder, and short ways to say what happens. */
-final class Fleet {
+final class GatewayFixture {
     static final long MS = 1_000_000L;
     static final long SECOND = 1_000 * MS;
-    static final long WARM_UP = 20 * SECOND;
-    static final long STEP = 1;
+    static final long SLOW_START = 20 * SECOND;
+    static final long TICK = 1;
     static final long SWEEP = 2;
-    static final long ASK = 3;
+    static final long RESUBSCRIBE = 3;
     static final RequestClass READ =
             new RequestClass("read", Idempotency.SAFE, DedupScope.ALL, 0, 500 * MS, 2 * SECOND, 1, 0.5, false);
     static final RequestClass ORDER =
             new RequestClass("order", Idempotency.UNSAFE, DedupScope.ALL, 0, 500 * MS, 2 * SECOND, 5, 0, false);
     static final RequestClass FILE =
             new RequestClass("file", Idempotency.KEYED, DedupScope.ZONE, 5 * SECOND, 500 * MS, 2 * SECOND, 2, 0, false);
-    static final Permissions ALL_ALLOWED = new Permissions(4, true, true);
-    static final PolicyParameters RULES =
-            new PolicyParameters(20 * MS, 250 * MS, 10 * SECOND, 0.2, WARM_UP, 2.5, 1500 * MS);
+    static final Permissions ALL_PERMISSIONS = new Permissions(4, true, true);
+    static final PolicyParameters PARAMETERS =
+            new PolicyParameters(20 * MS, 250 * MS, 10 * SECOND, 0.2, SLOW_START, 2.5, 1500 * MS);
 
-    final Recorder host = new Recorder();
-    final LoadBalancer choice;
+    final Recorder recorder = new Recorder();
+    final LoadBalancer loadBalancer;
     long now = 100 * SECOND;
-    private final RequestClass main;
+    private final RequestClass firstClass;
     private int requests;
 
-    Fleet() {
+    GatewayFixture() {
         this(settings(false), 7);
     }
 
-    Fleet(Settings settings, long seed) {
-        choice = new LoadBalancer(settings, seed, host);
-        main = settings.classes().get(0);
+    GatewayFixture(Settings settings, long seed) {
+        loadBalancer = new LoadBalancer(settings, seed, recorder);
+        firstClass = settings.classes().get(0);
     }
 
     static Settings settings(boolean subscribe) {
@@ -57,7 +57,7 @@
     }
 
     static Settings settings(boolean subscribe, int gateways, List<Tenant> tenants, List<RequestClass> classes) {
-        return new Settings(gateways, 0, "a", subscribe, 5 * MS, classes, tenants, 0.1, ALL_ALLOWED, RULES);
+        return new Settings(gateways, 0, "a", subscribe, 5 * MS, classes, tenants, 0.1, ALL_PERMISSIONS, PARAMETERS);
     }
 
     static ServerInfo server(String id, String zone, Readiness readiness, long startedAt) {
@@ -69,12 +69,12 @@
     }
 
     /** Servers s0, s1 and so on, warm, in the gateway's zone. */
-    Fleet with(int servers) {
-        return with(servers, "a");
+    GatewayFixture withServers(int servers) {
+        return withServers(servers, "a");
     }
 
     /** The same, in the gateway's zone and another by turns. */
-    Fleet with(int servers, String otherZone) {
+    GatewayFixture withServers(int servers, String otherZone) {
         List<ServerInfo> list = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             list.add(server("s" + i, i % 2 == 0 ? "a" : otherZone, Readiness.READY, 0));
@@ -84,7 +84,7 @@
     }
 
     void list(ServerListKind kind, List<ServerInfo> servers) {
-        choice.onEvent(now, new ServerListReceived(kind, servers));
+        loadBalancer.onEvent(now, new ServerListReceived(kind, servers));
     }
 
     void list(ServerListKind kind, ServerInfo... servers) {
@@ -92,31 +92,31 @@
     }
 
     /** A request of the class; its id. */
-    String ask(RequestClass c) {
-        return ask(c, null, c.deadlineNanos());
+    String request(RequestClass c) {
+        return request(c, null, c.deadlineNanos());
     }
 
-    String ask(RequestClass c, String tenant, long expiresIn) {
+    String request(RequestClass c, String tenant, long expiresIn) {
         String id = "r" + requests++;
-        choice.onEvent(now, new RequestArrived(id, c.name(), tenant, null, expiresIn, 0, false));
+        loadBalancer.onEvent(now, new RequestArrived(id, c.name(), tenant, null, expiresIn, 0, false));
         return id;
     }
 
-    void end(String id, int attempt, String server, Outcome outcome, long elapsed) {
-        end(id, attempt, server, outcome, elapsed, outcome == Outcome.SERVED);
+    void endAttempt(String id, int attempt, String server, Outcome outcome, long elapsed) {
+        endAttempt(id, attempt, server, outcome, elapsed, outcome == Outcome.SERVED);
     }
 
-    void end(String id, int attempt, String server, Outcome outcome, long elapsed, boolean concluded) {
-        choice.onEvent(now, new AttemptEnded(id, attempt, server, outcome, elapsed, concluded, null));
+    void endAttempt(String id, int attempt, String server, Outcome outcome, long elapsed, boolean concluded) {
+        loadBalancer.onEvent(now, new AttemptEnded(id, attempt, server, outcome, elapsed, concluded, null));
     }
 
-    void fire(long token) {
-        choice.onEvent(now, new TimerFired(token));
+    void fireTimer(long token) {
+        loadBalancer.onEvent(now, new TimerFired(token));
     }
 
     /** The server that the only send since the last look went to, or null. */
     String sentTo() {
-        List<Recorder.Action> sends = host.take("send");
+        List<Recorder.Action> sends = recorder.take("send");
         if (sends.size() > 1) {
             throw new AssertionError("more than one send: " + sends);
         }
@@ -124,62 +124,62 @@
     }
 
     /** Asks and answers at once; the server that served. */
-    String serve(RequestClass c, Outcome outcome, long elapsed) {
-        return serve(c, outcome, elapsed, outcome == Outcome.SERVED);
+    String requestAndAnswer(RequestClass c, Outcome outcome, long elapsed) {
+        return requestAndAnswer(c, outcome, elapsed, outcome == Outcome.SERVED);
     }
 
-    String serve(RequestClass c, Outcome outcome, long elapsed, boolean concluded) {
-        String id = ask(c);
+    String requestAndAnswer(RequestClass c, Outcome outcome, long elapsed, boolean concluded) {
+        String id = request(c);
         String server = sentTo();
         if (server != null) {
-            end(id, 0, server, outcome, elapsed, concluded);
-            host.take();
+            endAttempt(id, 0, server, outcome, elapsed, concluded);
+            recorder.take();
         }
         return server;
     }
 
     /** How many of so many requests go out when none is answered. */
-    int sentOf(RequestClass c, int n) {
+    int countSent(RequestClass c, int n) {
         int out = 0;
         for (int i = 0; i < n; i++) {
-            ask(c);
+            request(c);
             out += sentTo() == null ? 0 : 1;
         }
         return out;
     }
 
     /** Asks all at once and answers each when it is out. */
-    void serveTogether(RequestClass c, int n, long elapsed) {
+    void serveConcurrently(RequestClass c, int n, long elapsed) {
         for (int i = 0; i < n; i++) {
-            ask(c);
+            request(c);
         }
-        answerAll(elapsed);
+        answerAllSent(elapsed);
     }
 
     /** Answers each request when it is out, until none is; the requests in the order in which they went out. */
-    List<String> answerAll(long elapsed) {
+    List<String> answerAllSent(long elapsed) {
         List<String> sent = new ArrayList<>();
-        for (List<Recorder.Action> out = host.take("send"); !out.isEmpty(); out = host.take("send")) {
+        for (List<Recorder.Action> out = recorder.take("send"); !out.isEmpty(); out = recorder.take("send")) {
             for (Recorder.Action a : out) {
                 sent.add(a.id());
-                end(a.id(), 0, a.server(), Outcome.SERVED, elapsed);
+                endAttempt(a.id(), 0, a.server(), Outcome.SERVED, elapsed);
             }
         }
         return sent;
     }
 
     /** How many requests go out before the next is held; all are called back afterwards. */
-    int inFlightAtMost() {
+    int maxInFlight() {
         List<Recorder.Action> out = new ArrayList<>();
         List<String> asked = new ArrayList<>();
         for (List<Recorder.Action> sends = null; sends == null || !sends.isEmpty(); ) {
-            asked.add(ask(main));
-            sends = host.take("send");
+            asked.add(request(firstClass));
+            sends = recorder.take("send");
             out.addAll(sends);
         }
-        asked.forEach(id -> choice.onEvent(now, new ClientDisconnected(id)));
-        out.forEach(a -> end(a.id(), 0, a.server(), Outcome.NOT_SENT, 0, true));
-        host.take();
+        asked.forEach(id -> loadBalancer.onEvent(now, new ClientDisconnected(id)));
+        out.forEach(a -> endAttempt(a.id(), 0, a.server(), Outcome.NOT_SENT, 0, true));
+        recorder.take();
         return out.size();
     }
 }
--- a/src/test/java/tinworks/policy/ChoiceTest.java
+++ b/src/test/java/tinworks/policy/LoadBalancerTest.java
@@ -5,16 +5,16 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static tinworks.policy.Fleet.ASK;
-import static tinworks.policy.Fleet.FILE;
-import static tinworks.policy.Fleet.MS;
-import static tinworks.policy.Fleet.ORDER;
-import static tinworks.policy.Fleet.READ;
-import static tinworks.policy.Fleet.SECOND;
-import static tinworks.policy.Fleet.STEP;
-import static tinworks.policy.Fleet.SWEEP;
-import static tinworks.policy.Fleet.server;
-import static tinworks.policy.Fleet.settings;
+import static tinworks.policy.GatewayFixture.FILE;
+import static tinworks.policy.GatewayFixture.MS;
+import static tinworks.policy.GatewayFixture.ORDER;
+import static tinworks.policy.GatewayFixture.READ;
+import static tinworks.policy.GatewayFixture.RESUBSCRIBE;
+import static tinworks.policy.GatewayFixture.SECOND;
+import static tinworks.policy.GatewayFixture.SWEEP;
+import static tinworks.policy.GatewayFixture.TICK;
+import static tinworks.policy.GatewayFixture.server;
+import static tinworks.policy.GatewayFixture.settings;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -38,24 +38,24 @@
 import tinworks.policy.LoadBalancerApi.TimerFired;
 
 /** The decisions of one gateway, event by event. */
-class ChoiceTest {
+class LoadBalancerTest {
     private static final int DRAWS = 6000;
 
     /** How often each of the servers is drawn when every answer comes at once. */
-    private static Map<String, Integer> draws(Fleet fleet, int n) {
+    private static Map<String, Integer> draws(GatewayFixture fleet, int n) {
         Map<String, Integer> counts = new HashMap<>();
         for (int i = 0; i < n; i++) {
-            counts.merge(fleet.serve(READ, Outcome.SERVED, 10 * MS), 1, Integer::sum);
+            counts.merge(fleet.requestAndAnswer(READ, Outcome.SERVED, 10 * MS), 1, Integer::sum);
         }
         return counts;
     }
 
     /** One tick in which the servers' answers take the given times, so many for each. */
-    private static void tick(Fleet fleet, int each, long... elapsed) {
+    private static void tick(GatewayFixture fleet, int each, long... elapsed) {
         int[] left = new int[elapsed.length];
         java.util.Arrays.fill(left, each);
         for (int n = 0; n < each * elapsed.length; ) {
-            String id = fleet.ask(READ);
+            String id = fleet.request(READ);
             String s = fleet.sentTo();
             if (s == null) {
                 continue; // shed
@@ -63,10 +63,10 @@
             int i = Integer.parseInt(s.substring(1));
             boolean counted = left[i]-- > 0;
             n += counted ? 1 : 0;
-            fleet.end(id, 0, s, counted ? Outcome.SERVED : Outcome.NOT_SENT, elapsed[i], true);
+            fleet.endAttempt(id, 0, s, counted ? Outcome.SERVED : Outcome.NOT_SENT, elapsed[i], true);
         }
-        fleet.fire(STEP);
-        fleet.host.take();
+        fleet.fireTimer(TICK);
+        fleet.recorder.take();
     }
 
     private static void assertPart(double expected, Map<String, Integer> counts, String server) {
@@ -76,7 +76,7 @@
 
     @Test
     void drawsFollowEqualSharesAtStart() {
-        Map<String, Integer> counts = draws(new Fleet().with(4), DRAWS);
+        Map<String, Integer> counts = draws(new GatewayFixture().withServers(4), DRAWS);
         for (int i = 0; i < 4; i++) {
             assertPart(0.25, counts, "s" + i);
         }
@@ -84,7 +84,7 @@
 
     @Test
     void aStepMovesSharesAsThePaperSays() {
-        Fleet fleet = new Fleet().with(2);
+        GatewayFixture fleet = new GatewayFixture().withServers(2);
         // l = 30 and 10, l_mean = 20, l^ = 0.5: with many samples 0.5 * 0.9 and 0.5 * 1.1 a step.
         for (int i = 0; i < 5; i++) {
             tick(fleet, 400, 30 * MS, 10 * MS);
@@ -97,25 +97,25 @@
 
     @Test
     void aServerWithoutSamplesKeepsItsShare() {
-        Fleet fleet = new Fleet().with(2);
-        fleet.fire(STEP);
-        fleet.fire(STEP);
+        GatewayFixture fleet = new GatewayFixture().withServers(2);
+        fleet.fireTimer(TICK);
+        fleet.fireTimer(TICK);
         assertPart(0.5, draws(fleet, DRAWS), "s0");
     }
 
     @Test
     void aSingleServerAndAMeanOfZeroKeepAllShares() {
-        Fleet one = new Fleet().with(1);
+        GatewayFixture one = new GatewayFixture().withServers(1);
         tick(one, 5, 10 * MS);
-        assertEquals("s0", one.serve(READ, Outcome.SERVED, MS));
-        Fleet zero = new Fleet().with(2);
+        assertEquals("s0", one.requestAndAnswer(READ, Outcome.SERVED, MS));
+        GatewayFixture zero = new GatewayFixture().withServers(2);
         tick(zero, 5, 0, 0);
         assertPart(0.5, draws(zero, DRAWS), "s0");
     }
 
     @Test
     void aFactorThatWouldTurnNegativeOnlyHalvesAndTheShareComesBack() {
-        Fleet fleet = new Fleet().with(8);
+        GatewayFixture fleet = new GatewayFixture().withServers(8);
         long[] elapsed = {2000 * MS, MS, MS, MS, MS, MS, MS, MS};
         tick(fleet, 50, elapsed); // l^ = 7 there: 1 - 0.2 * 7 is below zero
         double others = 1 + 0.2 * 0.98;
@@ -127,13 +127,14 @@
     void classesOfUnlikeLengthDontPassForSlowServers() {
         RequestClass brief =
                 new RequestClass("brief", Idempotency.SAFE, DedupScope.ALL, 0, 500 * MS, SECOND, 1, 0, false);
-        Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(READ, brief)), 7).with(2);
+        GatewayFixture fleet =
+                new GatewayFixture(settings(false, 1, List.of(), List.of(READ, brief)), 7).withServers(2);
         for (int t = 0; t < 6; t++) {
             for (int i = 0; i < 400; i++) { // s0 happens to get only long work, s1 only brief
                 RequestClass c = i % 2 == 0 ? READ : brief;
-                String id = fleet.ask(c);
+                String id = fleet.request(c);
                 boolean fits = fleet.sentTo().equals(c.equals(READ) ? "s0" : "s1");
-                fleet.end(
+                fleet.endAttempt(
                         id,
                         0,
                         c.equals(READ) == fits ? "s0" : "s1",
@@ -141,28 +142,28 @@
                         c.equals(READ) ? 80 * MS : 8 * MS,
                         true);
             }
-            fleet.fire(STEP);
-            fleet.host.take();
+            fleet.fireTimer(TICK);
+            fleet.recorder.take();
         }
         assertPart(0.5, draws(fleet, DRAWS), "s0");
     }
 
     @Test
     void aClassWhoseAnswersAllTookLongerThanItsAimIsTriedAgain() {
-        Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(ORDER)), 7).with(4);
+        GatewayFixture fleet = new GatewayFixture(settings(false, 1, List.of(), List.of(ORDER)), 7).withServers(4);
         for (int i = 0; i < 400; i++) {
-            fleet.serve(ORDER, Outcome.SERVED, 800 * MS);
+            fleet.requestAndAnswer(ORDER, Outcome.SERVED, 800 * MS);
             fleet.now += 5 * MS;
         }
-        fleet.fire(SWEEP);
-        fleet.host.take();
+        fleet.fireTimer(SWEEP);
+        fleet.recorder.take();
         for (int i = 0; i < 2000; i++) { // calm again
-            fleet.serve(ORDER, Outcome.SERVED, 10 * MS);
+            fleet.requestAndAnswer(ORDER, Outcome.SERVED, 10 * MS);
             fleet.now += 5 * MS;
         }
         int served = 0;
         for (int i = 0; i < 100; i++) {
-            served += fleet.serve(ORDER, Outcome.SERVED, 10 * MS) == null ? 0 : 1;
+            served += fleet.requestAndAnswer(ORDER, Outcome.SERVED, 10 * MS) == null ? 0 : 1;
             fleet.now += 5 * MS;
         }
         assertEquals(100, served);
@@ -170,24 +171,24 @@
 
     @Test
     void requestsStayInTheirZoneUntilMostOfItsAnswersTakeHalfTheirAim() {
-        Fleet fleet = new Fleet().with(4, "b"); // s1 and s3 lie in the other zone
+        GatewayFixture fleet = new GatewayFixture().withServers(4, "b"); // s1 and s3 lie in the other zone
         assertEquals(Set.of("s0", "s2"), draws(fleet, 200).keySet());
         for (int i = 0; i < 12; i++) {
-            fleet.serve(READ, Outcome.SERVED, 260 * MS);
+            fleet.requestAndAnswer(READ, Outcome.SERVED, 260 * MS);
         }
         assertTrue(draws(fleet, 12).keySet().size() > 2);
     }
 
     @Test
     void whereTheOwnZoneHasNoServerTheOthersGetAll() {
-        Fleet fleet = new Fleet();
+        GatewayFixture fleet = new GatewayFixture();
         fleet.list(ServerListKind.CACHED, server("s0", "b", Readiness.READY, 0), server("s1", "c", Readiness.READY, 0));
         assertPart(0.5, draws(fleet, DRAWS), "s0");
     }
 
     @Test
     void nothingNewGoesToADrainingOrGoneServer() {
-        Fleet fleet = new Fleet().with(3);
+        GatewayFixture fleet = new GatewayFixture().withServers(3);
         fleet.list(
                 ServerListKind.CHANGES,
                 server("s0", "a", Readiness.DRAINING, 0),
@@ -197,7 +198,7 @@
 
     @Test
     void aServerMissingFromAWholeListIsGoneAndOneMissingFromChangesIsNot() {
-        Fleet fleet = new Fleet().with(2);
+        GatewayFixture fleet = new GatewayFixture().withServers(2);
         fleet.list(ServerListKind.CHANGES, server("s2"));
         assertEquals(Set.of("s0", "s1", "s2"), draws(fleet, 100).keySet());
         fleet.list(ServerListKind.FULL, server("s2"));
@@ -206,7 +207,7 @@
 
     @Test
     void aServerThatComesBackIntoTheListStartsAfresh() {
-        Fleet fleet = new Fleet().with(2);
+        GatewayFixture fleet = new GatewayFixture().withServers(2);
         for (int i = 0; i < 4; i++) {
             tick(fleet, 20, 10 * MS, 90 * MS);
         }
@@ -217,27 +218,27 @@
 
     @Test
     void anEmptyListHoldsRequestsAndAnswersThemInTime() {
-        Fleet fleet = new Fleet().with(0);
-        String id = fleet.ask(ORDER);
+        GatewayFixture fleet = new GatewayFixture().withServers(0);
+        String id = fleet.request(ORDER);
         assertNull(fleet.sentTo());
         fleet.now += 600 * MS; // past the aim, and late answers are worth nothing
-        fleet.fire(SWEEP);
-        assertEquals(id, fleet.host.take("refuse").get(0).id());
+        fleet.fireTimer(SWEEP);
+        assertEquals(id, fleet.recorder.take("refuse").get(0).id());
     }
 
     @Test
     void aHeldRequestGoesOutWhenAServerAppears() {
-        Fleet fleet = new Fleet().with(0);
-        fleet.ask(ORDER);
+        GatewayFixture fleet = new GatewayFixture().withServers(0);
+        fleet.request(ORDER);
         fleet.list(ServerListKind.CHANGES, server("s9"));
         assertEquals("s9", fleet.sentTo());
     }
 
     @Test
     void aRequestWithLessTimeThanTheNextSweepIsAnsweredAtOnce() {
-        Fleet fleet = new Fleet().with(0);
-        String id = fleet.ask(READ, null, 4 * MS);
-        assertEquals(id, fleet.host.take("refuse").get(0).id());
+        GatewayFixture fleet = new GatewayFixture().withServers(0);
+        String id = fleet.request(READ, null, 4 * MS);
+        assertEquals(id, fleet.recorder.take("refuse").get(0).id());
     }
 
     @Test
@@ -246,13 +247,13 @@
             if (outcome == Outcome.SERVED) {
                 continue;
             }
-            Fleet fleet = new Fleet().with(3);
-            String id = fleet.ask(ORDER);
+            GatewayFixture fleet = new GatewayFixture().withServers(3);
+            String id = fleet.request(ORDER);
             String first = fleet.sentTo();
-            fleet.end(id, 0, first, outcome, MS);
-            List<Recorder.Action> after = fleet.host.take();
-            boolean sent = after.stream().anyMatch(a -> a.what().equals("send"));
-            boolean failed = after.stream().anyMatch(a -> a.what().equals("fail"));
+            fleet.endAttempt(id, 0, first, outcome, MS);
+            List<Recorder.Action> after = fleet.recorder.take();
+            boolean sent = after.stream().anyMatch(a -> a.type().equals("send"));
+            boolean failed = after.stream().anyMatch(a -> a.type().equals("fail"));
             assertEquals(outcome.provesNotExecuted(), sent, outcome.toString());
             assertEquals(!outcome.provesNotExecuted(), failed, outcome.toString());
         }
@@ -261,102 +262,102 @@
     @Test
     void aKeyedRequestThatMayHaveRunStaysInItsGroupAndWindow() {
         for (int i = 0; i < 20; i++) {
-            Fleet fleet = new Fleet(settings(false), i).with(6, "b");
-            String id = fleet.ask(FILE);
+            GatewayFixture fleet = new GatewayFixture(settings(false), i).withServers(6, "b");
+            String id = fleet.request(FILE);
             String first = fleet.sentTo();
-            fleet.end(id, 0, first, Outcome.ERROR, MS);
+            fleet.endAttempt(id, 0, first, Outcome.ERROR, MS);
             String second = fleet.sentTo();
             assertNotEquals(first, second);
             assertEquals(Integer.parseInt(first.substring(1)) % 2, Integer.parseInt(second.substring(1)) % 2);
         }
         RequestClass brief =
                 new RequestClass("brief", Idempotency.KEYED, DedupScope.ALL, 50 * MS, 500 * MS, SECOND, 1, 0, false);
-        Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(brief)), 7).with(6);
-        String id = fleet.ask(brief);
+        GatewayFixture fleet = new GatewayFixture(settings(false, 1, List.of(), List.of(brief)), 7).withServers(6);
+        String id = fleet.request(brief);
         String first = fleet.sentTo();
         fleet.now += 60 * MS;
-        fleet.end(id, 0, first, Outcome.ERROR, 60 * MS);
+        fleet.endAttempt(id, 0, first, Outcome.ERROR, 60 * MS);
         assertNull(fleet.sentTo(), "the window has passed");
     }
 
     @Test
     void aKeyedRequestOfOneZoneThatMayHaveRunIsFailedAndNotRefused() {
-        Fleet fleet = new Fleet();
+        GatewayFixture fleet = new GatewayFixture();
         fleet.list(ServerListKind.CACHED, server("s0"), server("s1", "b", Readiness.READY, 0));
-        String id = fleet.ask(FILE);
-        fleet.end(id, 0, fleet.sentTo(), Outcome.ERROR, MS);
+        String id = fleet.request(FILE);
+        fleet.endAttempt(id, 0, fleet.sentTo(), Outcome.ERROR, MS);
         fleet.now += 1990 * MS;
-        fleet.fire(SWEEP);
-        List<Recorder.Action> actions = fleet.host.take();
-        assertTrue(actions.stream().anyMatch(a -> a.what().equals("fail") && a.id().equals(id)), actions::toString);
+        fleet.fireTimer(SWEEP);
+        List<Recorder.Action> actions = fleet.recorder.take();
+        assertTrue(actions.stream().anyMatch(a -> a.type().equals("fail") && a.id().equals(id)), actions::toString);
         assertTrue(actions.stream()
-                .noneMatch(a -> a.what().equals("refuse") || a.what().equals("send")));
+                .noneMatch(a -> a.type().equals("refuse") || a.type().equals("send")));
     }
 
     @Test
     void furtherTriesStopAtTheAllowedNumberAndNeverGoToTheSameServer() {
-        Fleet fleet = new Fleet().with(8);
-        String id = fleet.ask(READ);
+        GatewayFixture fleet = new GatewayFixture().withServers(8);
+        String id = fleet.request(READ);
         Set<String> tried = new HashSet<>();
         for (int attempt = 0; attempt < 4; attempt++) {
             String s = fleet.sentTo();
             assertTrue(tried.add(s), "tried twice: " + s);
-            fleet.end(id, attempt, s, Outcome.CONNECT_FAILED, MS);
+            fleet.endAttempt(id, attempt, s, Outcome.CONNECT_FAILED, MS);
         }
-        assertEquals(1, fleet.host.take("refuse").size());
+        assertEquals(1, fleet.recorder.take("refuse").size());
     }
 
     @Test
     void triesAfterFailuresStayWithinTheirBudget() {
-        Fleet fleet = new Fleet().with(8);
+        GatewayFixture fleet = new GatewayFixture().withServers(8);
         int sends = 0;
         for (int i = 0; i < 500; i++) {
-            String id = fleet.ask(READ);
+            String id = fleet.request(READ);
             for (int attempt = 0; attempt < 4; attempt++) {
                 String s = fleet.sentTo();
                 if (s == null) {
                     break;
                 }
                 sends++;
-                fleet.end(id, attempt, s, Outcome.ERROR, MS);
+                fleet.endAttempt(id, attempt, s, Outcome.ERROR, MS);
             }
-            fleet.host.take();
+            fleet.recorder.take();
         }
         assertTrue(sends <= 500 + 50 + 10, "sends: " + sends);
     }
 
     @Test
     void anAnswerAfterTheRequestEndedIsPassedOver() {
-        Fleet fleet = new Fleet().with(2);
-        String id = fleet.ask(READ);
+        GatewayFixture fleet = new GatewayFixture().withServers(2);
+        String id = fleet.request(READ);
         String s = fleet.sentTo();
-        fleet.end(id, 0, s, Outcome.SERVED, MS);
-        fleet.host.take();
-        fleet.end(id, 0, s, Outcome.SERVED, MS);
-        fleet.choice.onEvent(fleet.now, new ClientDisconnected(id));
-        assertEquals(List.of(), fleet.host.take());
+        fleet.endAttempt(id, 0, s, Outcome.SERVED, MS);
+        fleet.recorder.take();
+        fleet.endAttempt(id, 0, s, Outcome.SERVED, MS);
+        fleet.loadBalancer.onEvent(fleet.now, new ClientDisconnected(id));
+        assertEquals(List.of(), fleet.recorder.take());
     }
 
     @Test
     void afterTheClientLeftNothingGoesOutAndTheAttemptIsCalledOff() {
-        Fleet fleet = new Fleet().with(2);
-        String id = fleet.ask(READ);
+        GatewayFixture fleet = new GatewayFixture().withServers(2);
+        String id = fleet.request(READ);
         String s = fleet.sentTo();
-        fleet.choice.onEvent(fleet.now, new ClientDisconnected(id));
-        assertEquals(1, fleet.host.take("cancel").size());
-        fleet.end(id, 0, s, Outcome.CANCELLED, MS, true);
-        assertEquals(List.of(), fleet.host.take());
+        fleet.loadBalancer.onEvent(fleet.now, new ClientDisconnected(id));
+        assertEquals(1, fleet.recorder.take("cancel").size());
+        fleet.endAttempt(id, 0, s, Outcome.CANCELLED, MS, true);
+        assertEquals(List.of(), fleet.recorder.take());
     }
 
     @Test
     void aRepeatWhoseAimPassedWithItsFirstTryWaitsBehindFreshRequests() {
-        Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(READ)), 7).with(1);
+        GatewayFixture fleet = new GatewayFixture(settings(false, 1, List.of(), List.of(READ)), 7).withServers(1);
         for (int i = 0; i < 30; i++) {
-            fleet.ask(READ, null, 1500 * MS);
+            fleet.request(READ, null, 1500 * MS);
         }
-        String fresh = fleet.ask(READ, null, 1501 * MS);
-        String repeat = fleet.ask(READ, null, 1200 * MS);
-        List<String> sent = fleet.answerAll(100 * MS);
+        String fresh = fleet.request(READ, null, 1501 * MS);
+        String repeat = fleet.request(READ, null, 1200 * MS);
+        List<String> sent = fleet.answerAllSent(100 * MS);
         assertEquals(32, sent.size());
         assertTrue(sent.indexOf(fresh) < sent.indexOf(repeat));
         assertEquals(repeat, sent.get(31), "800 ms of 2 s are gone, the aim is 500 ms");
@@ -364,36 +365,36 @@
 
     @Test
     void clientsOfManyTimeOutsDontPassForRepeats() {
-        Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(READ)), 7).with(1);
+        GatewayFixture fleet = new GatewayFixture(settings(false, 1, List.of(), List.of(READ)), 7).withServers(1);
         for (int i = 0; i < 30; i++) {
-            fleet.ask(READ, null, (1000 + 100 * (i % 7)) * MS);
+            fleet.request(READ, null, (1000 + 100 * (i % 7)) * MS);
         }
-        String last = fleet.ask(READ, null, 1200 * MS);
-        assertEquals(1, fleet.answerAll(100 * MS).indexOf(last), "the newest is the first after the one in flight");
+        String last = fleet.request(READ, null, 1200 * MS);
+        assertEquals(1, fleet.answerAllSent(100 * MS).indexOf(last), "the newest is the first after the one in flight");
     }
 
     @Test
     void aStreamThatBeganIsLeftAlone() {
-        Fleet fleet = new Fleet().with(3);
-        String id = fleet.ask(READ);
-        fleet.choice.onEvent(fleet.now, new StreamStarted(id, 0, fleet.sentTo()));
+        GatewayFixture fleet = new GatewayFixture().withServers(3);
+        String id = fleet.request(READ);
+        fleet.loadBalancer.onEvent(fleet.now, new StreamStarted(id, 0, fleet.sentTo()));
         fleet.now += 5 * SECOND;
-        fleet.fire(SWEEP);
-        assertTrue(fleet.host.take().stream()
-                .noneMatch(a -> Set.of("send", "cancel", "fail", "refuse").contains(a.what())));
+        fleet.fireTimer(SWEEP);
+        assertTrue(fleet.recorder.take().stream()
+                .noneMatch(a -> Set.of("send", "cancel", "fail", "refuse").contains(a.type())));
     }
 
     /** Servers whose early answers have let more than one attempt in flight at each. */
-    private static Fleet fastServers(int servers) {
-        Fleet fleet = new Fleet().with(servers);
-        fleet.serveTogether(READ, 50 * servers, 10 * MS);
-        fleet.host.take();
+    private static GatewayFixture fastServers(int servers) {
+        GatewayFixture fleet = new GatewayFixture().withServers(servers);
+        fleet.serveConcurrently(READ, 50 * servers, 10 * MS);
+        fleet.recorder.take();
         return fleet;
     }
 
     @Test
     void fastErrorsLoseTrafficAndWinItBackAfterRecovery() {
-        Fleet fleet = new Fleet().with(4);
+        GatewayFixture fleet = new GatewayFixture().withServers(4);
         int failed = 0;
         for (int i = 0; i < 200; i++) {
             failed += failsAtS0(fleet) ? 1 : 0;
@@ -404,12 +405,12 @@
     }
 
     /** Asks for an order that s0 answers with an error and all others serve; whether s0 got it. */
-    private static boolean failsAtS0(Fleet fleet) {
-        String id = fleet.ask(ORDER);
+    private static boolean failsAtS0(GatewayFixture fleet) {
+        String id = fleet.request(ORDER);
         String s = fleet.sentTo();
         boolean fails = s.equals("s0");
-        fleet.end(id, 0, s, fails ? Outcome.ERROR : Outcome.SERVED, MS);
-        fleet.host.take();
+        fleet.endAttempt(id, 0, s, fails ? Outcome.ERROR : Outcome.SERVED, MS);
+        fleet.recorder.take();
         return fails;
     }
 
@@ -421,7 +422,8 @@
 
     /** Requests that a failing server, known as such, gets from one of so many gateways. */
     private static int trials(int gateways, int seconds) {
-        Fleet fleet = new Fleet(settings(false, gateways, List.of(), List.of(ORDER)), 7).with(20);
+        GatewayFixture fleet =
+                new GatewayFixture(settings(false, gateways, List.of(), List.of(ORDER)), 7).withServers(20);
         int before = 0;
         int after = 0;
         for (int i = 0; i < 400 + 100 * seconds; i++) {
@@ -436,15 +438,17 @@
 
     @Test
     void aFullFleetDoesNotPourItsRestIntoADeadServer() {
-        Fleet fleet = new Fleet().with(3);
+        GatewayFixture fleet = new GatewayFixture().withServers(3);
         int toDead = 0;
         for (int i = 0; i < 200; i++) { // the others never answer, so all their room is taken
-            fleet.ask(READ);
-            for (List<Recorder.Action> out = fleet.host.take("send"); !out.isEmpty(); out = fleet.host.take("send")) {
+            fleet.request(READ);
+            for (List<Recorder.Action> out = fleet.recorder.take("send");
+                    !out.isEmpty();
+                    out = fleet.recorder.take("send")) {
                 for (Recorder.Action a : out) {
                     if (a.server().equals("s0")) {
                         toDead++;
-                        fleet.end(a.id(), 0, "s0", Outcome.CONNECT_FAILED, MS);
+                        fleet.endAttempt(a.id(), 0, "s0", Outcome.CONNECT_FAILED, MS);
                     }
                 }
             }
@@ -458,16 +462,17 @@
         RequestClass bulk =
                 new RequestClass("bulk", Idempotency.SAFE, DedupScope.ALL, 0, 500 * MS, SECOND, 1, 0, false);
         for (long elapsed : new long[] {200 * MS, 300 * MS}) {
-            Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(bulk, ORDER)), 7).with(9);
+            GatewayFixture fleet =
+                    new GatewayFixture(settings(false, 1, List.of(), List.of(bulk, ORDER)), 7).withServers(9);
             for (int i = 0; i < 5; i++) {
-                fleet.serve(i % 2 == 0 ? bulk : ORDER, Outcome.SERVED, elapsed);
+                fleet.requestAndAnswer(i % 2 == 0 ? bulk : ORDER, Outcome.SERVED, elapsed);
             }
-            fleet.fire(SWEEP);
+            fleet.fireTimer(SWEEP);
             int orders = 0;
             int bulks = 0;
             for (int i = 0; i < 300; i++) { // without an outcome that tells anything
-                orders += fleet.serve(ORDER, Outcome.NOT_SENT, MS, true) == null ? 0 : 1;
-                bulks += fleet.serve(bulk, Outcome.NOT_SENT, MS, true) == null ? 0 : 1;
+                orders += fleet.requestAndAnswer(ORDER, Outcome.NOT_SENT, MS, true) == null ? 0 : 1;
+                bulks += fleet.requestAndAnswer(bulk, Outcome.NOT_SENT, MS, true) == null ? 0 : 1;
             }
             boolean late = elapsed > ORDER.targetNanos() / 2;
             assertEquals(late, orders < 280, "orders " + orders);
@@ -486,16 +491,16 @@
 
     /** Of 200 requests, those to four of five servers, where one request in so many fails. */
     private static int toFourOfFive(int oneIn) {
-        Fleet fleet = new Fleet().with(5);
+        GatewayFixture fleet = new GatewayFixture().withServers(5);
         int sent = 0;
         for (int i = 0; i < 500; i++) {
-            String id = fleet.ask(ORDER);
+            String id = fleet.request(ORDER);
             String s = fleet.sentTo();
             boolean fails = !s.equals("s0") && i % oneIn == 0;
-            fleet.end(id, 0, s, fails ? Outcome.ERROR : Outcome.SERVED, MS);
+            fleet.endAttempt(id, 0, s, fails ? Outcome.ERROR : Outcome.SERVED, MS);
             fleet.now += 10 * MS;
-            fleet.fire(SWEEP);
-            fleet.host.take();
+            fleet.fireTimer(SWEEP);
+            fleet.recorder.take();
             sent += i >= 300 && !s.equals("s0") ? 1 : 0;
         }
         return sent;
@@ -503,83 +508,83 @@
 
     @Test
     void whereAllServersAreDoubtfulNoneIs() {
-        Fleet fleet = new Fleet().with(3);
+        GatewayFixture fleet = new GatewayFixture().withServers(3);
         for (int i = 0; i < 60; i++) {
-            fleet.serve(ORDER, Outcome.ERROR, MS);
-            fleet.fire(SWEEP);
-            fleet.host.take();
+            fleet.requestAndAnswer(ORDER, Outcome.ERROR, MS);
+            fleet.fireTimer(SWEEP);
+            fleet.recorder.take();
         }
         for (int i = 0; i < 20; i++) {
-            assertNotEquals(null, fleet.serve(ORDER, Outcome.SERVED, MS));
+            assertNotEquals(null, fleet.requestAndAnswer(ORDER, Outcome.SERVED, MS));
         }
     }
 
     @Test
     void aSilentServerIsLeftWellWithinATickAndComesBackWithItsFirstAnswer() {
-        Fleet fleet = fastServers(3);
+        GatewayFixture fleet = fastServers(3);
         Map<String, String> unanswered = new HashMap<>();
         for (int i = 0; i < 60; i++) {
-            String id = fleet.ask(ORDER); // no second copies
+            String id = fleet.request(ORDER); // no second copies
             String s = fleet.sentTo();
             if (s.equals("s0") && unanswered.size() < 3) {
                 unanswered.put(id, s);
             } else {
-                fleet.end(id, 0, s, Outcome.SERVED, 10 * MS);
+                fleet.endAttempt(id, 0, s, Outcome.SERVED, 10 * MS);
             }
         }
         fleet.now += 300 * MS;
-        fleet.fire(SWEEP);
-        List<Recorder.Action> logged = fleet.host.take("log");
+        fleet.fireTimer(SWEEP);
+        List<Recorder.Action> logged = fleet.recorder.take("log");
         assertEquals(1, logged.size());
         assertTrue(logged.get(0).id().startsWith("server s0 is silent"), logged::toString);
         assertEquals(Set.of("s1", "s2"), draws(fleet, 100).keySet());
-        unanswered.forEach((id, s) -> fleet.end(id, 0, s, Outcome.SERVED, 900 * MS));
+        unanswered.forEach((id, s) -> fleet.endAttempt(id, 0, s, Outcome.SERVED, 900 * MS));
         fleet.now += 2 * SECOND;
-        fleet.host.take();
+        fleet.recorder.take();
         assertTrue(draws(fleet, 200).containsKey("s0"));
     }
 
     @Test
     void oneOverdueAttemptMarksAServerThatThisGatewaySeldomMeets() {
-        Fleet fleet = new Fleet(settings(false, 20, List.of(), List.of(ORDER)), 7).with(40);
-        String first = fleet.ask(ORDER);
+        GatewayFixture fleet = new GatewayFixture(settings(false, 20, List.of(), List.of(ORDER)), 7).withServers(40);
+        String first = fleet.request(ORDER);
         String s = fleet.sentTo();
         fleet.now += 300 * MS;
-        fleet.fire(SWEEP);
-        assertEquals(1, fleet.host.take("log").size());
+        fleet.fireTimer(SWEEP);
+        assertEquals(1, fleet.recorder.take("log").size());
         fleet.now += 400 * MS;
-        fleet.end(first, 0, s, Outcome.SERVED, 700 * MS); // an answer past the aim is no sign of health
+        fleet.endAttempt(first, 0, s, Outcome.SERVED, 700 * MS); // an answer past the aim is no sign of health
         fleet.now += 500 * MS;
         for (int i = 0; i < 400; i++) {
-            assertNotEquals(s, fleet.serve(ORDER, Outcome.SERVED, 20 * MS));
+            assertNotEquals(s, fleet.requestAndAnswer(ORDER, Outcome.SERVED, 20 * MS));
         }
     }
 
     @Test
     void aRequestThatHasWaitedHalfItsAimIsRefusedWhereLateAnswersAreWorthNothing() {
-        Fleet fleet = new Fleet().with(0);
-        String id = fleet.ask(ORDER);
+        GatewayFixture fleet = new GatewayFixture().withServers(0);
+        String id = fleet.request(ORDER);
         fleet.now += ORDER.targetNanos() / 2 - 10 * MS;
-        fleet.fire(SWEEP);
-        assertEquals(List.of(), fleet.host.take("refuse"));
+        fleet.fireTimer(SWEEP);
+        assertEquals(List.of(), fleet.recorder.take("refuse"));
         fleet.now += 20 * MS;
-        fleet.fire(SWEEP);
-        assertEquals(id, fleet.host.take("refuse").get(0).id());
+        fleet.fireTimer(SWEEP);
+        assertEquals(id, fleet.recorder.take("refuse").get(0).id());
     }
 
     @Test
     void theFirstStepFallsOnAPhaseOfItsOwn() {
         Set<Long> phases = new HashSet<>();
         for (int seed = 0; seed < 20; seed++) {
-            Fleet fleet = new Fleet(settings(false), seed).with(1);
-            phases.add(fleet.host.take("setTimer").get(0).number());
+            GatewayFixture fleet = new GatewayFixture(settings(false), seed).withServers(1);
+            phases.add(fleet.recorder.take("setTimer").get(0).number());
         }
         assertEquals(20, phases.size());
     }
 
     @Test
     void serversWithoutASampleMoveWithTheirLikeWhereSamplesAreFew() {
-        Fleet fleet = new Fleet();
+        GatewayFixture fleet = new GatewayFixture();
         List<ServerInfo> list = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             list.add(new ServerInfo("s" + i, "a", i % 2 == 0 ? "slow" : "fast", 0, Readiness.READY, 1, 0));
@@ -587,13 +592,13 @@
         fleet.list(ServerListKind.CACHED, list);
         for (int t = 0; t < 30; t++) {
             for (int i = 0; i < 10; i++) { // a quarter of a sample for each server
-                String id = fleet.ask(READ);
+                String id = fleet.request(READ);
                 String s = fleet.sentTo();
                 long elapsed = Integer.parseInt(s.substring(1)) % 2 == 0 ? 60 * MS : 20 * MS;
-                fleet.end(id, 0, s, Outcome.SERVED, elapsed);
+                fleet.endAttempt(id, 0, s, Outcome.SERVED, elapsed);
             }
-            fleet.fire(STEP);
-            fleet.host.take();
+            fleet.fireTimer(TICK);
+            fleet.recorder.take();
         }
         Map<String, Integer> counts = draws(fleet, DRAWS);
         for (int i = 0; i < 40; i += 2) {
@@ -603,91 +608,91 @@
 
     @Test
     void inFlightIsBoundedWhenAnswersComeLateAndTheRestIsHeld() {
-        Fleet fleet = new Fleet().with(2);
-        int out = fleet.sentOf(READ, 100);
+        GatewayFixture fleet = new GatewayFixture().withServers(2);
+        int out = fleet.countSent(READ, 100);
         assertTrue(out >= 2 && out <= 20, "in flight: " + out);
     }
 
     @Test
     void limitsDontRiseWhileTheGatewayHasRoom() {
-        Fleet fleet = new Fleet().with(4);
+        GatewayFixture fleet = new GatewayFixture().withServers(4);
         draws(fleet, 400);
-        assertEquals(4, fleet.inFlightAtMost(), "one at each, as at the start");
+        assertEquals(4, fleet.maxInFlight(), "one at each, as at the start");
     }
 
     @Test
     void inFlightRisesWhileAnswersComeEarlyAndFallsWhenTheyComeLate() {
-        Fleet fleet = new Fleet().with(1);
-        assertEquals(1, fleet.inFlightAtMost());
+        GatewayFixture fleet = new GatewayFixture().withServers(1);
+        assertEquals(1, fleet.maxInFlight());
         for (int i = 0; i < 5; i++) {
-            fleet.serveTogether(READ, 10, 20 * MS);
+            fleet.serveConcurrently(READ, 10, 20 * MS);
         }
-        int early = fleet.inFlightAtMost();
+        int early = fleet.maxInFlight();
         assertTrue(early >= 5, "after early answers: " + early);
         for (int i = 0; i < 5; i++) {
-            fleet.serveTogether(READ, 10, 240 * MS);
+            fleet.serveConcurrently(READ, 10, 240 * MS);
         }
-        assertEquals(3, fleet.inFlightAtMost(), "the floor");
+        assertEquals(3, fleet.maxInFlight(), "the floor");
     }
 
     @Test
     void anAimThatIsShortForTheWorkDoesNotPinTheLimitToItsFloor() {
         RequestClass tight =
                 new RequestClass("tight", Idempotency.SAFE, DedupScope.ALL, 0, 200 * MS, SECOND, 1, 0, false);
-        Fleet fleet = new Fleet(settings(false, 1, List.of(), List.of(tight)), 7).with(1);
+        GatewayFixture fleet = new GatewayFixture(settings(false, 1, List.of(), List.of(tight)), 7).withServers(1);
         for (int i = 0; i < 14; i++) { // a fifth of the aim is 40 ms, the median at the calmest 0.69 * 80 ms
-            fleet.serveTogether(tight, 10, (i < 10 ? 80 : 50) * MS);
+            fleet.serveConcurrently(tight, 10, (i < 10 ? 80 : 50) * MS);
         }
-        assertTrue(fleet.inFlightAtMost() > 3);
+        assertTrue(fleet.maxInFlight() > 3);
     }
 
     @Test
     void aServerIsNotSilentWhereTheWholeFleetIsAsLate() {
-        Fleet fleet = new Fleet().with(4);
+        GatewayFixture fleet = new GatewayFixture().withServers(4);
         for (int i = 0; i < 4000; i++) {
-            fleet.serve(READ, Outcome.SERVED, 400 * MS);
+            fleet.requestAndAnswer(READ, Outcome.SERVED, 400 * MS);
         }
         for (int i = 0; i < 12; i++) {
-            fleet.ask(READ);
+            fleet.request(READ);
         }
         fleet.now += 350 * MS; // past half the aim, yet within what answers take now
-        fleet.fire(SWEEP);
-        assertTrue(fleet.host.take("log").isEmpty());
+        fleet.fireTimer(SWEEP);
+        assertTrue(fleet.recorder.take("log").isEmpty());
     }
 
     @Test
     void refusalsAreLoggedOnceATick() {
-        Fleet fleet = new Fleet().with(0);
-        fleet.ask(ORDER);
-        fleet.ask(ORDER);
+        GatewayFixture fleet = new GatewayFixture().withServers(0);
+        fleet.request(ORDER);
+        fleet.request(ORDER);
         fleet.now += ORDER.targetNanos();
-        fleet.fire(SWEEP);
-        assertEquals(2, fleet.host.take("refuse").size());
-        fleet.fire(STEP);
-        List<Recorder.Action> logged = fleet.host.take("log");
+        fleet.fireTimer(SWEEP);
+        assertEquals(2, fleet.recorder.take("refuse").size());
+        fleet.fireTimer(TICK);
+        List<Recorder.Action> logged = fleet.recorder.take("log");
         assertEquals(1, logged.size());
         assertEquals("refused 2 requests in this tick, 2 came", logged.get(0).id());
-        fleet.fire(STEP);
-        assertEquals(List.of(), fleet.host.take("log"));
+        fleet.fireTimer(TICK);
+        assertEquals(List.of(), fleet.recorder.take("log"));
     }
 
     @Test
     void manyGatewaysTogetherStayWithinWhatOneServerBears() {
-        Fleet fleet = new Fleet(settings(false, 20, List.of(), List.of(READ)), 7).with(40);
-        int out = fleet.sentOf(READ, 200);
+        GatewayFixture fleet = new GatewayFixture(settings(false, 20, List.of(), List.of(READ)), 7).withServers(40);
+        int out = fleet.countSent(READ, 200);
         assertTrue(out >= 2 && out <= 5, "a twentieth of 1 at each of 40 servers, and chance: " + out);
     }
 
     @Test
     void whatIsHeldGoesOutByWorthForWorkAndWithinSharesFirst() {
         Settings s = settings(false, 1, List.of(new Tenant("t", 1)), List.of(READ, ORDER));
-        Fleet fleet = new Fleet(s, 7).with(0);
-        fleet.ask(ORDER, "t", 2 * SECOND);
-        String over = fleet.ask(ORDER, "t", 2 * SECOND);
-        String read = fleet.ask(READ);
-        String order = fleet.ask(ORDER);
+        GatewayFixture fleet = new GatewayFixture(s, 7).withServers(0);
+        fleet.request(ORDER, "t", 2 * SECOND);
+        String over = fleet.request(ORDER, "t", 2 * SECOND);
+        String read = fleet.request(READ);
+        String order = fleet.request(ORDER);
         fleet.list(ServerListKind.CHANGES, server("s0"));
-        List<String> sent = fleet.answerAll(100 * MS);
+        List<String> sent = fleet.answerAllSent(100 * MS);
         assertEquals(4, sent.size());
         assertEquals(order, sent.get(0));
         assertTrue(sent.indexOf(read) < sent.indexOf(over), sent::toString);
@@ -695,11 +700,11 @@
 
     @Test
     void aColdServerGetsLittleAndRequestsWaitRatherThanTopplingIt() {
-        Fleet fleet = new Fleet();
+        GatewayFixture fleet = new GatewayFixture();
         fleet.list(ServerListKind.CACHED, server("s0", "a", Readiness.READY, fleet.now));
         int sent = 0;
         for (int i = 0; i < 300; i++) {
-            sent += fleet.serve(READ, Outcome.SERVED, MS) == null ? 0 : 1;
+            sent += fleet.requestAndAnswer(READ, Outcome.SERVED, MS) == null ? 0 : 1;
             fleet.now += 5 * MS;
         }
         // 200 a second come; 0.5 * 2.5 * 0.2 of that may go to it, rising a little as it warms
@@ -708,27 +713,27 @@
 
     @Test
     void aColdServerAmongWarmOnesStartsAtItsColdPart() {
-        Fleet fleet = new Fleet().with(3);
+        GatewayFixture fleet = new GatewayFixture().withServers(3);
         draws(fleet, 300);
         fleet.now += SECOND;
         fleet.list(ServerListKind.CHANGES, server("s9", "a", Readiness.READY, fleet.now));
         fleet.now += SECOND;
         int cold = draws(fleet, 300).getOrDefault("s9", 0);
-        fleet.now += 2 * Fleet.WARM_UP;
+        fleet.now += 2 * GatewayFixture.SLOW_START;
         int warm = draws(fleet, 300).getOrDefault("s9", 0);
         assertTrue(cold < warm / 2, cold + " cold, " + warm + " warm");
     }
 
     @Test
     void subscribesAtOnceAndAsksAgainAfterAFailure() {
-        Fleet fleet = new Fleet(settings(true), 7).with(1);
-        assertEquals(1, fleet.host.take("subscribe").size());
+        GatewayFixture fleet = new GatewayFixture(settings(true), 7).withServers(1);
+        assertEquals(1, fleet.recorder.take("subscribe").size());
         for (int i = 0; i < 12; i++) {
             fleet.list(ServerListKind.FAILED);
-            long wait = fleet.host.take("setTimer").get(0).number();
+            long wait = fleet.recorder.take("setTimer").get(0).number();
             assertTrue(wait > 0 && wait <= 5 * SECOND, "asked again after " + wait);
-            fleet.fire(ASK);
-            assertEquals(1, fleet.host.take("subscribe").size());
+            fleet.fireTimer(RESUBSCRIBE);
+            assertEquals(1, fleet.recorder.take("subscribe").size());
         }
     }
 
@@ -737,13 +742,13 @@
         IllegalArgumentException e =
                 assertThrows(IllegalArgumentException.class, () -> settings(false, 0, List.of(), List.of(READ)));
         assertEquals("settings: gateways can't be 0", e.getMessage());
-        Fleet fleet = new Fleet().with(1);
+        GatewayFixture fleet = new GatewayFixture().withServers(1);
         e = assertThrows(
                 IllegalArgumentException.class,
-                () -> fleet.choice.onEvent(
+                () -> fleet.loadBalancer.onEvent(
                         fleet.now, new RequestArrived("r", "unheard", null, null, SECOND, 0, false)));
         assertEquals("requestClass: unknown class unheard", e.getMessage());
-        e = assertThrows(IllegalArgumentException.class, () -> fleet.choice.onEvent(1, new TimerFired(STEP)));
+        e = assertThrows(IllegalArgumentException.class, () -> fleet.loadBalancer.onEvent(1, new TimerFired(TICK)));
         assertTrue(e.getMessage().startsWith("nowNanos: "), e.getMessage());
     }
 }
--- a/src/test/java/tinworks/policy/CrowdTest.java
+++ b/src/test/java/tinworks/policy/PeerReportTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static tinworks.policy.Fleet.MS;
-import static tinworks.policy.Fleet.READ;
-import static tinworks.policy.Fleet.SECOND;
-import static tinworks.policy.Fleet.SWEEP;
-import static tinworks.policy.Fleet.settings;
+import static tinworks.policy.GatewayFixture.MS;
+import static tinworks.policy.GatewayFixture.READ;
+import static tinworks.policy.GatewayFixture.SECOND;
+import static tinworks.policy.GatewayFixture.SWEEP;
+import static tinworks.policy.GatewayFixture.settings;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -18,10 +18,10 @@
 import tinworks.policy.LoadBalancerApi.Settings;
 
 /** What the gateways of a large fleet tell each other, and what they make of it. */
-class CrowdTest {
-    private static Fleet gateway(boolean peers) {
+class PeerReportTest {
+    private static GatewayFixture gateway(boolean peers) {
         Settings s = settings(false, 4, List.of(), List.of(READ));
-        return new Fleet(
+        return new GatewayFixture(
                         new Settings(
                                 4,
                                 0,
@@ -34,7 +34,7 @@
                                 new Permissions(4, true, peers),
                                 s.parameters()),
                         7)
-                .with(8);
+                .withServers(8);
     }
 
     /** A message that so many requests are out at each of these servers. */
@@ -49,75 +49,75 @@
         return bytes;
     }
 
-    private static boolean draws(Fleet fleet, String server) {
+    private static boolean draws(GatewayFixture fleet, String server) {
         for (int i = 0; i < 200; i++) {
-            if (server.equals(fleet.serve(READ, Outcome.SERVED, 10 * MS))) {
+            if (server.equals(fleet.requestAndAnswer(READ, Outcome.SERVED, 10 * MS))) {
                 return true;
             }
             fleet.now += 100 * MS;
-            fleet.choice.onEvent(fleet.now, new PeerMessageReceived(2, message(3, server)));
+            fleet.loadBalancer.onEvent(fleet.now, new PeerMessageReceived(2, message(3, server)));
         }
         return false;
     }
 
     /** One of the gateway's own portion, which it draws at once where nothing speaks against it. */
     private static String own() {
-        return gateway(true).serve(READ, Outcome.SERVED, 10 * MS);
+        return gateway(true).requestAndAnswer(READ, Outcome.SERVED, 10 * MS);
     }
 
     @Test
     void tellsWhatIsOutAndTellsItAgainOnlyWhenItHasChangedOrAfterAWhile() {
-        Fleet fleet = gateway(true);
-        String id = fleet.ask(READ);
+        GatewayFixture fleet = gateway(true);
+        String id = fleet.request(READ);
         String server = fleet.sentTo();
-        fleet.fire(SWEEP);
-        assertEquals(1, fleet.host.told.size());
-        assertArrayEquals(message(1, server), fleet.host.told.get(0));
+        fleet.fireTimer(SWEEP);
+        assertEquals(1, fleet.recorder.peerMessages.size());
+        assertArrayEquals(message(1, server), fleet.recorder.peerMessages.get(0));
         fleet.now += 30 * MS;
-        fleet.fire(SWEEP);
-        assertEquals(1, fleet.host.told.size(), "nothing has changed");
+        fleet.fireTimer(SWEEP);
+        assertEquals(1, fleet.recorder.peerMessages.size(), "nothing has changed");
         fleet.now += 250 * MS;
-        fleet.fire(SWEEP);
-        assertEquals(2, fleet.host.told.size(), "a message may have been lost");
+        fleet.fireTimer(SWEEP);
+        assertEquals(2, fleet.recorder.peerMessages.size(), "a message may have been lost");
         fleet.now += 30 * MS;
-        fleet.end(id, 0, server, Outcome.SERVED, 310 * MS);
-        fleet.fire(SWEEP);
-        assertArrayEquals(message(0), fleet.host.told.get(2));
+        fleet.endAttempt(id, 0, server, Outcome.SERVED, 310 * MS);
+        fleet.fireTimer(SWEEP);
+        assertArrayEquals(message(0), fleet.recorder.peerMessages.get(2));
     }
 
     @Test
     void saysNothingWhereTheSettingsAllowNoMessages() {
-        Fleet fleet = gateway(false);
-        fleet.ask(READ);
-        fleet.fire(SWEEP);
-        assertEquals(0, fleet.host.told.size());
+        GatewayFixture fleet = gateway(false);
+        fleet.request(READ);
+        fleet.fireTimer(SWEEP);
+        assertEquals(0, fleet.recorder.peerMessages.size());
     }
 
     @Test
     void passesOverAServerWhereOthersHaveEnoughOut() {
         String own = own();
-        Fleet fleet = gateway(true);
-        fleet.choice.onEvent(fleet.now, new PeerMessageReceived(2, message(3, own)));
+        GatewayFixture fleet = gateway(true);
+        fleet.loadBalancer.onEvent(fleet.now, new PeerMessageReceived(2, message(3, own)));
         assertFalse(draws(fleet, own), own);
     }
 
     @Test
     void takesANewMessageInPlaceOfTheOneBefore() {
         String own = own();
-        Fleet fleet = gateway(true);
-        fleet.choice.onEvent(fleet.now, new PeerMessageReceived(2, message(3, own)));
-        fleet.choice.onEvent(fleet.now, new PeerMessageReceived(2, message(0)));
-        assertEquals(own, fleet.serve(READ, Outcome.SERVED, 10 * MS));
+        GatewayFixture fleet = gateway(true);
+        fleet.loadBalancer.onEvent(fleet.now, new PeerMessageReceived(2, message(3, own)));
+        fleet.loadBalancer.onEvent(fleet.now, new PeerMessageReceived(2, message(0)));
+        assertEquals(own, fleet.requestAndAnswer(READ, Outcome.SERVED, 10 * MS));
     }
 
     @Test
     void forgetsWhatAGatewaySaidThatHasGoneSilent() {
         String own = own();
-        Fleet fleet = gateway(true);
-        fleet.choice.onEvent(fleet.now, new PeerMessageReceived(2, message(3, own)));
+        GatewayFixture fleet = gateway(true);
+        fleet.loadBalancer.onEvent(fleet.now, new PeerMessageReceived(2, message(3, own)));
         fleet.now += SECOND;
-        fleet.fire(SWEEP);
-        assertEquals(own, fleet.serve(READ, Outcome.SERVED, 10 * MS));
+        fleet.fireTimer(SWEEP);
+        assertEquals(own, fleet.requestAndAnswer(READ, Outcome.SERVED, 10 * MS));
     }
 
     @Test
@@ -127,21 +127,21 @@
         other[0] = 2;
         for (byte[] spoilt :
                 List.of(new byte[0], other, java.util.Arrays.copyOf(message(3, own), 5), message(3, "unheard"))) {
-            Fleet fleet = gateway(true);
-            fleet.choice.onEvent(fleet.now, new PeerMessageReceived(2, spoilt));
-            assertEquals(own, fleet.serve(READ, Outcome.SERVED, 10 * MS));
+            GatewayFixture fleet = gateway(true);
+            fleet.loadBalancer.onEvent(fleet.now, new PeerMessageReceived(2, spoilt));
+            assertEquals(own, fleet.requestAndAnswer(READ, Outcome.SERVED, 10 * MS));
         }
     }
 
     @Test
     void aMessageIsNeverLongerThanIsAllowed() {
         Settings s = settings(false, 2, List.of(), List.of(READ));
-        Fleet fleet = new Fleet(s, 7).with(400);
+        GatewayFixture fleet = new GatewayFixture(s, 7).withServers(400);
         for (int i = 0; i < 300; i++) {
             fleet.now += 2 * MS;
-            fleet.ask(READ);
+            fleet.request(READ);
         }
-        fleet.fire(SWEEP);
-        assertTrue(fleet.host.told.get(0).length > 200 && fleet.host.told.get(0).length <= 256);
+        fleet.fireTimer(SWEEP);
+        assertTrue(fleet.recorder.peerMessages.get(0).length > 200 && fleet.recorder.peerMessages.get(0).length <= 256);
     }
 }
--- a/src/test/java/tinworks/policy/RulesTest.java
+++ b/src/test/java/tinworks/policy/RandomEventsTest.java
@@ -3,13 +3,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assertions.fail;
-import static tinworks.policy.Fleet.FILE;
-import static tinworks.policy.Fleet.MS;
-import static tinworks.policy.Fleet.ORDER;
-import static tinworks.policy.Fleet.READ;
-import static tinworks.policy.Fleet.RULES;
-import static tinworks.policy.Fleet.SECOND;
-import static tinworks.policy.Fleet.settings;
+import static tinworks.policy.GatewayFixture.FILE;
+import static tinworks.policy.GatewayFixture.MS;
+import static tinworks.policy.GatewayFixture.ORDER;
+import static tinworks.policy.GatewayFixture.PARAMETERS;
+import static tinworks.policy.GatewayFixture.READ;
+import static tinworks.policy.GatewayFixture.SECOND;
+import static tinworks.policy.GatewayFixture.settings;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -38,7 +38,7 @@
 import tinworks.policy.LoadBalancerApi.TimerFired;
 
 /** A seeded run of random legal events that holds every action against the four rules. */
-class RulesTest {
+class RandomEventsTest {
     private static final long TICK = 5 * MS;
     private static final long LENGTH = 60 * SECOND;
     private static final RequestClass CELL_FILE = new RequestClass(
@@ -96,7 +96,7 @@
         }
 
         void check(Recorder.Action a) {
-            switch (a.what()) {
+            switch (a.type()) {
                 case "send" -> checkSend(a);
                 case "refuse", "fail" -> checkFinal(a);
                 case "setTimer" ->
@@ -108,7 +108,7 @@
 
         /** The recorder keeps the delay only: the step's interval is known, all else is the sweep. */
         static long timerToken(long delay) {
-            return delay == 5 * SECOND ? Fleet.STEP : Fleet.SWEEP;
+            return delay == 5 * SECOND ? GatewayFixture.TICK : GatewayFixture.SWEEP;
         }
 
         void checkSend(Recorder.Action a) {
@@ -117,7 +117,7 @@
             assertTrue(!r.answered && now < r.deadline, "sent after its end: " + a);
             assertTrue(r.sends.size() < 4, "too many attempts: " + a);
             Long told = toldNotReady.get(a.server());
-            assertTrue(told == null || now <= told + RULES.drainGraceNanos(), "drain not kept: " + a);
+            assertTrue(told == null || now <= told + PARAMETERS.drainGraceNanos(), "drain not kept: " + a);
             Send first = r.firstThatMayRun();
             if (first != null && r.kind.idempotency() == Idempotency.UNSAFE) {
                 fail("unsafe request sent again: " + a);
@@ -128,7 +128,7 @@
                 assertTrue(r.kind.dedupScope() != DedupScope.ZONE || at.zone().equals(s.zone()), "another zone: " + a);
                 assertTrue(r.kind.dedupScope() != DedupScope.CELL || at.cell() == s.cell(), "another cell: " + a);
             }
-            if (s.startedAtNanos() > 0 && now - s.startedAtNanos() < RULES.slowStartNanos()) {
+            if (s.startedAtNanos() > 0 && now - s.startedAtNanos() < PARAMETERS.slowStartNanos()) {
                 coldSends.computeIfAbsent(a.server(), id -> new ArrayList<>()).add(now);
             }
             int number = r.sends.size();
@@ -141,8 +141,8 @@
         void checkFinal(Recorder.Action a) {
             Asked r = asked.get(a.id());
             assertTrue(!r.answered, "answered twice: " + a);
-            assertTrue(now <= r.deadline + RULES.answerSlackNanos(), "answered late: " + a);
-            if (a.what().equals("refuse") && r.firstThatMayRun() != null) {
+            assertTrue(now <= r.deadline + PARAMETERS.answerSlackNanos(), "answered late: " + a);
+            if (a.type().equals("refuse") && r.firstThatMayRun() != null) {
                 assertTrue(
                         r.kind.idempotency() == Idempotency.SAFE
                                 || (r.kind.idempotency() == Idempotency.KEYED && r.kind.dedupScope() == DedupScope.ALL),
@@ -231,7 +231,7 @@
                     changeList();
                 }
                 asked.forEach((id, r) ->
-                        assertTrue(r.answered || now <= r.deadline + RULES.answerSlackNanos(), "lost: " + id));
+                        assertTrue(r.answered || now <= r.deadline + PARAMETERS.answerSlackNanos(), "lost: " + id));
                 checkCold();
             }
         }
@@ -239,12 +239,12 @@
         /** All that a cold server may get in the window, were each request worth a hundredth of a second of it. */
         void checkCold() {
             coldSends.forEach((id, sends) -> {
-                sends.removeIf(at -> at < now - RULES.overloadWindowNanos());
-                double age = (now - listed.get(id).startedAtNanos()) / (double) RULES.slowStartNanos();
-                double capacity =
-                        RULES.slowStartInitialFraction() + (1 - RULES.slowStartInitialFraction()) * Math.min(1, age);
-                double perSecond = 100 * RULES.overloadFactor() * capacity;
-                double most = perSecond * RULES.overloadWindowNanos() / SECOND;
+                sends.removeIf(at -> at < now - PARAMETERS.overloadWindowNanos());
+                double age = (now - listed.get(id).startedAtNanos()) / (double) PARAMETERS.slowStartNanos();
+                double capacity = PARAMETERS.slowStartInitialFraction()
+                        + (1 - PARAMETERS.slowStartInitialFraction()) * Math.min(1, age);
+                double perSecond = 100 * PARAMETERS.overloadFactor() * capacity;
+                double most = perSecond * PARAMETERS.overloadWindowNanos() / SECOND;
                 assertTrue(sends.size() <= most, sends.size() + " to " + id + ", most " + most);
             });
         }
@@ -264,9 +264,9 @@
 
     @Test
     void whatComesAtTheEndIsAnsweredBeforeIt() {
-        Fleet fleet = new Fleet().with(1);
-        fleet.choice.onEvent(fleet.now, new ShutdownStarted(300 * MS));
-        fleet.ask(READ);
-        assertEquals(300 * MS, fleet.host.take("send").get(0).number());
+        GatewayFixture fleet = new GatewayFixture().withServers(1);
+        fleet.loadBalancer.onEvent(fleet.now, new ShutdownStarted(300 * MS));
+        fleet.request(READ);
+        assertEquals(300 * MS, fleet.recorder.take("send").get(0).number());
     }
 }
--- a/src/test/java/tinworks/policy/Recorder.java
+++ b/src/test/java/tinworks/policy/Recorder.java
@@ -7,11 +7,11 @@
 /** A host that only writes down what the module asks for. */
 final class Recorder implements Actions {
     /** One action; fields that an action lacks are null or 0. */
-    record Action(String what, String id, String server, long number) {}
+    record Action(String type, String id, String server, long number) {}
 
     final List<Action> actions = new ArrayList<>();
     /** The messages that went to the other gateways, in their order. */
-    final List<byte[]> told = new ArrayList<>();
+    final List<byte[]> peerMessages = new ArrayList<>();
 
     private void add(String what, String id, String server, long number) {
         actions.add(new Action(what, id, server, number));
@@ -25,7 +25,7 @@
     }
 
     List<Action> take(String what) {
-        return take().stream().filter(a -> a.what().equals(what)).toList();
+        return take().stream().filter(a -> a.type().equals(what)).toList();
     }
 
     @Override
@@ -56,7 +56,7 @@
     @Override
     public void sendToPeers(byte[] body) {
         add("tellAll", null, null, body.length);
-        told.add(body);
+        peerMessages.add(body);
     }
 
     @Override
--- a/src/test/java/tinworks/policy/PortionTest.java
+++ b/src/test/java/tinworks/policy/SubsetTest.java
@@ -2,10 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static tinworks.policy.Fleet.MS;
-import static tinworks.policy.Fleet.READ;
-import static tinworks.policy.Fleet.STEP;
-import static tinworks.policy.Fleet.settings;
+import static tinworks.policy.GatewayFixture.MS;
+import static tinworks.policy.GatewayFixture.READ;
+import static tinworks.policy.GatewayFixture.TICK;
+import static tinworks.policy.GatewayFixture.settings;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -22,13 +22,13 @@
 import tinworks.policy.LoadBalancerApi.Settings;
 
 /** How the gateways of a large fleet divide its servers while each meets them seldom. */
-class PortionTest {
+class SubsetTest {
     private static final int GATEWAYS = 4;
     private static final int SERVERS = 24;
     private static final int LARGE = 6;
     private static final double LARGE_HINT = 9;
 
-    private static Fleet gateway(int number) {
+    private static GatewayFixture gateway(int number) {
         Settings one = settings(false, GATEWAYS, List.of(), List.of(READ));
         Settings numbered = new Settings(
                 GATEWAYS,
@@ -41,23 +41,23 @@
                 one.overQuotaValue(),
                 one.permissions(),
                 one.parameters());
-        Fleet fleet = new Fleet(numbered, 7 + number).with(SERVERS);
+        GatewayFixture fleet = new GatewayFixture(numbered, 7 + number).withServers(SERVERS);
         return fleet;
     }
 
     /** The servers drawn in a second by requests that are answered before the next comes, the rate being known. */
-    private static Set<String> drawnOneByOne(Fleet fleet, long apartNanos) {
+    private static Set<String> drawnOneByOne(GatewayFixture fleet, long apartNanos) {
         aTick(fleet, apartNanos);
         return aTick(fleet, apartNanos);
     }
 
-    private static Set<String> aTick(Fleet fleet, long apartNanos) {
+    private static Set<String> aTick(GatewayFixture fleet, long apartNanos) {
         Set<String> drawn = new HashSet<>();
-        for (long end = fleet.now + Fleet.SECOND; fleet.now < end; fleet.now += apartNanos) {
-            drawn.add(fleet.serve(READ, Outcome.SERVED, 10 * MS));
+        for (long end = fleet.now + GatewayFixture.SECOND; fleet.now < end; fleet.now += apartNanos) {
+            drawn.add(fleet.requestAndAnswer(READ, Outcome.SERVED, 10 * MS));
         }
-        fleet.fire(STEP);
-        fleet.host.take();
+        fleet.fireTimer(TICK);
+        fleet.recorder.take();
         return drawn;
     }
 
@@ -82,11 +82,11 @@
 
     @Test
     void goesBeyondItsPortionWhileThatHasNoRoom() {
-        Fleet fleet = gateway(0);
+        GatewayFixture fleet = gateway(0);
         int portion = drawnOneByOne(gateway(0), 16 * MS).size();
         Set<String> drawn = new HashSet<>();
         for (int i = 0; i < portion + 2; i++) {
-            fleet.ask(READ);
+            fleet.request(READ);
             drawn.add(fleet.sentTo());
         }
         assertTrue(drawn.size() > portion, drawn + " where " + portion + " are its own");
@@ -100,7 +100,7 @@
         }
         double part = (LARGE * LARGE_HINT + SERVERS - LARGE) / GATEWAYS;
         for (int i = 0; i < GATEWAYS; i++) {
-            Fleet fleet = gateway(i);
+            GatewayFixture fleet = gateway(i);
             fleet.list(ServerListKind.FULL, list);
             double capacity = drawnOneByOne(fleet, 16 * MS).stream()
                     .mapToDouble(id -> Integer.parseInt(id.substring(1)) < LARGE ? LARGE_HINT : 1)
@@ -111,12 +111,12 @@
 
     /** How many of four seconds' sparse requests the gateway sends to a server that has just started. */
     private static int sentToCold(int gateway) {
-        Fleet fleet = gateway(gateway);
+        GatewayFixture fleet = gateway(gateway);
         drawnOneByOne(fleet, 16 * MS);
-        fleet.list(ServerListKind.CHANGES, Fleet.server("s0", "a", Readiness.READY, fleet.now));
+        fleet.list(ServerListKind.CHANGES, GatewayFixture.server("s0", "a", Readiness.READY, fleet.now));
         int sent = 0;
-        for (long end = fleet.now + 4 * Fleet.SECOND; fleet.now < end; fleet.now += 16 * MS) {
-            sent += "s0".equals(fleet.serve(READ, Outcome.SERVED, 10 * MS)) ? 1 : 0;
+        for (long end = fleet.now + 4 * GatewayFixture.SECOND; fleet.now < end; fleet.now += 16 * MS) {
+            sent += "s0".equals(fleet.requestAndAnswer(READ, Outcome.SERVED, 10 * MS)) ? 1 : 0;
         }
         return sent;
     }
@@ -138,23 +138,24 @@
 
     @Test
     void aDoubtfulServerIsTriedByItsOwnGatewayOnceInATrialTime() {
-        Fleet fleet = new Fleet(settings(false, GATEWAYS, List.of(), List.of(READ)), 7).with(SERVERS);
+        GatewayFixture fleet =
+                new GatewayFixture(settings(false, GATEWAYS, List.of(), List.of(READ)), 7).withServers(SERVERS);
         drawnOneByOne(fleet, 16 * MS);
         Map<String, Integer> counts = new HashMap<>();
         for (int i = 0; i < 60; i++) {
             fleet.now += 16 * MS;
-            counts.merge(fleet.serve(READ, Outcome.SERVED, 10 * MS), 1, Integer::sum);
+            counts.merge(fleet.requestAndAnswer(READ, Outcome.SERVED, 10 * MS), 1, Integer::sum);
         }
         String own =
                 Collections.max(counts.entrySet(), Map.Entry.comparingByValue()).getKey();
         int trials = 0;
-        for (long end = fleet.now + 8 * Fleet.SECOND; fleet.now < end; fleet.now += 16 * MS) {
-            String id = fleet.ask(READ);
+        for (long end = fleet.now + 8 * GatewayFixture.SECOND; fleet.now < end; fleet.now += 16 * MS) {
+            String id = fleet.request(READ);
             String server = fleet.sentTo();
-            boolean fails = own.equals(server) && fleet.now < end - 4 * Fleet.SECOND;
-            trials += own.equals(server) && fleet.now >= end - 4 * Fleet.SECOND ? 1 : 0;
-            fleet.end(id, 0, server, fails ? Outcome.ERROR : Outcome.SERVED, 10 * MS, true);
-            fleet.host.take();
+            boolean fails = own.equals(server) && fleet.now < end - 4 * GatewayFixture.SECOND;
+            trials += own.equals(server) && fleet.now >= end - 4 * GatewayFixture.SECOND ? 1 : 0;
+            fleet.endAttempt(id, 0, server, fails ? Outcome.ERROR : Outcome.SERVED, 10 * MS, true);
+            fleet.recorder.take();
         }
         // Trials a second apart, of which the first few that are served free it; four gateways' time would allow one.
         assertTrue(trials >= 3, "trials in four seconds: " + trials);
@@ -162,14 +163,14 @@
 
     @Test
     void aGatewayOfLittleTrafficAdmitsEnoughToLearnFromWhileItSheds() {
-        Fleet fleet = gateway(0);
+        GatewayFixture fleet = gateway(0);
         drawnOneByOne(fleet, 16 * MS);
         int admitted = 0;
         for (int i = 0; i < 400; i++) {
-            fleet.fire(Fleet.SWEEP);
-            fleet.host.take();
+            fleet.fireTimer(GatewayFixture.SWEEP);
+            fleet.recorder.take();
             fleet.now += 16 * MS;
-            String server = fleet.serve(READ, Outcome.SERVED, 450 * MS);
+            String server = fleet.requestAndAnswer(READ, Outcome.SERVED, 450 * MS);
             admitted += i >= 200 && server != null ? 1 : 0;
         }
         // Of 62 requests a second, 20 are enough; a twentieth would be 10 of these 200.
