--- a/src/test/java/tinworks/policy/AttemptLimitTest.java
+++ b/src/test/java/tinworks/policy/AttemptLimitTest.java
@@ -37,90 +37,100 @@
 import tinworks.policy.LoadBalancerApi.TimerFired;
 import tinworks.policy.LoadBalancerState.Request;
 
-/** A request's tries, however its attempts end and whatever hosts and versions do meanwhile. */
+/** Limits on the attempts of a request, under random outcomes, server lists and configuration changes. */
 class AttemptLimitTest {
     private static final String SEED = "20261202";
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
     private static final long TIMEOUT = 1_200 * MS;
     private static final int SERVERS = 6;
-    private static final int MOST_TRIES = 4;
-    private static final int LARGEST_STEP = 9_999;
-    private static final int STEP_TIMER = 1;
+    private static final int MAX_ATTEMPTS = 4;
+    private static final int MAX_STEP = 9_999;
+    private static final int TICK_TIMER = 1;
     private static final int SWEEP_TIMER = 2;
     private static final List<String> ROUTES = List.of("first", "second");
     private static final Outcome[] OUTCOMES = Outcome.values();
 
     /** One send of a request. */
-    private static final class Sent {
+    private static final class SentAttempt {
         final String server;
         final long at;
         Outcome outcome;
 
-        Sent(String server, long at) {
+        SentAttempt(String server, long at) {
             this.server = server;
             this.at = at;
         }
 
-        boolean mayHaveRun() {
+        boolean mayHaveExecuted() {
             return outcome == null || !outcome.provesNotExecuted();
         }
     }
 
-    /** A request and the strictest that its route has said since it came. */
-    private static final class Asked {
+    /** A request and the strictest limits of its route since it arrived. */
+    private static final class TrackedRequest {
         final String route;
         final long deadline;
-        final List<Sent> sends = new ArrayList<>();
-        int tries;
+        final List<SentAttempt> sends = new ArrayList<>();
+        int maxAttempts;
         boolean unsafe;
         boolean answered;
 
-        Asked(RequestClass came, long deadline) {
-            route = came.name();
+        TrackedRequest(RequestClass initial, long deadline) {
+            route = initial.name();
             this.deadline = deadline;
-            tries = came.maxAttempts();
-            unsafe = came.idempotency() == Idempotency.UNSAFE;
+            maxAttempts = initial.maxAttempts();
+            unsafe = initial.idempotency() == Idempotency.UNSAFE;
         }
 
-        void take(RequestClass version) {
-            tries = Math.min(tries, version.maxAttempts());
+        void restrict(RequestClass version) {
+            maxAttempts = Math.min(maxAttempts, version.maxAttempts());
             unsafe |= version.idempotency() == Idempotency.UNSAFE;
         }
 
-        boolean mayHaveRun() {
-            return sends.stream().anyMatch(Sent::mayHaveRun);
+        boolean mayHaveExecuted() {
+            return sends.stream().anyMatch(SentAttempt::mayHaveExecuted);
         }
     }
 
-    /** Makes the module under test. */
-    private interface Maker {
-        LoadBalancer make(Settings settings, Actions actions);
+    /** Creates the load balancer under test. */
+    private interface LoadBalancerFactory {
+        LoadBalancer create(Settings settings, Actions actions);
     }
 
-    /** A small world that is driven by numbers, and what broke a rule in it. */
-    private static final class World implements Actions {
-        final Set<String> broken = new TreeSet<>();
+    /** A simulation driven by numbers; it collects the rules that were violated. */
+    private static final class Simulation implements Actions {
+        final Set<String> violations = new TreeSet<>();
         private final Map<String, RequestClass> routes = new LinkedHashMap<>();
-        private final Map<String, Asked> asked = new LinkedHashMap<>();
-        private final LoadBalancer choice;
+        private final Map<String, TrackedRequest> requests = new LinkedHashMap<>();
+        private final LoadBalancer loadBalancer;
         private long now;
         private int ids;
         private int sends;
 
-        World(Maker maker) {
+        Simulation(LoadBalancerFactory factory) {
             ROUTES.forEach(name -> routes.put(name, version(name, 2, Idempotency.SAFE)));
-            PolicyParameters rules =
+            PolicyParameters parameters =
                     new PolicyParameters(0, 0, Long.MAX_VALUE, 0.5, 3 * SECOND, 1e9, SECOND, 30, 2.5, 0.5);
-            choice = maker.make(
+            loadBalancer = factory.create(
                     new Settings(
-                            1, -1, "z", false, MS, classes(), List.of(), 1, new Permissions(32, true, false), rules),
+                            1,
+                            -1,
+                            "z",
+                            false,
+                            MS,
+                            classes(),
+                            List.of(),
+                            1,
+                            new Permissions(32, true, false),
+                            parameters),
                     this);
             IntStream.range(0, SERVERS).forEach(i -> list(i, Readiness.READY));
         }
 
-        private static RequestClass version(String name, int tries, Idempotency effect) {
-            return new RequestClass(name, effect, DedupScope.ALL, 0, 300 * MS, TIMEOUT, 1, 0.5, false, tries, TIMEOUT);
+        private static RequestClass version(String name, int maxAttempts, Idempotency idempotency) {
+            return new RequestClass(
+                    name, idempotency, DedupScope.ALL, 0, 300 * MS, TIMEOUT, 1, 0.5, false, maxAttempts, TIMEOUT);
         }
 
         private List<RequestClass> classes() {
@@ -128,7 +138,7 @@
         }
 
         private void on(Event event) {
-            choice.onEvent(now, event);
+            loadBalancer.onEvent(now, event);
         }
 
         private void list(int server, Readiness readiness) {
@@ -136,141 +146,144 @@
                     ServerListKind.CHANGES, List.of(new ServerInfo("i-" + server, "z", "", 0, readiness, 3, 0))));
         }
 
-        /** Its last digit says what happens, the others to whom. */
+        /** Performs a step: the last digit of the number selects the action, the others its target. */
         void step(int number) {
             int which = number / 10;
             switch (number % 10) {
-                case 0, 1 -> ask(ROUTES.get(which % 2));
+                case 0, 1 -> arrive(ROUTES.get(which % 2));
                 case 2, 3, 4, 5 -> end(which);
                 case 6 -> list(which % SERVERS, Readiness.values()[which / SERVERS % 3]);
-                case 7 -> change(ROUTES.get(which % 2), which / 2);
-                case 8 -> pass(which % 200 * MS);
-                default -> leaveOrEnd(which);
+                case 7 -> reconfigure(ROUTES.get(which % 2), which / 2);
+                case 8 -> advanceTime(which % 200 * MS);
+                default -> disconnectOrShutDown(which);
             }
         }
 
-        private void ask(String route) {
+        private void arrive(String route) {
             String id = "q" + ids++;
-            asked.put(id, new Asked(routes.get(route), now + TIMEOUT));
+            requests.put(id, new TrackedRequest(routes.get(route), now + TIMEOUT));
             on(new RequestArrived(id, route, null, null, TIMEOUT, 0, false));
         }
 
         private void end(int which) {
-            List<String> out =
-                    asked.keySet().stream().filter(id -> isOut(asked.get(id))).toList();
-            if (!out.isEmpty()) {
-                end(out.get(which % out.size()), OUTCOMES[which / out.size() % OUTCOMES.length]);
+            List<String> inFlight = requests.keySet().stream()
+                    .filter(id -> isInFlight(requests.get(id)))
+                    .toList();
+            if (!inFlight.isEmpty()) {
+                end(inFlight.get(which % inFlight.size()), OUTCOMES[which / inFlight.size() % OUTCOMES.length]);
             }
         }
 
-        private static boolean isOut(Asked one) {
-            return !one.sends.isEmpty() && one.sends.get(one.sends.size() - 1).outcome == null;
+        private static boolean isInFlight(TrackedRequest tracked) {
+            return !tracked.sends.isEmpty() && tracked.sends.get(tracked.sends.size() - 1).outcome == null;
         }
 
         private void end(String id, Outcome outcome) {
-            Asked one = asked.get(id);
-            int number = one.sends.size() - 1;
-            Sent last = one.sends.get(number);
+            TrackedRequest tracked = requests.get(id);
+            int number = tracked.sends.size() - 1;
+            SentAttempt last = tracked.sends.get(number);
             last.outcome = outcome;
-            one.answered |= outcome == Outcome.SERVED;
-            on(new AttemptEnded(id, number, last.server, outcome, now - last.at, one.answered, null));
+            tracked.answered |= outcome == Outcome.SERVED;
+            on(new AttemptEnded(id, number, last.server, outcome, now - last.at, tracked.answered, null));
         }
 
-        /** A version with other tries, another kind, or without the route; then that comes back. */
-        private void change(String route, int which) {
+        /** Applies a version with another limit or type, in some cases after one without the route. */
+        private void reconfigure(String route, int which) {
             RequestClass changed =
-                    version(route, 1 + which % MOST_TRIES, Idempotency.values()[which / MOST_TRIES % 2 * 2]);
+                    version(route, 1 + which % MAX_ATTEMPTS, Idempotency.values()[which / MAX_ATTEMPTS % 2 * 2]);
             routes.remove(route);
-            if (which / MOST_TRIES / 2 % 4 == 0) {
+            if (which / MAX_ATTEMPTS / 2 % 4 == 0) {
                 on(new Reconfigured(classes(), 1));
             }
             routes.put(route, changed);
-            asked.values().stream().filter(one -> one.route.equals(route)).forEach(one -> one.take(changed));
+            requests.values().stream()
+                    .filter(tracked -> tracked.route.equals(route))
+                    .forEach(tracked -> tracked.restrict(changed));
             on(new Reconfigured(classes(), 1));
         }
 
-        private void pass(long nanos) {
+        private void advanceTime(long nanos) {
             now += nanos;
-            for (String id : List.copyOf(asked.keySet())) {
-                if (isOut(asked.get(id)) && now >= asked.get(id).deadline) {
+            for (String id : List.copyOf(requests.keySet())) {
+                if (isInFlight(requests.get(id)) && now >= requests.get(id).deadline) {
                     end(id, Outcome.TIMED_OUT);
                 }
             }
             on(new TimerFired(SWEEP_TIMER));
-            on(new TimerFired(STEP_TIMER));
+            on(new TimerFired(TICK_TIMER));
         }
 
-        private void leaveOrEnd(int which) {
+        private void disconnectOrShutDown(int which) {
             if (which == 0) {
                 on(new ShutdownStarted(SECOND));
-            } else if (!asked.isEmpty()) {
-                String id = List.copyOf(asked.keySet()).get(which % asked.size());
-                asked.get(id).answered = true;
+            } else if (!requests.isEmpty()) {
+                String id = List.copyOf(requests.keySet()).get(which % requests.size());
+                requests.get(id).answered = true;
                 on(new ClientDisconnected(id));
             }
         }
 
         @Override
         public void send(String request, String server, long timeoutNanos) {
-            Asked one = asked.get(request);
-            if (one.unsafe && one.mayHaveRun()) {
-                broken.add("TWICE");
+            TrackedRequest tracked = requests.get(request);
+            if (tracked.unsafe && tracked.mayHaveExecuted()) {
+                violations.add("TWICE");
             }
-            one.sends.add(new Sent(server, now));
+            tracked.sends.add(new SentAttempt(server, now));
             sends++;
-            if (one.sends.size() > one.tries) {
-                broken.add("BUDGET");
+            if (tracked.sends.size() > tracked.maxAttempts) {
+                violations.add("BUDGET");
             }
         }
 
         @Override
         public void refuse(String request, long pauseNanos) {
-            Asked one = asked.get(request);
-            if (one.unsafe && one.mayHaveRun()) {
-                broken.add("REFUSED");
+            TrackedRequest tracked = requests.get(request);
+            if (tracked.unsafe && tracked.mayHaveExecuted()) {
+                violations.add("REFUSED");
             }
-            answer(one);
+            answer(tracked);
         }
 
         @Override
         public void fail(String request) {
-            answer(asked.get(request));
+            answer(requests.get(request));
         }
 
-        private void answer(Asked one) {
-            if (one.answered) {
-                broken.add("answered twice");
+        private void answer(TrackedRequest tracked) {
+            if (tracked.answered) {
+                violations.add("answered twice");
             }
-            one.answered = true;
+            tracked.answered = true;
         }
 
         @Override
         public void cancel(String request, int attempt) {
-            // It ends as some later step says.
+            // A later step ends the attempt.
         }
 
         @Override
         public void setTimer(long delayNanos, long token) {
-            // Both timers go off whenever time passes.
+            // Both timers fire whenever time advances.
         }
 
         @Override
         public void subscribe() {
-            // Lists come by themselves.
+            // The simulation sends lists without a subscription.
         }
     }
 
     @Property(tries = 3_000, seed = SEED)
-    void noRequestGoesToMoreHostsThanAnyVersionOfItsRouteAllowedSinceItCame(
-            @ForAll @Size(min = 40, max = 200) List<@IntRange(max = LARGEST_STEP) Integer> steps) {
-        World world = new World((settings, actions) -> new LoadBalancer(settings, 1, actions));
-        steps.forEach(world::step);
-        assertEquals(Set.of(), world.broken);
+    void noRequestExceedsTheLimitsOfAnyVersionSinceItArrived(
+            @ForAll @Size(min = 40, max = 200) List<@IntRange(max = MAX_STEP) Integer> steps) {
+        Simulation simulation = new Simulation((settings, actions) -> new LoadBalancer(settings, 1, actions));
+        steps.forEach(simulation::step);
+        assertEquals(Set.of(), simulation.violations);
     }
 
-    /** A version replaces what a request under way came with. */
-    private static final class Forgetful extends LoadBalancer {
-        Forgetful(Settings settings, Actions actions) {
+    /** Applies a new version to requests under way without regard to the previous one. */
+    private static final class ReplacingLoadBalancer extends LoadBalancer {
+        ReplacingLoadBalancer(Settings settings, Actions actions) {
             super(settings, 1, actions);
         }
 
@@ -282,17 +295,17 @@
     }
 
     @Example
-    void withoutTheGuardVersionsBreakAllThreeRules() {
-        Set<String> broken = new TreeSet<>();
+    void withoutRestrictionNewVersionsViolateAllThreeRules() {
+        Set<String> violations = new TreeSet<>();
         int sends = 0;
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 300; i++) {
-            World world = new World(Forgetful::new);
-            random.ints(200, 0, LARGEST_STEP + 1).forEach(world::step);
-            broken.addAll(world.broken);
-            sends += world.sends;
+            Simulation simulation = new Simulation(ReplacingLoadBalancer::new);
+            random.ints(200, 0, MAX_STEP + 1).forEach(simulation::step);
+            violations.addAll(simulation.violations);
+            sends += simulation.sends;
         }
-        assertEquals(Set.of("BUDGET", "REFUSED", "TWICE"), broken);
+        assertEquals(Set.of("BUDGET", "REFUSED", "TWICE"), violations);
         assertTrue(sends > 10_000, "sends: " + sends);
     }
 }
--- a/src/test/java/tinworks/policy/BurstTest.java
+++ b/src/test/java/tinworks/policy/BurstTest.java
@@ -27,7 +27,7 @@
 import tinworks.policy.LoadBalancerApi.Settings;
 import tinworks.policy.LoadBalancerApi.TimerFired;
 
-/** Two kinds of requests at one service, of which one comes in a burst beyond what its hosts can serve. */
+/** Two classes of requests at one service, one of which arrives in a burst beyond the capacity of the servers. */
 class BurstTest {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000 * MS;
@@ -38,68 +38,78 @@
     private static final int QUEUE = 3;
     private static final int GATEWAYS = 1;
 
-    private static final long CALM_NANOS = 2 * SECOND;
+    private static final long QUIET_NANOS = 2 * SECOND;
     private static final long BURST_NANOS = 40 * SECOND;
-    private static final long WORK = 100 * MS;
-    private static final long AIM = 300 * MS;
-    private static final long LEAST_LEFT = 400 * MS;
+    private static final long WORK_NANOS = 100 * MS;
+    private static final long TARGET = 300 * MS;
+    private static final long MIN_TIME_LEFT = 400 * MS;
 
-    /** What the other kind is; calls of hosts have what their own requests' time leaves them. */
-    private enum Other {
+    /** The other class; CALLS are requests of other services, which have only the rest of their own request's time. */
+    private enum OtherTraffic {
         IDEM,
         MUTATING,
         CALLS
     }
 
-    /** A kind of request, how many come in a second, and the least time that each has. */
-    private record Load(RequestClass kind, double perSecond, double burstPerSecond, long leastLeft) {}
+    /** A class of requests, its rates, and the least time that each request has left. */
+    private record Workload(RequestClass requestClass, double perSecond, double burstPerSecond, long minTimeLeft) {}
 
-    private static RequestClass kind(String name, int prio, Idempotency effect) {
+    private static RequestClass requestClass(String name, int priority, Idempotency idempotency) {
         return new RequestClass(
-                name, effect, DedupScope.ALL, 0, AIM, TIMEOUT, Math.pow(2, 2 - prio), 0.5, false, 2, TIMEOUT);
+                name,
+                idempotency,
+                DedupScope.ALL,
+                0,
+                TARGET,
+                TIMEOUT,
+                Math.pow(2, 2 - priority),
+                0.5,
+                false,
+                2,
+                TIMEOUT);
     }
 
-    private record Due(long at, long order, Runnable work) implements Comparable<Due> {
+    private record ScheduledTask(long at, long order, Runnable task) implements Comparable<ScheduledTask> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(ScheduledTask other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
         }
     }
 
     private static final class Host {
         int running;
-        final ArrayList<Runnable> waiting = new ArrayList<>();
+        final ArrayList<Runnable> queue = new ArrayList<>();
     }
 
-    private static final class World implements Actions {
-        final PriorityQueue<Due> due = new PriorityQueue<>();
+    private static final class Simulation implements Actions {
+        final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>();
         final SplittableRandom random;
-        final LoadBalancer choice;
+        final LoadBalancer loadBalancer;
         final Map<String, Host> hosts = new HashMap<>();
-        final Map<String, Load> asked = new HashMap<>();
+        final Map<String, Workload> workloads = new HashMap<>();
         final Map<String, Integer> attempts = new HashMap<>();
-        final Map<String, int[]> countOf = new HashMap<>();
-        final Map<String, int[]> counts = new HashMap<>();
+        final Map<String, int[]> countsOfRequest = new HashMap<>();
+        final Map<String, int[]> countsOfClass = new HashMap<>();
         long now;
         long order;
         int ids;
 
-        World(List<Load> loads, double leastPart) {
+        Simulation(List<Workload> workloads, double minClassFraction) {
             random = new SplittableRandom(SEED);
-            PolicyParameters rules =
-                    new PolicyParameters(0, 0, Long.MAX_VALUE, 0.5, 3 * SECOND, 1e9, SECOND, 30, 2.5, leastPart);
-            choice = new LoadBalancer(
+            PolicyParameters parameters =
+                    new PolicyParameters(0, 0, Long.MAX_VALUE, 0.5, 3 * SECOND, 1e9, SECOND, 30, 2.5, minClassFraction);
+            loadBalancer = new LoadBalancer(
                     new Settings(
                             GATEWAYS,
                             -1,
                             "z",
                             false,
                             MS,
-                            loads.stream().map(Load::kind).toList(),
+                            workloads.stream().map(Workload::requestClass).toList(),
                             List.of(),
                             1,
                             new Permissions(32, true, false),
-                            rules),
+                            parameters),
                     SEED,
                     this);
             List<ServerInfo> servers = new ArrayList<>();
@@ -107,37 +117,38 @@
                 hosts.put("i-" + i, new Host());
                 servers.add(new ServerInfo("i-" + i, "z", "", 0, Readiness.READY, SLOTS, 0));
             }
-            choice.onEvent(now, new ServerListReceived(ServerListKind.FULL, servers));
+            loadBalancer.onEvent(now, new ServerListReceived(ServerListKind.FULL, servers));
         }
 
-        void at(long when, Runnable work) {
-            due.add(new Due(when, order++, work));
+        void schedule(long when, Runnable work) {
+            tasks.add(new ScheduledTask(when, order++, work));
         }
 
-        void arrivals(Load load, long from, long to, double perSecond) {
+        void scheduleArrivals(Workload workload, long from, long to, double perSecond) {
             double nanos = from;
             while (true) {
                 nanos += -Math.log(1 - random.nextDouble()) / perSecond * SECOND;
                 if (nanos >= to) {
                     return;
                 }
-                at((long) nanos, () -> {
+                schedule((long) nanos, () -> {
                     String id = "q" + ids++;
-                    asked.put(id, load);
-                    int[] count = counts.computeIfAbsent(load.kind.name(), k -> new int[2]);
+                    workloads.put(id, workload);
+                    int[] count = countsOfClass.computeIfAbsent(workload.requestClass.name(), k -> new int[2]);
                     count[0]++;
-                    countOf.put(id, count);
-                    long left = load.leastLeft + random.nextLong(TIMEOUT - load.leastLeft + 1);
-                    choice.onEvent(now, new RequestArrived(id, load.kind.name(), null, null, left, 0, false));
+                    countsOfRequest.put(id, count);
+                    long left = workload.minTimeLeft + random.nextLong(TIMEOUT - workload.minTimeLeft + 1);
+                    loadBalancer.onEvent(
+                            now, new RequestArrived(id, workload.requestClass.name(), null, null, left, 0, false));
                 });
             }
         }
 
         void run(long to) {
-            while (!due.isEmpty() && due.peek().at <= to) {
-                Due next = due.poll();
+            while (!tasks.isEmpty() && tasks.peek().at <= to) {
+                ScheduledTask next = tasks.poll();
                 now = Math.max(now, next.at);
-                next.work.run();
+                next.task.run();
             }
         }
 
@@ -147,47 +158,48 @@
             long sentAt = now;
             Host host = hosts.get(server);
             boolean[] ended = new boolean[1];
-            at(now + timeoutNanos, () -> end(request, number, server, Outcome.TIMED_OUT, sentAt, ended));
+            schedule(now + timeoutNanos, () -> endAttempt(request, number, server, Outcome.TIMED_OUT, sentAt, ended));
             if (host.running < SLOTS) {
-                begin(request, number, server, sentAt, ended);
-            } else if (host.waiting.size() < QUEUE) {
-                host.waiting.add(() -> begin(request, number, server, sentAt, ended));
+                startWork(request, number, server, sentAt, ended);
+            } else if (host.queue.size() < QUEUE) {
+                host.queue.add(() -> startWork(request, number, server, sentAt, ended));
             } else {
-                at(now + MS, () -> end(request, number, server, Outcome.FULL, sentAt, ended));
+                schedule(now + MS, () -> endAttempt(request, number, server, Outcome.FULL, sentAt, ended));
             }
         }
 
-        private void begin(String request, int number, String server, long sentAt, boolean[] ended) {
+        private void startWork(String request, int number, String server, long sentAt, boolean[] ended) {
             Host host = hosts.get(server);
             if (ended[0]) {
-                next(host);
+                startNext(host);
                 return;
             }
             host.running++;
-            long takes = (long) (WORK * (0.5 + -0.5 * Math.log(1 - random.nextDouble())));
-            at(now + takes, () -> {
+            long takes = (long) (WORK_NANOS * (0.5 + -0.5 * Math.log(1 - random.nextDouble())));
+            schedule(now + takes, () -> {
                 host.running--;
-                end(request, number, server, Outcome.SERVED, sentAt, ended);
-                next(host);
+                endAttempt(request, number, server, Outcome.SERVED, sentAt, ended);
+                startNext(host);
             });
         }
 
-        private void next(Host host) {
-            if (!host.waiting.isEmpty() && host.running < SLOTS) {
-                host.waiting.remove(0).run();
+        private void startNext(Host host) {
+            if (!host.queue.isEmpty() && host.running < SLOTS) {
+                host.queue.remove(0).run();
             }
         }
 
-        private void end(String request, int number, String server, Outcome outcome, long sentAt, boolean[] ended) {
+        private void endAttempt(
+                String request, int number, String server, Outcome outcome, long sentAt, boolean[] ended) {
             if (ended[0]) {
                 return;
             }
             ended[0] = true;
             boolean served = outcome == Outcome.SERVED;
             if (served) {
-                countOf.get(request)[1]++;
+                countsOfRequest.get(request)[1]++;
             }
-            choice.onEvent(now, new AttemptEnded(request, number, server, outcome, now - sentAt, served, null));
+            loadBalancer.onEvent(now, new AttemptEnded(request, number, server, outcome, now - sentAt, served, null));
         }
 
         @Override
@@ -201,33 +213,33 @@
 
         @Override
         public void setTimer(long delayNanos, long token) {
-            at(now + delayNanos, () -> choice.onEvent(now, new TimerFired(token)));
+            schedule(now + delayNanos, () -> loadBalancer.onEvent(now, new TimerFired(token)));
         }
 
         @Override
         public void subscribe() {}
     }
 
-    /** The part that was served of each kind, and of both. */
+    /** Fractions served of each class, and of both. */
     private record Served(double burst, double other, double all) {}
 
-    private static Served during(Load burst, Load other, double leastPart) {
-        World world = new World(List.of(burst, other), leastPart);
-        for (Load load : List.of(burst, other)) {
-            world.arrivals(load, 0, CALM_NANOS, load.perSecond);
-            world.arrivals(load, CALM_NANOS, CALM_NANOS + BURST_NANOS, load.burstPerSecond);
+    private static Served simulate(Workload burst, Workload other, double minClassFraction) {
+        Simulation simulation = new Simulation(List.of(burst, other), minClassFraction);
+        for (Workload workload : List.of(burst, other)) {
+            simulation.scheduleArrivals(workload, 0, QUIET_NANOS, workload.perSecond);
+            simulation.scheduleArrivals(workload, QUIET_NANOS, QUIET_NANOS + BURST_NANOS, workload.burstPerSecond);
         }
-        world.run(CALM_NANOS + BURST_NANOS);
-        int[] ofBurst = world.counts.get(burst.kind.name());
-        int[] ofOther = world.counts.get(other.kind.name());
+        simulation.run(QUIET_NANOS + BURST_NANOS);
+        int[] ofBurst = simulation.countsOfClass.get(burst.requestClass.name());
+        int[] ofOther = simulation.countsOfClass.get(other.requestClass.name());
         return new Served(
-                part(ofBurst[1], ofBurst[0]),
-                part(ofOther[1], ofOther[0]),
-                part(ofBurst[1] + ofOther[1], ofBurst[0] + ofOther[0]));
+                fraction(ofBurst[1], ofBurst[0]),
+                fraction(ofOther[1], ofOther[0]),
+                fraction(ofBurst[1] + ofOther[1], ofBurst[0] + ofOther[0]));
     }
 
-    private static double part(int served, int asked) {
-        return (double) served / asked;
+    private static double fraction(int served, int arrived) {
+        return (double) served / arrived;
     }
 
     @ParameterizedTest
@@ -239,18 +251,23 @@
         "1, 1, 600, IDEM",
         "2, 0, 600, CALLS"
     })
-    void noKindIsServedLessThanAQuarterAsOftenAsAll(int burstPrio, int otherPrio, double rate, Other what) {
-        Load burst = new Load(kind("burst", burstPrio, Idempotency.SAFE), 80, rate, TIMEOUT);
-        Idempotency effect = what == Other.MUTATING ? Idempotency.UNSAFE : Idempotency.SAFE;
-        Load other = new Load(kind("other", otherPrio, effect), 40, 40, what == Other.CALLS ? LEAST_LEFT : TIMEOUT);
-        Served with = during(burst, other, 0.5);
-        Served without = during(burst, other, 0);
+    void noClassIsServedLessThanAQuarterAsOftenAsAll(
+            int burstPriority, int otherPriority, double rate, OtherTraffic otherTraffic) {
+        Workload burst = new Workload(requestClass("burst", burstPriority, Idempotency.SAFE), 80, rate, TIMEOUT);
+        Idempotency idempotency = otherTraffic == OtherTraffic.MUTATING ? Idempotency.UNSAFE : Idempotency.SAFE;
+        Workload other = new Workload(
+                requestClass("other", otherPriority, idempotency),
+                40,
+                40,
+                otherTraffic == OtherTraffic.CALLS ? MIN_TIME_LEFT : TIMEOUT);
+        Served with = simulate(burst, other, 0.5);
+        Served without = simulate(burst, other, 0);
         System.out.printf(
-                "burst of %.0f a second, prio %d beside %d (%s): %s, without the guard %s%n",
-                rate, burstPrio, otherPrio, what, with, without);
+                "burst of %.0f a second, priority %d beside %d (%s): %s, without a minimum %s%n",
+                rate, burstPriority, otherPriority, otherTraffic, with, without);
         assertTrue(with.other >= with.all / 4, with.toString());
         assertTrue(with.burst >= with.all / 4, with.toString());
-        boolean lessUrgent = otherPrio > burstPrio;
-        assertEquals(lessUrgent, without.other < without.all / 4, "without the guard " + without);
+        boolean lessUrgent = otherPriority > burstPriority;
+        assertEquals(lessUrgent, without.other < without.all / 4, "without a minimum " + without);
     }
 }
--- a/src/test/java/tinworks/policy/FaultyTickTest.java
+++ b/src/test/java/tinworks/policy/FaultyTickTest.java
@@ -19,13 +19,13 @@
 import tinworks.policy.LoadBalancerApi.TimerFired;
 
 /**
- * A fault in one step of the shares is not the last step. The timer of the next one was set at the end of a step: after
- * a fault in it shares stood still for good, and nothing showed it but {@code NO_FAULT} 1 in the metrics.
+ * A fault during a tick must not stop later ticks. The next timer used to be set at the end of a tick, so after a fault
+ * the shares were never updated again, and only {@code NO_FAULT} 1 in the metrics showed it.
  */
 class FaultyTickTest {
     private static final long SECOND = 1_000_000_000L;
-    private static final long STEP_TOKEN = 1;
-    private static final long SWEEP_TOKEN = 2;
+    private static final long TICK_TIMER = 1;
+    private static final long SWEEP_TIMER = 2;
 
     private static final class FaultyLog implements Actions {
         private final List<Long> timers = new ArrayList<>();
@@ -43,12 +43,12 @@
 
         @Override
         public void fail(String request) {
-            throw new AssertionError("nothing was tried");
+            throw new AssertionError("nothing was sent");
         }
 
         @Override
         public void cancel(String request, int attempt) {
-            throw new AssertionError("nothing was tried");
+            throw new AssertionError("nothing was sent");
         }
 
         @Override
@@ -58,7 +58,7 @@
 
         @Override
         public void subscribe() {
-            throw new AssertionError("the list comes by itself");
+            throw new AssertionError("the settings do not ask for a subscription");
         }
 
         @Override
@@ -68,33 +68,33 @@
     }
 
     @Test
-    void theNextStepIsDueAllTheSame() {
+    void theNextTickIsScheduledDespiteAFault() {
         FaultyLog actions = new FaultyLog();
-        RequestClass kind = new RequestClass(
+        RequestClass requestClass = new RequestClass(
                 "k", Idempotency.SAFE, DedupScope.ALL, 0, SECOND, 2 * SECOND, 1, 0.5, false, 2, 2 * SECOND);
-        LoadBalancer choice = new LoadBalancer(
+        LoadBalancer loadBalancer = new LoadBalancer(
                 new Settings(
                         1,
                         -1,
                         "z",
                         false,
                         SECOND / 1_000,
-                        List.of(kind),
+                        List.of(requestClass),
                         List.of(),
                         1,
                         new Permissions(32, true, false),
                         new PolicyParameters(0, 0, Long.MAX_VALUE, 0.5, SECOND, 1e9, SECOND)),
                 1,
                 actions);
-        choice.onEvent(0, new ServerListReceived(ServerListKind.FULL, List.of()));
-        choice.onEvent(1, new RequestArrived("r", "k", null, null, SECOND, 0, false, 0));
-        choice.onEvent(3 * SECOND, new TimerFired(SWEEP_TOKEN, 0));
-        assertEquals(1, actions.refused, "it has no server");
+        loadBalancer.onEvent(0, new ServerListReceived(ServerListKind.FULL, List.of()));
+        loadBalancer.onEvent(1, new RequestArrived("r", "k", null, null, SECOND, 0, false, 0));
+        loadBalancer.onEvent(3 * SECOND, new TimerFired(SWEEP_TIMER, 0));
+        assertEquals(1, actions.refused, "there is no server");
         actions.timers.clear();
         assertThrows(
                 IllegalStateException.class,
-                () -> choice.onEvent(5 * SECOND, new TimerFired(STEP_TOKEN, 0)),
-                "it logs");
-        assertEquals(List.of(STEP_TOKEN), actions.timers);
+                () -> loadBalancer.onEvent(5 * SECOND, new TimerFired(TICK_TIMER, 0)),
+                "the log call fails");
+        assertEquals(List.of(TICK_TIMER), actions.timers);
     }
 }
--- a/src/test/java/tinworks/policy/GatewayFixture.java
+++ b/src/test/java/tinworks/policy/GatewayFixture.java
@@ -19,7 +19,7 @@
 import tinworks.policy.LoadBalancerApi.Tenant;
 import tinworks.policy.LoadBalancerApi.TimerFired;
 
-/** A gateway under test: its module, its recorder, and short ways to say what happens. */
+/** A load balancer under test with its recorder, and short methods to deliver events to it. */
 final class GatewayFixture {
     static final long MS = 1_000_000L;
     static final long SECOND = 1_000 * MS;
@@ -68,12 +68,12 @@
         return server(id, "a", Readiness.READY, 0);
     }
 
-    /** Servers s0, s1 and so on, warm, in the gateway's zone. */
+    /** Adds servers s0, s1 and so on, past slow start, in the gateway's zone. */
     GatewayFixture withServers(int servers) {
         return withServers(servers, "a");
     }
 
-    /** The same, in the gateway's zone and another by turns. */
+    /** Adds servers alternately in the gateway's zone and in another. */
     GatewayFixture withServers(int servers, String otherZone) {
         List<ServerInfo> list = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
@@ -83,15 +83,15 @@
         return this;
     }
 
-    void list(ServerListKind kind, List<ServerInfo> servers) {
-        loadBalancer.onEvent(now, new ServerListReceived(kind, servers));
+    void list(ServerListKind listKind, List<ServerInfo> servers) {
+        loadBalancer.onEvent(now, new ServerListReceived(listKind, servers));
     }
 
-    void list(ServerListKind kind, ServerInfo... servers) {
-        list(kind, List.of(servers));
+    void list(ServerListKind listKind, ServerInfo... servers) {
+        list(listKind, List.of(servers));
     }
 
-    /** A request of the class; its id. */
+    /** Delivers a request of the class and returns its id. */
     String request(RequestClass c) {
         return request(c, null, c.deadlineNanos());
     }
@@ -114,7 +114,7 @@
         loadBalancer.onEvent(now, new TimerFired(token));
     }
 
-    /** The server that the only send since the last look went to, or null. */
+    /** Returns the server of the only send since the last call, or null if there was none. */
     String sentTo() {
         List<Recorder.Action> sends = recorder.take("send");
         if (sends.size() > 1) {
@@ -123,7 +123,7 @@
         return sends.isEmpty() ? null : sends.get(0).server();
     }
 
-    /** Asks and answers at once; the server that served. */
+    /** Delivers a request, answers it at once and returns the server that it was sent to. */
     String requestAndAnswer(RequestClass c, Outcome outcome, long elapsed) {
         return requestAndAnswer(c, outcome, elapsed, outcome == Outcome.SERVED);
     }
@@ -138,17 +138,17 @@
         return server;
     }
 
-    /** How many of so many requests go out when none is answered. */
+    /** Delivers requests that are not answered and returns how many are sent. */
     int countSent(RequestClass c, int n) {
-        int out = 0;
+        int sent = 0;
         for (int i = 0; i < n; i++) {
             request(c);
-            out += sentTo() == null ? 0 : 1;
+            sent += sentTo() == null ? 0 : 1;
         }
-        return out;
+        return sent;
     }
 
-    /** Asks all at once and answers each when it is out. */
+    /** Delivers all requests at once and answers each when it is sent. */
     void serveConcurrently(RequestClass c, int n, long elapsed) {
         for (int i = 0; i < n; i++) {
             request(c);
@@ -156,11 +156,11 @@
         answerAllSent(elapsed);
     }
 
-    /** Answers each request when it is out, until none is; the requests in the order in which they went out. */
+    /** Answers each request when it is sent, until none is; returns the requests in the order of their sends. */
     List<String> answerAllSent(long elapsed) {
         List<String> sent = new ArrayList<>();
-        for (List<Recorder.Action> out = recorder.take("send"); !out.isEmpty(); out = recorder.take("send")) {
-            for (Recorder.Action a : out) {
+        for (List<Recorder.Action> sends = recorder.take("send"); !sends.isEmpty(); sends = recorder.take("send")) {
+            for (Recorder.Action a : sends) {
                 sent.add(a.id());
                 endAttempt(a.id(), 0, a.server(), Outcome.SERVED, elapsed);
             }
@@ -168,18 +168,18 @@
         return sent;
     }
 
-    /** How many requests go out before the next is held; all are called back afterwards. */
+    /** Returns how many requests are sent before the next is queued; all are cancelled afterwards. */
     int maxInFlight() {
-        List<Recorder.Action> out = new ArrayList<>();
-        List<String> asked = new ArrayList<>();
+        List<Recorder.Action> inFlight = new ArrayList<>();
+        List<String> requested = new ArrayList<>();
         for (List<Recorder.Action> sends = null; sends == null || !sends.isEmpty(); ) {
-            asked.add(request(firstClass));
+            requested.add(request(firstClass));
             sends = recorder.take("send");
-            out.addAll(sends);
+            inFlight.addAll(sends);
         }
-        asked.forEach(id -> loadBalancer.onEvent(now, new ClientDisconnected(id)));
-        out.forEach(a -> endAttempt(a.id(), 0, a.server(), Outcome.NOT_SENT, 0, true));
+        requested.forEach(id -> loadBalancer.onEvent(now, new ClientDisconnected(id)));
+        inFlight.forEach(a -> endAttempt(a.id(), 0, a.server(), Outcome.NOT_SENT, 0, true));
         recorder.take();
-        return out.size();
+        return inFlight.size();
     }
 }
--- a/src/test/java/tinworks/policy/PeerReportTest.java
+++ b/src/test/java/tinworks/policy/PeerReportTest.java
@@ -17,7 +17,7 @@
 import tinworks.policy.LoadBalancerApi.Permissions;
 import tinworks.policy.LoadBalancerApi.Settings;
 
-/** What the gateways of a large fleet tell each other, and what they make of it. */
+/** In-flight reports between the gateways of a large fleet, and their effect on where requests go. */
 class PeerReportTest {
     private static GatewayFixture gateway(boolean peers) {
         Settings s = settings(false, 4, List.of(), List.of(READ));
@@ -37,7 +37,7 @@
                 .withServers(8);
     }
 
-    /** A message that so many requests are out at each of these servers. */
+    /** A report of the same number of requests in flight at each of these servers. */
     private static byte[] message(int count, String... servers) {
         byte[] bytes = new byte[1 + 5 * servers.length];
         bytes[0] = 1;
@@ -49,99 +49,100 @@
         return bytes;
     }
 
-    private static boolean draws(GatewayFixture fleet, String server) {
+    private static boolean draws(GatewayFixture gateway, String server) {
         for (int i = 0; i < 200; i++) {
-            if (server.equals(fleet.requestAndAnswer(READ, Outcome.SERVED, 10 * MS))) {
+            if (server.equals(gateway.requestAndAnswer(READ, Outcome.SERVED, 10 * MS))) {
                 return true;
             }
-            fleet.now += 100 * MS;
-            fleet.loadBalancer.onEvent(fleet.now, new PeerMessageReceived(2, message(3, server)));
+            gateway.now += 100 * MS;
+            gateway.loadBalancer.onEvent(gateway.now, new PeerMessageReceived(2, message(3, server)));
         }
         return false;
     }
 
-    /** One of the gateway's own portion, which it draws at once where nothing speaks against it. */
-    private static String own() {
+    /** A server of the gateway's subset, which it draws first where nothing else matters. */
+    private static String ownServer() {
         return gateway(true).requestAndAnswer(READ, Outcome.SERVED, 10 * MS);
     }
 
     @Test
-    void tellsWhatIsOutAndTellsItAgainOnlyWhenItHasChangedOrAfterAWhile() {
-        GatewayFixture fleet = gateway(true);
-        String id = fleet.request(READ);
-        String server = fleet.sentTo();
-        fleet.fireTimer(SWEEP);
-        assertEquals(1, fleet.recorder.peerMessages.size());
-        assertArrayEquals(message(1, server), fleet.recorder.peerMessages.get(0));
-        fleet.now += 30 * MS;
-        fleet.fireTimer(SWEEP);
-        assertEquals(1, fleet.recorder.peerMessages.size(), "nothing has changed");
-        fleet.now += 250 * MS;
-        fleet.fireTimer(SWEEP);
-        assertEquals(2, fleet.recorder.peerMessages.size(), "a message may have been lost");
-        fleet.now += 30 * MS;
-        fleet.endAttempt(id, 0, server, Outcome.SERVED, 310 * MS);
-        fleet.fireTimer(SWEEP);
-        assertArrayEquals(message(0), fleet.recorder.peerMessages.get(2));
+    void reportsInFlightCountsOnChangeAndPeriodically() {
+        GatewayFixture gateway = gateway(true);
+        String id = gateway.request(READ);
+        String server = gateway.sentTo();
+        gateway.fireTimer(SWEEP);
+        assertEquals(1, gateway.recorder.peerMessages.size());
+        assertArrayEquals(message(1, server), gateway.recorder.peerMessages.get(0));
+        gateway.now += 30 * MS;
+        gateway.fireTimer(SWEEP);
+        assertEquals(1, gateway.recorder.peerMessages.size(), "nothing has changed");
+        gateway.now += 250 * MS;
+        gateway.fireTimer(SWEEP);
+        assertEquals(2, gateway.recorder.peerMessages.size(), "a message may have been lost");
+        gateway.now += 30 * MS;
+        gateway.endAttempt(id, 0, server, Outcome.SERVED, 310 * MS);
+        gateway.fireTimer(SWEEP);
+        assertArrayEquals(message(0), gateway.recorder.peerMessages.get(2));
     }
 
     @Test
-    void saysNothingWhereTheSettingsAllowNoMessages() {
-        GatewayFixture fleet = gateway(false);
-        fleet.request(READ);
-        fleet.fireTimer(SWEEP);
-        assertEquals(0, fleet.recorder.peerMessages.size());
+    void sendsNoReportIfMessagesAreNotPermitted() {
+        GatewayFixture gateway = gateway(false);
+        gateway.request(READ);
+        gateway.fireTimer(SWEEP);
+        assertEquals(0, gateway.recorder.peerMessages.size());
     }
 
     @Test
-    void passesOverAServerWhereOthersHaveEnoughOut() {
-        String own = own();
-        GatewayFixture fleet = gateway(true);
-        fleet.loadBalancer.onEvent(fleet.now, new PeerMessageReceived(2, message(3, own)));
-        assertFalse(draws(fleet, own), own);
+    void avoidsAServerWhereOtherGatewaysHaveEnoughInFlight() {
+        String ownServer = ownServer();
+        GatewayFixture gateway = gateway(true);
+        gateway.loadBalancer.onEvent(gateway.now, new PeerMessageReceived(2, message(3, ownServer)));
+        assertFalse(draws(gateway, ownServer), ownServer);
     }
 
     @Test
-    void takesANewMessageInPlaceOfTheOneBefore() {
-        String own = own();
-        GatewayFixture fleet = gateway(true);
-        fleet.loadBalancer.onEvent(fleet.now, new PeerMessageReceived(2, message(3, own)));
-        fleet.loadBalancer.onEvent(fleet.now, new PeerMessageReceived(2, message(0)));
-        assertEquals(own, fleet.requestAndAnswer(READ, Outcome.SERVED, 10 * MS));
+    void aNewReportReplacesThePreviousOne() {
+        String ownServer = ownServer();
+        GatewayFixture gateway = gateway(true);
+        gateway.loadBalancer.onEvent(gateway.now, new PeerMessageReceived(2, message(3, ownServer)));
+        gateway.loadBalancer.onEvent(gateway.now, new PeerMessageReceived(2, message(0)));
+        assertEquals(ownServer, gateway.requestAndAnswer(READ, Outcome.SERVED, 10 * MS));
     }
 
     @Test
-    void forgetsWhatAGatewaySaidThatHasGoneSilent() {
-        String own = own();
-        GatewayFixture fleet = gateway(true);
-        fleet.loadBalancer.onEvent(fleet.now, new PeerMessageReceived(2, message(3, own)));
-        fleet.now += SECOND;
-        fleet.fireTimer(SWEEP);
-        assertEquals(own, fleet.requestAndAnswer(READ, Outcome.SERVED, 10 * MS));
+    void dropsTheReportOfAGatewayThatStoppedReporting() {
+        String ownServer = ownServer();
+        GatewayFixture gateway = gateway(true);
+        gateway.loadBalancer.onEvent(gateway.now, new PeerMessageReceived(2, message(3, ownServer)));
+        gateway.now += SECOND;
+        gateway.fireTimer(SWEEP);
+        assertEquals(ownServer, gateway.requestAndAnswer(READ, Outcome.SERVED, 10 * MS));
     }
 
     @Test
-    void aSpoiltMessageTellsNothing() {
-        String own = own();
-        byte[] other = message(3, own);
+    void ignoresMalformedReports() {
+        String ownServer = ownServer();
+        byte[] other = message(3, ownServer);
         other[0] = 2;
-        for (byte[] spoilt :
-                List.of(new byte[0], other, java.util.Arrays.copyOf(message(3, own), 5), message(3, "unheard"))) {
-            GatewayFixture fleet = gateway(true);
-            fleet.loadBalancer.onEvent(fleet.now, new PeerMessageReceived(2, spoilt));
-            assertEquals(own, fleet.requestAndAnswer(READ, Outcome.SERVED, 10 * MS));
+        for (byte[] malformed :
+                List.of(new byte[0], other, java.util.Arrays.copyOf(message(3, ownServer), 5), message(3, "unknown"))) {
+            GatewayFixture gateway = gateway(true);
+            gateway.loadBalancer.onEvent(gateway.now, new PeerMessageReceived(2, malformed));
+            assertEquals(ownServer, gateway.requestAndAnswer(READ, Outcome.SERVED, 10 * MS));
         }
     }
 
     @Test
-    void aMessageIsNeverLongerThanIsAllowed() {
+    void aReportNeverExceedsItsMaximumLength() {
         Settings s = settings(false, 2, List.of(), List.of(READ));
-        GatewayFixture fleet = new GatewayFixture(s, 7).withServers(400);
+        GatewayFixture gateway = new GatewayFixture(s, 7).withServers(400);
         for (int i = 0; i < 300; i++) {
-            fleet.now += 2 * MS;
-            fleet.request(READ);
+            gateway.now += 2 * MS;
+            gateway.request(READ);
         }
-        fleet.fireTimer(SWEEP);
-        assertTrue(fleet.recorder.peerMessages.get(0).length > 200 && fleet.recorder.peerMessages.get(0).length <= 256);
+        gateway.fireTimer(SWEEP);
+        assertTrue(gateway.recorder.peerMessages.get(0).length > 200
+                && gateway.recorder.peerMessages.get(0).length <= 256);
     }
 }
--- a/src/test/java/tinworks/policy/QuickStartTest.java
+++ b/src/test/java/tinworks/policy/QuickStartTest.java
@@ -25,7 +25,7 @@
 class QuickStartTest {
     private static final long MS = 1_000_000L;
 
-    /** A gateway's side of the interface; a real one opens connections and sets timers here. */
+    /** The gateway's side of the interface; a real one opens connections and sets timers here. */
     private static final class Host implements Actions {
         final List<String> sent = new ArrayList<>();
         long timers;
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aGatewayEmbedsChoiceInAFewLines() {
+    void aGatewayEmbedsTheLoadBalancerInAFewLines() {
         RequestClass read =
                 new RequestClass("read", Idempotency.SAFE, DedupScope.ALL, 0, 300 * MS, 1000 * MS, 1, 0, false);
         Settings settings = new Settings(
@@ -73,15 +73,16 @@
                 new Permissions(3, true, true),
                 new PolicyParameters(20 * MS, 250 * MS, 10_000 * MS, 0.2, 20_000 * MS, 2.5, 1000 * MS));
         Host host = new Host();
-        LoadBalancer choice = new LoadBalancer(settings, 42, host);
+        LoadBalancer loadBalancer = new LoadBalancer(settings, 42, host);
 
         long now = 5_000 * MS; // in a gateway: System.nanoTime()
         ServerInfo server = new ServerInfo("10.0.0.7:80", "zone-a", "m5", 0, Readiness.READY, 1, 0);
-        choice.onEvent(now, new ServerListReceived(ServerListKind.FULL, List.of(server)));
-        choice.onEvent(now, new RequestArrived("r1", "read", null, null, 1000 * MS, 0, false));
-        choice.onEvent(now + 20 * MS, new AttemptEnded("r1", 0, "10.0.0.7:80", Outcome.SERVED, 20 * MS, true, null));
+        loadBalancer.onEvent(now, new ServerListReceived(ServerListKind.FULL, List.of(server)));
+        loadBalancer.onEvent(now, new RequestArrived("r1", "read", null, null, 1000 * MS, 0, false));
+        loadBalancer.onEvent(
+                now + 20 * MS, new AttemptEnded("r1", 0, "10.0.0.7:80", Outcome.SERVED, 20 * MS, true, null));
 
         assertEquals(List.of("r1 to 10.0.0.7:80"), host.sent);
-        assertTrue(host.timers > 0, "the module asks to be woken");
+        assertTrue(host.timers > 0, "the load balancer sets timers");
     }
 }
--- a/src/test/java/tinworks/policy/RandomEventsTest.java
+++ b/src/test/java/tinworks/policy/RandomEventsTest.java
@@ -37,10 +37,13 @@
 import tinworks.policy.LoadBalancerApi.Tenant;
 import tinworks.policy.LoadBalancerApi.TimerFired;
 
-/** A seeded run of random legal events that holds every action against the four rules. */
+/**
+ * Runs random valid events from a seed and checks every action against the four rules: attempts and deadlines,
+ * draining, idempotency, and slow start.
+ */
 class RandomEventsTest {
     private static final long TICK = 5 * MS;
-    private static final long LENGTH = 60 * SECOND;
+    private static final long DURATION = 60 * SECOND;
     private static final RequestClass CELL_FILE = new RequestClass(
             "cell-file", Idempotency.KEYED, DedupScope.CELL, SECOND, 300 * MS, 2 * SECOND, 2, 0, false);
     private static final RequestClass ANY_FILE = new RequestClass(
@@ -49,56 +52,56 @@
 
     private record Send(String server, long at, int number) {}
 
-    /** What the test knows of a request. */
-    private static final class Asked {
-        final RequestClass kind;
+    /** What the test has recorded of a request. */
+    private static final class TrackedRequest {
+        final RequestClass requestClass;
         final long deadline;
         final List<Send> sends = new ArrayList<>();
-        final Set<Integer> neverRan = new HashSet<>();
+        final Set<Integer> notExecuted = new HashSet<>();
         final Map<Integer, Long> endsAt = new TreeMap<>();
         boolean answered;
 
-        Asked(RequestClass kind, long deadline) {
-            this.kind = kind;
+        TrackedRequest(RequestClass requestClass, long deadline) {
+            this.requestClass = requestClass;
             this.deadline = deadline;
         }
 
-        Send firstThatMayRun() {
+        Send firstPossiblyExecuted() {
             return sends.stream()
-                    .filter(s -> !neverRan.contains(s.number()))
+                    .filter(s -> !notExecuted.contains(s.number()))
                     .findFirst()
                     .orElse(null);
         }
     }
 
-    /** A small world that delivers events and checks actions. */
-    private static final class World {
+    /** A simulation that delivers events and checks actions. */
+    private static final class Simulation {
         final SplittableRandom random;
-        final Recorder host = new Recorder();
-        final LoadBalancer choice;
-        final Map<String, Asked> asked = new TreeMap<>();
+        final Recorder recorder = new Recorder();
+        final LoadBalancer loadBalancer;
+        final Map<String, TrackedRequest> requests = new TreeMap<>();
         final Map<String, ServerInfo> listed = new TreeMap<>();
-        final Map<String, Long> toldNotReady = new HashMap<>();
-        final Map<String, List<Long>> coldSends = new HashMap<>();
+        final Map<String, Long> notReadySince = new HashMap<>();
+        final Map<String, List<Long>> slowStartSends = new HashMap<>();
         final TreeMap<Long, List<Long>> timers = new TreeMap<>();
         long now = 50 * SECOND;
-        int count;
-        int finals;
+        int arrivalCount;
+        int answerCount;
 
-        World(long seed) {
+        Simulation(long seed) {
             random = new SplittableRandom(seed);
-            choice = new LoadBalancer(settings(false, 1, List.of(new Tenant("t", 20)), CLASSES), seed, host);
+            loadBalancer = new LoadBalancer(settings(false, 1, List.of(new Tenant("t", 20)), CLASSES), seed, recorder);
         }
 
         void on(Event e) {
-            choice.onEvent(now, e);
-            host.take().forEach(this::check);
+            loadBalancer.onEvent(now, e);
+            recorder.take().forEach(this::check);
         }
 
         void check(Recorder.Action a) {
             switch (a.type()) {
                 case "send" -> checkSend(a);
-                case "refuse", "fail" -> checkFinal(a);
+                case "refuse", "fail" -> checkAnswer(a);
                 case "setTimer" ->
                     timers.computeIfAbsent(now + Math.max(TICK, a.number()), t -> new ArrayList<>())
                             .add(timerToken(a.number()));
@@ -106,30 +109,36 @@
             }
         }
 
-        /** The recorder keeps the delay only: the step's interval is known, all else is the sweep. */
+        /** The recorder keeps only the delay of a timer: that of the tick is known, all others are sweeps. */
         static long timerToken(long delay) {
             return delay == 5 * SECOND ? GatewayFixture.TICK : GatewayFixture.SWEEP;
         }
 
         void checkSend(Recorder.Action a) {
-            Asked r = asked.get(a.id());
+            TrackedRequest r = requests.get(a.id());
             ServerInfo s = listed.get(a.server());
             assertTrue(!r.answered && now < r.deadline, "sent after its end: " + a);
             assertTrue(r.sends.size() < 4, "too many attempts: " + a);
-            Long told = toldNotReady.get(a.server());
-            assertTrue(told == null || now <= told + PARAMETERS.drainGraceNanos(), "drain not kept: " + a);
-            Send first = r.firstThatMayRun();
-            if (first != null && r.kind.idempotency() == Idempotency.UNSAFE) {
-                fail("unsafe request sent again: " + a);
+            Long since = notReadySince.get(a.server());
+            assertTrue(since == null || now <= since + PARAMETERS.drainGraceNanos(), "sent to a draining server: " + a);
+            Send first = r.firstPossiblyExecuted();
+            if (first != null && r.requestClass.idempotency() == Idempotency.UNSAFE) {
+                fail("unsafe request retried: " + a);
             }
-            if (first != null && r.kind.idempotency() == Idempotency.KEYED) {
+            if (first != null && r.requestClass.idempotency() == Idempotency.KEYED) {
                 ServerInfo at = listed.get(first.server());
-                assertTrue(now - first.at() < r.kind.dedupWindowNanos(), "past its window: " + a);
-                assertTrue(r.kind.dedupScope() != DedupScope.ZONE || at.zone().equals(s.zone()), "another zone: " + a);
-                assertTrue(r.kind.dedupScope() != DedupScope.CELL || at.cell() == s.cell(), "another cell: " + a);
+                assertTrue(now - first.at() < r.requestClass.dedupWindowNanos(), "past its deduplication window: " + a);
+                assertTrue(
+                        r.requestClass.dedupScope() != DedupScope.ZONE
+                                || at.zone().equals(s.zone()),
+                        "another zone: " + a);
+                assertTrue(
+                        r.requestClass.dedupScope() != DedupScope.CELL || at.cell() == s.cell(), "another cell: " + a);
             }
             if (s.startedAtNanos() > 0 && now - s.startedAtNanos() < PARAMETERS.slowStartNanos()) {
-                coldSends.computeIfAbsent(a.server(), id -> new ArrayList<>()).add(now);
+                slowStartSends
+                        .computeIfAbsent(a.server(), id -> new ArrayList<>())
+                        .add(now);
             }
             int number = r.sends.size();
             r.sends.add(new Send(a.server(), now, number));
@@ -138,31 +147,32 @@
                     Math.min(r.deadline, now + random.nextLong(MS, random.nextInt(10) == 0 ? 3 * SECOND : 150 * MS)));
         }
 
-        void checkFinal(Recorder.Action a) {
-            Asked r = asked.get(a.id());
+        void checkAnswer(Recorder.Action a) {
+            TrackedRequest r = requests.get(a.id());
             assertTrue(!r.answered, "answered twice: " + a);
             assertTrue(now <= r.deadline + PARAMETERS.answerSlackNanos(), "answered late: " + a);
-            if (a.type().equals("refuse") && r.firstThatMayRun() != null) {
+            if (a.type().equals("refuse") && r.firstPossiblyExecuted() != null) {
                 assertTrue(
-                        r.kind.idempotency() == Idempotency.SAFE
-                                || (r.kind.idempotency() == Idempotency.KEYED && r.kind.dedupScope() == DedupScope.ALL),
+                        r.requestClass.idempotency() == Idempotency.SAFE
+                                || (r.requestClass.idempotency() == Idempotency.KEYED
+                                        && r.requestClass.dedupScope() == DedupScope.ALL),
                         "refused: " + a);
             }
             r.answered = true;
-            finals++;
+            answerCount++;
         }
 
-        void ask() {
+        void arrive() {
             RequestClass c = CLASSES.get(random.nextInt(CLASSES.size()));
-            String id = String.format("r%06d", count++);
+            String id = String.format("r%06d", arrivalCount++);
             long expires = random.nextInt(20) == 0 ? random.nextLong(1, 30 * MS) : c.deadlineNanos();
-            asked.put(id, new Asked(c, now + expires));
+            requests.put(id, new TrackedRequest(c, now + expires));
             on(new RequestArrived(id, c.name(), random.nextBoolean() ? "t" : null, null, expires, 0, false));
         }
 
         void endAttempts() {
-            for (Map.Entry<String, Asked> entry : new ArrayList<>(asked.entrySet())) {
-                Asked r = entry.getValue();
+            for (Map.Entry<String, TrackedRequest> entry : new ArrayList<>(requests.entrySet())) {
+                TrackedRequest r = entry.getValue();
                 for (int number : List.copyOf(r.endsAt.keySet())) {
                     if (r.endsAt.get(number) <= now) {
                         r.endsAt.remove(number);
@@ -170,12 +180,12 @@
                     }
                 }
                 if (r.answered && r.endsAt.isEmpty()) {
-                    asked.remove(entry.getKey());
+                    requests.remove(entry.getKey());
                 }
             }
         }
 
-        void end(String id, Asked r, int number) {
+        void end(String id, TrackedRequest r, int number) {
             boolean due = now >= r.deadline;
             Outcome outcome = due
                     ? Outcome.TIMED_OUT
@@ -187,9 +197,9 @@
                         default -> Outcome.SERVED;
                     };
             if (outcome.provesNotExecuted()) {
-                r.neverRan.add(number);
+                r.notExecuted.add(number);
             }
-            finals += outcome == Outcome.SERVED && !r.answered ? 1 : 0;
+            answerCount += outcome == Outcome.SERVED && !r.answered ? 1 : 0;
             r.answered |= outcome == Outcome.SERVED;
             Send s = r.sends.get(number);
             on(new AttemptEnded(id, number, s.server(), outcome, now - s.at(), r.answered, null));
@@ -202,11 +212,11 @@
             long started = before.readiness() == Readiness.READY ? before.startedAtNanos() : now;
             ServerInfo after = new ServerInfo(id, before.zone(), "k", before.cell(), readiness, 1, started);
             listed.put(id, after);
-            coldSends.remove(id);
+            slowStartSends.remove(id);
             if (readiness == Readiness.READY) {
-                toldNotReady.remove(id);
+                notReadySince.remove(id);
             } else {
-                toldNotReady.putIfAbsent(id, now);
+                notReadySince.putIfAbsent(id, now);
             }
             boolean whole = random.nextInt(4) == 0;
             on(new ServerListReceived(
@@ -219,9 +229,9 @@
                 listed.put("s" + i, new ServerInfo("s" + i, i < 4 ? "a" : "b", "k", i / 2, Readiness.READY, 1, 0));
             }
             on(new ServerListReceived(ServerListKind.CACHED, List.copyOf(listed.values())));
-            for (long end = now + LENGTH; now < end; now += TICK) {
+            for (long end = now + DURATION; now < end; now += TICK) {
                 for (int i = random.nextInt(2); i > 0; i--) {
-                    ask();
+                    arrive();
                 }
                 endAttempts();
                 while (!timers.isEmpty() && timers.firstKey() <= now) {
@@ -230,15 +240,15 @@
                 if (random.nextInt(400) == 0) {
                     changeList();
                 }
-                asked.forEach((id, r) ->
+                requests.forEach((id, r) ->
                         assertTrue(r.answered || now <= r.deadline + PARAMETERS.answerSlackNanos(), "lost: " + id));
-                checkCold();
+                checkSlowStart();
             }
         }
 
-        /** All that a cold server may get in the window, were each request worth a hundredth of a second of it. */
-        void checkCold() {
-            coldSends.forEach((id, sends) -> {
+        /** Checks the load of servers in slow start, with a capacity of 100 requests a second. */
+        void checkSlowStart() {
+            slowStartSends.forEach((id, sends) -> {
                 sends.removeIf(at -> at < now - PARAMETERS.overloadWindowNanos());
                 double age = (now - listed.get(id).startedAtNanos()) / (double) PARAMETERS.slowStartNanos();
                 double capacity = PARAMETERS.slowStartInitialFraction()
@@ -252,21 +262,23 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void everyActionKeepsTheFourRules(long seed) {
-        World world = new World(seed);
-        world.run();
-        assertTrue(world.finals > 4000, "answered: " + world.finals);
+    void everyActionObeysTheFourRules(long seed) {
+        Simulation simulation = new Simulation(seed);
+        simulation.run();
+        assertTrue(simulation.answerCount > 4000, "answered: " + simulation.answerCount);
         assertEquals(
-                world.count,
-                world.finals
-                        + world.asked.values().stream().filter(r -> !r.answered).count());
+                simulation.arrivalCount,
+                simulation.answerCount
+                        + simulation.requests.values().stream()
+                                .filter(r -> !r.answered)
+                                .count());
     }
 
     @Test
-    void whatComesAtTheEndIsAnsweredBeforeIt() {
-        GatewayFixture fleet = new GatewayFixture().withServers(1);
-        fleet.loadBalancer.onEvent(fleet.now, new ShutdownStarted(300 * MS));
-        fleet.request(READ);
-        assertEquals(300 * MS, fleet.recorder.take("send").get(0).number());
+    void requestsDuringShutdownAreAnsweredBeforeItsEnd() {
+        GatewayFixture gateway = new GatewayFixture().withServers(1);
+        gateway.loadBalancer.onEvent(gateway.now, new ShutdownStarted(300 * MS));
+        gateway.request(READ);
+        assertEquals(300 * MS, gateway.recorder.take("send").get(0).number());
     }
 }
--- a/src/test/java/tinworks/policy/Recorder.java
+++ b/src/test/java/tinworks/policy/Recorder.java
@@ -4,28 +4,28 @@
 import java.util.List;
 import tinworks.policy.LoadBalancerApi.Actions;
 
-/** A host that only writes down what the module asks for. */
+/** A host that records the actions that the load balancer requests. */
 final class Recorder implements Actions {
-    /** One action; fields that an action lacks are null or 0. */
+    /** One action; fields that it does not have are null or 0. */
     record Action(String type, String id, String server, long number) {}
 
     final List<Action> actions = new ArrayList<>();
-    /** The messages that went to the other gateways, in their order. */
+    /** Messages sent to the other gateways, in their order. */
     final List<byte[]> peerMessages = new ArrayList<>();
 
-    private void add(String what, String id, String server, long number) {
-        actions.add(new Action(what, id, server, number));
+    private void add(String type, String id, String server, long number) {
+        actions.add(new Action(type, id, server, number));
     }
 
-    /** Takes out all that was recorded since the last call. */
+    /** Returns and clears the actions recorded since the last call. */
     List<Action> take() {
         List<Action> taken = new ArrayList<>(actions);
         actions.clear();
         return taken;
     }
 
-    List<Action> take(String what) {
-        return take().stream().filter(a -> a.type().equals(what)).toList();
+    List<Action> take(String type) {
+        return take().stream().filter(a -> a.type().equals(type)).toList();
     }
 
     @Override
@@ -55,7 +55,7 @@
 
     @Override
     public void sendToPeers(byte[] body) {
-        add("tellAll", null, null, body.length);
+        add("sendToPeers", null, null, body.length);
         peerMessages.add(body);
     }
 
--- a/src/test/java/tinworks/policy/SubsetTest.java
+++ b/src/test/java/tinworks/policy/SubsetTest.java
@@ -21,7 +21,7 @@
 import tinworks.policy.LoadBalancerApi.ServerListKind;
 import tinworks.policy.LoadBalancerApi.Settings;
 
-/** How the gateways of a large fleet divide its servers while each meets them seldom. */
+/** Subsetting: how the gateways of a large fleet divide its servers while each uses a server rarely. */
 class SubsetTest {
     private static final int GATEWAYS = 4;
     private static final int SERVERS = 24;
@@ -41,136 +41,137 @@
                 one.overQuotaValue(),
                 one.permissions(),
                 one.parameters());
-        GatewayFixture fleet = new GatewayFixture(numbered, 7 + number).withServers(SERVERS);
-        return fleet;
+        GatewayFixture gateway = new GatewayFixture(numbered, 7 + number).withServers(SERVERS);
+        return gateway;
     }
 
-    /** The servers drawn in a second by requests that are answered before the next comes, the rate being known. */
-    private static Set<String> drawnOneByOne(GatewayFixture fleet, long apartNanos) {
-        aTick(fleet, apartNanos);
-        return aTick(fleet, apartNanos);
+    /** The servers drawn in a second by requests that are answered before the next arrives, once the rate is known. */
+    private static Set<String> serversDrawn(GatewayFixture gateway, long intervalNanos) {
+        runTick(gateway, intervalNanos);
+        return runTick(gateway, intervalNanos);
     }
 
-    private static Set<String> aTick(GatewayFixture fleet, long apartNanos) {
+    private static Set<String> runTick(GatewayFixture gateway, long intervalNanos) {
         Set<String> drawn = new HashSet<>();
-        for (long end = fleet.now + GatewayFixture.SECOND; fleet.now < end; fleet.now += apartNanos) {
-            drawn.add(fleet.requestAndAnswer(READ, Outcome.SERVED, 10 * MS));
+        for (long end = gateway.now + GatewayFixture.SECOND; gateway.now < end; gateway.now += intervalNanos) {
+            drawn.add(gateway.requestAndAnswer(READ, Outcome.SERVED, 10 * MS));
         }
-        fleet.fireTimer(TICK);
-        fleet.recorder.take();
+        gateway.fireTimer(TICK);
+        gateway.recorder.take();
         return drawn;
     }
 
     @Test
-    void whereSamplesAreSparseEachGatewayKeepsToItsPortionAndNoServerIsLeftOut() {
-        Set<String> together = new HashSet<>();
+    void withSparseSamplesEachGatewayKeepsToItsSubsetAndEveryServerIsUsed() {
+        Set<String> total = new HashSet<>();
         int drawn = 0;
         for (int i = 0; i < GATEWAYS; i++) {
-            Set<String> portion = drawnOneByOne(gateway(i), 16 * MS);
-            drawn += portion.size();
-            together.addAll(portion);
+            Set<String> subset = serversDrawn(gateway(i), 16 * MS);
+            drawn += subset.size();
+            total.addAll(subset);
         }
-        assertEquals(SERVERS, together.size());
-        // Six servers each and those on the borders twice; chance reaches beyond with one request in some hundred.
+        assertEquals(SERVERS, total.size());
+        // Six servers each, and those on the borders twice; about one request in several hundred goes elsewhere.
         assertTrue(drawn <= SERVERS + 2 * GATEWAYS, "drawn in all: " + drawn);
     }
 
     @Test
-    void whereSamplesAreManyAllServersAreDrawn() {
-        assertEquals(SERVERS, drawnOneByOne(gateway(0), 2 * MS).size());
+    void withManySamplesAllServersAreDrawn() {
+        assertEquals(SERVERS, serversDrawn(gateway(0), 2 * MS).size());
     }
 
     @Test
-    void goesBeyondItsPortionWhileThatHasNoRoom() {
-        GatewayFixture fleet = gateway(0);
-        int portion = drawnOneByOne(gateway(0), 16 * MS).size();
+    void usesOtherServersWhileItsSubsetHasNoCapacity() {
+        GatewayFixture gateway = gateway(0);
+        int subset = serversDrawn(gateway(0), 16 * MS).size();
         Set<String> drawn = new HashSet<>();
-        for (int i = 0; i < portion + 2; i++) {
-            fleet.request(READ);
-            drawn.add(fleet.sentTo());
+        for (int i = 0; i < subset + 2; i++) {
+            gateway.request(READ);
+            drawn.add(gateway.sentTo());
         }
-        assertTrue(drawn.size() > portion, drawn + " where " + portion + " are its own");
+        assertTrue(drawn.size() > subset, drawn + " where " + subset + " are in its subset");
     }
 
     @Test
-    void portionsAreOfEqualCapacityAndNotOfEqualNumber() {
+    void subsetsHaveEqualCapacityNotEqualSize() {
         List<ServerInfo> list = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
             list.add(new ServerInfo("s" + i, "a", "k", 0, Readiness.READY, i < LARGE ? LARGE_HINT : 1, 0));
         }
         double part = (LARGE * LARGE_HINT + SERVERS - LARGE) / GATEWAYS;
         for (int i = 0; i < GATEWAYS; i++) {
-            GatewayFixture fleet = gateway(i);
-            fleet.list(ServerListKind.FULL, list);
-            double capacity = drawnOneByOne(fleet, 16 * MS).stream()
+            GatewayFixture gateway = gateway(i);
+            gateway.list(ServerListKind.FULL, list);
+            double capacity = serversDrawn(gateway, 16 * MS).stream()
                     .mapToDouble(id -> Integer.parseInt(id.substring(1)) < LARGE ? LARGE_HINT : 1)
                     .sum();
             assertTrue(capacity >= part && capacity <= part + 2 * LARGE_HINT, "capacity " + capacity + " of " + part);
         }
     }
 
-    /** How many of four seconds' sparse requests the gateway sends to a server that has just started. */
-    private static int sentToCold(int gateway) {
-        GatewayFixture fleet = gateway(gateway);
-        drawnOneByOne(fleet, 16 * MS);
-        fleet.list(ServerListKind.CHANGES, GatewayFixture.server("s0", "a", Readiness.READY, fleet.now));
+    /** Counts how many of four seconds' sparse requests the gateway sends to a server that has just started. */
+    private static int sentToNewServer(int index) {
+        GatewayFixture gateway = gateway(index);
+        serversDrawn(gateway, 16 * MS);
+        gateway.list(ServerListKind.CHANGES, GatewayFixture.server("s0", "a", Readiness.READY, gateway.now));
         int sent = 0;
-        for (long end = fleet.now + 4 * GatewayFixture.SECOND; fleet.now < end; fleet.now += 16 * MS) {
-            sent += "s0".equals(fleet.requestAndAnswer(READ, Outcome.SERVED, 10 * MS)) ? 1 : 0;
+        for (long end = gateway.now + 4 * GatewayFixture.SECOND; gateway.now < end; gateway.now += 16 * MS) {
+            sent += "s0".equals(gateway.requestAndAnswer(READ, Outcome.SERVED, 10 * MS)) ? 1 : 0;
         }
         return sent;
     }
 
     @Test
-    void aColdServersBudgetIsItsOwnGateways() {
-        int together = 0;
+    void mostSlowStartTokensOfAServerAreItsOwnGateways() {
+        int total = 0;
         int most = 0;
         for (int i = 0; i < GATEWAYS; i++) {
-            int sent = sentToCold(i);
-            together += sent;
+            int sent = sentToNewServer(i);
+            total += sent;
             most = Math.max(most, sent);
         }
-        // A warm one gets 10 a second from all; half of 2.5 times a fifth of that is 2.6, and more as it warms. Of
-        // this the own gateway has five eighths, where an equal part would be a quarter.
-        assertTrue(most >= 5, "its own gateway sent " + most + " of " + together);
-        assertTrue(together <= 16, "sent in all: " + together);
+        // A warmed-up server gets 10 a second from all gateways; half of 2.5 times a fifth of that is 2.6, and more as
+        // it warms up. Of this its own gateway gets five eighths, where an equal part would be a quarter.
+        assertTrue(most >= 5, "its own gateway sent " + most + " of " + total);
+        assertTrue(total <= 16, "sent in all: " + total);
     }
 
     @Test
-    void aDoubtfulServerIsTriedByItsOwnGatewayOnceInATrialTime() {
-        GatewayFixture fleet =
+    void aSuspectServerIsTriedByItsOwnGatewayOncePerTrialInterval() {
+        GatewayFixture gateway =
                 new GatewayFixture(settings(false, GATEWAYS, List.of(), List.of(READ)), 7).withServers(SERVERS);
-        drawnOneByOne(fleet, 16 * MS);
+        serversDrawn(gateway, 16 * MS);
         Map<String, Integer> counts = new HashMap<>();
         for (int i = 0; i < 60; i++) {
-            fleet.now += 16 * MS;
-            counts.merge(fleet.requestAndAnswer(READ, Outcome.SERVED, 10 * MS), 1, Integer::sum);
+            gateway.now += 16 * MS;
+            counts.merge(gateway.requestAndAnswer(READ, Outcome.SERVED, 10 * MS), 1, Integer::sum);
         }
-        String own =
+        String ownServer =
                 Collections.max(counts.entrySet(), Map.Entry.comparingByValue()).getKey();
         int trials = 0;
-        for (long end = fleet.now + 8 * GatewayFixture.SECOND; fleet.now < end; fleet.now += 16 * MS) {
-            String id = fleet.request(READ);
-            String server = fleet.sentTo();
-            boolean fails = own.equals(server) && fleet.now < end - 4 * GatewayFixture.SECOND;
-            trials += own.equals(server) && fleet.now >= end - 4 * GatewayFixture.SECOND ? 1 : 0;
-            fleet.endAttempt(id, 0, server, fails ? Outcome.ERROR : Outcome.SERVED, 10 * MS, true);
-            fleet.recorder.take();
+        for (long end = gateway.now + 8 * GatewayFixture.SECOND; gateway.now < end; gateway.now += 16 * MS) {
+            String id = gateway.request(READ);
+            String server = gateway.sentTo();
+            boolean fails = ownServer.equals(server) && gateway.now < end - 4 * GatewayFixture.SECOND;
+            trials += ownServer.equals(server) && gateway.now >= end - 4 * GatewayFixture.SECOND ? 1 : 0;
+            gateway.endAttempt(id, 0, server, fails ? Outcome.ERROR : Outcome.SERVED, 10 * MS, true);
+            gateway.recorder.take();
         }
-        // Trials a second apart, of which the first few that are served free it; four gateways' time would allow one.
+        // Trials are a second apart, and the first few that are served clear the server. At the trial interval of four
+        // equal gateways there would be one.
         assertTrue(trials >= 3, "trials in four seconds: " + trials);
     }
 
     @Test
-    void aGatewayOfLittleTrafficAdmitsEnoughToLearnFromWhileItSheds() {
-        GatewayFixture fleet = gateway(0);
-        drawnOneByOne(fleet, 16 * MS);
+    void aGatewayWithLittleTrafficAdmitsEnoughToLearnWhileShedding() {
+        GatewayFixture gateway = gateway(0);
+        serversDrawn(gateway, 16 * MS);
         int admitted = 0;
         for (int i = 0; i < 400; i++) {
-            fleet.fireTimer(GatewayFixture.SWEEP);
-            fleet.recorder.take();
-            fleet.now += 16 * MS;
-            String server = fleet.requestAndAnswer(READ, Outcome.SERVED, 450 * MS);
+            gateway.fireTimer(GatewayFixture.SWEEP);
+            gateway.recorder.take();
+            gateway.now += 16 * MS;
+            String server = gateway.requestAndAnswer(READ, Outcome.SERVED, 450 * MS);
             admitted += i >= 200 && server != null ? 1 : 0;
         }
         // Of 62 requests a second, 20 are enough; a twentieth would be 10 of these 200.
