--- a/src/main/java/tinworks/policy/SettingsReader.java
+++ b/src/main/java/tinworks/policy/SettingsReader.java
@@ -56,8 +56,8 @@
             String prefix = "grades." + i + ".";
             classes.add(new RequestClass(
                     text(prefix + "name"),
-                    effect(prefix),
-                    group(prefix),
+                    idempotency(prefix),
+                    dedupScope(prefix),
                     number(prefix + "window_ns", 0),
                     number(prefix + "aim_ns"),
                     number(prefix + "deadline_ns"),
@@ -68,7 +68,7 @@
         return classes;
     }
 
-    private Idempotency effect(String prefix) {
+    private Idempotency idempotency(String prefix) {
         String value = text(prefix + "semantics");
         return switch (value) {
             case "safe" -> Idempotency.SAFE;
@@ -78,7 +78,7 @@
         };
     }
 
-    private DedupScope group(String prefix) {
+    private DedupScope dedupScope(String prefix) {
         String value = text(prefix + "dedup_scope", "all");
         return switch (value) {
             case "all" -> DedupScope.ALL;
