--- a/src/main/java/tinworks/config/CompressedBytes.java
+++ b/src/main/java/tinworks/config/CompressedBytes.java
@@ -11,22 +11,22 @@
 import java.util.zip.InflaterInputStream;
 
 /**
- * Long texts on narrow links: the length of the whole (4 bytes), then its bytes, deflated where the length is above
- * {@link #MAX_UNCOMPRESSED_BYTES}.
+ * Length-prefixed bytes for slow links: the uncompressed length (4 bytes), then the bytes, compressed with DEFLATE if
+ * the length is above {@link #MAX_UNCOMPRESSED_BYTES}.
  */
 public final class CompressedBytes {
-    private static final int CHUNK = 8_192;
-    /** What takes a few packets at most travels as it is: to inflate it takes an edge longer than to receive it. */
+    private static final int CHUNK_BYTES = 8_192;
+    /** A few packets at most; up to this length an edge takes longer to inflate bytes than to receive them. */
     static final int MAX_UNCOMPRESSED_BYTES = 4_096;
 
     private CompressedBytes() {}
 
-    /** Packs bytes; a configuration of many routes comes to about a tenth. */
-    public static byte[] compress(byte[] whole) {
-        return compress(ByteBuffer.wrap(whole));
+    /** Compresses bytes; a configuration with many routes shrinks to about a tenth. */
+    public static byte[] compress(byte[] bytes) {
+        return compress(ByteBuffer.wrap(bytes));
     }
 
-    /** Packs what is left in buffers one after the other, and leaves them as they were. */
+    /** Compresses the remaining bytes of the buffers in order; their positions do not change. */
     public static byte[] compress(ByteBuffer... parts) {
         int length = 0;
         for (ByteBuffer part : parts) {
@@ -41,9 +41,9 @@
         }
         Deflater deflater = new Deflater();
         try {
-            ByteArrayOutputStream out = new ByteArrayOutputStream(length / 8 + CHUNK);
+            ByteArrayOutputStream out = new ByteArrayOutputStream(length / 8 + CHUNK_BYTES);
             out.writeBytes(ByteBuffer.allocate(Integer.BYTES).putInt(length).array());
-            byte[] chunk = new byte[CHUNK];
+            byte[] chunk = new byte[CHUNK_BYTES];
             for (ByteBuffer part : parts) {
                 deflater.setInput(part.duplicate());
                 while (!deflater.needsInput()) {
@@ -60,55 +60,61 @@
         }
     }
 
-    /** The length that packed bytes say the whole has, or -1 where they are too short to say it. */
-    public static int uncompressedLength(byte[] packed) {
-        return packed.length < Integer.BYTES ? -1 : ByteBuffer.wrap(packed).getInt();
+    /** The uncompressed length that the prefix states, or -1 if the bytes are too short to hold one. */
+    public static int uncompressedLength(byte[] compressed) {
+        return compressed.length < Integer.BYTES
+                ? -1
+                : ByteBuffer.wrap(compressed).getInt();
     }
 
     /**
-     * The whole as a stream, so that it need never be in memory at once. What is cut short or spoilt is an
-     * {@link java.io.IOException} at its place; whoever reads bounds how much.
+     * A stream of the uncompressed bytes, so that they need not be in memory at once. Truncated or corrupt input throws
+     * an {@link java.io.IOException} while it is read. The caller limits how much it reads.
      */
-    public static InputStream decompressingStream(byte[] packed) {
-        int length = uncompressedLength(packed);
-        InputStream rest = new ByteArrayInputStream(packed, Integer.BYTES, Math.max(0, packed.length - Integer.BYTES));
+    public static InputStream decompressingStream(byte[] compressed) {
+        int length = uncompressedLength(compressed);
+        InputStream rest =
+                new ByteArrayInputStream(compressed, Integer.BYTES, Math.max(0, compressed.length - Integer.BYTES));
         return length <= MAX_UNCOMPRESSED_BYTES ? rest : new InflaterInputStream(rest);
     }
 
-    /** Unpacks at most so many bytes; what is longer, cut short or spoilt is an {@link IllegalArgumentException}. */
-    public static byte[] decompress(byte[] packed, int most) {
-        int length = uncompressedLength(packed);
-        if (length < 0 || length > most) {
-            throw new IllegalArgumentException("packed: a length of " + length);
+    /**
+     * Decompresses at most {@code maxBytes}. Longer, truncated or corrupt input throws an
+     * {@link IllegalArgumentException}.
+     */
+    public static byte[] decompress(byte[] compressed, int maxBytes) {
+        int length = uncompressedLength(compressed);
+        if (length < 0 || length > maxBytes) {
+            throw new IllegalArgumentException("packed: invalid length " + length);
         }
         if (length <= MAX_UNCOMPRESSED_BYTES) {
-            if (packed.length - Integer.BYTES != length) {
+            if (compressed.length - Integer.BYTES != length) {
                 throw new IllegalArgumentException(
-                        "packed: " + (packed.length - Integer.BYTES) + " of " + length + " bytes");
+                        "packed: " + (compressed.length - Integer.BYTES) + " of " + length + " bytes");
             }
-            return Arrays.copyOfRange(packed, Integer.BYTES, packed.length);
+            return Arrays.copyOfRange(compressed, Integer.BYTES, compressed.length);
         }
         Inflater inflater = new Inflater();
         try {
-            inflater.setInput(packed, Integer.BYTES, packed.length - Integer.BYTES);
-            // In chunks, so that a length that lies costs no memory.
-            byte[] whole = new byte[Math.min(length, CHUNK)];
-            int at = 0;
-            while (!inflater.finished() && at < length) {
-                whole = at < whole.length ? whole : Arrays.copyOf(whole, Math.min(length, 2 * whole.length));
-                int read = inflater.inflate(whole, at, whole.length - at);
+            inflater.setInput(compressed, Integer.BYTES, compressed.length - Integer.BYTES);
+            // The buffer grows with the data, so that a false length does not allocate memory.
+            byte[] bytes = new byte[Math.min(length, CHUNK_BYTES)];
+            int offset = 0;
+            while (!inflater.finished() && offset < length) {
+                bytes = offset < bytes.length ? bytes : Arrays.copyOf(bytes, Math.min(length, 2 * bytes.length));
+                int read = inflater.inflate(bytes, offset, bytes.length - offset);
                 if (read == 0 && (inflater.needsInput() || inflater.needsDictionary())) {
                     break;
                 }
-                at += read;
+                offset += read;
             }
-            // The end of the stream may stand behind its last byte.
-            boolean ended =
-                    inflater.finished() || (at == length && inflater.inflate(new byte[1]) == 0 && inflater.finished());
-            if (!ended || at != length || inflater.getRemaining() > 0) {
-                throw new IllegalArgumentException("packed: " + at + " of " + length + " bytes");
+            // The end-of-stream marker may follow the last byte.
+            boolean ended = inflater.finished()
+                    || (offset == length && inflater.inflate(new byte[1]) == 0 && inflater.finished());
+            if (!ended || offset != length || inflater.getRemaining() > 0) {
+                throw new IllegalArgumentException("packed: " + offset + " of " + length + " bytes");
             }
-            return whole.length == length ? whole : Arrays.copyOf(whole, length);
+            return bytes.length == length ? bytes : Arrays.copyOf(bytes, length);
         } catch (DataFormatException e) {
             throw new IllegalArgumentException("packed: " + e.getMessage(), e);
         } finally {
--- a/src/main/java/tinworks/config/Configuration.java
+++ b/src/main/java/tinworks/config/Configuration.java
@@ -4,33 +4,34 @@
 import java.util.Map;
 
 /**
- * One version of the operator's configuration, checked.
+ * One validated version of the operator's configuration. It holds the values only; {@link ConfigurationReader} parses
+ * and validates them.
  *
- * @param rev the version's number, above 0
+ * @param rev the version number, above 0
  */
 public record Configuration(long rev, List<Route> routes, Map<String, Service> services, Limits limits) {
-    /** Keeps its own lists. */
+    /** Copies the collections. */
     public Configuration {
         routes = List.copyOf(routes);
         services = Map.copyOf(services);
     }
 
-    /** What a request may do when it runs twice: nothing new, or harm. */
+    /** Whether a request may safely run more than once (idempotent) or not (mutating). */
     public enum Type {
         IDEM,
         MUTATING
     }
 
     /**
-     * Which requests go where.
+     * A route: maps requests of a domain and path prefix to services.
      *
-     * @param domain the Host header, in lower case
-     * @param prefix begins the path; begins and ends with a slash
-     * @param timeoutMs the longest that a request is held
-     * @param targetMs the time within which an answer earns its full worth
-     * @param prio rank, 0 the highest
-     * @param split services and the weights by which they are drawn; at least one weight is above 0
-     * @param maxAttempts the most hosts that one try of a client may go to, 1 or more
+     * @param domain the expected Host header, in lower case
+     * @param prefix the path prefix, which begins and ends with a slash
+     * @param timeoutMs the longest time that a request may take
+     * @param targetMs the latency target: an answer within it has its full value
+     * @param prio the priority, 0 is the highest
+     * @param split the services and their weights in a weighted random choice; at least one weight is above 0
+     * @param maxAttempts the most hosts that one request of a client may be sent to, 1 or more
      */
     public record Route(
             String name,
@@ -42,33 +43,33 @@
             int prio,
             List<Split> split,
             int maxAttempts) {
-        /** Keeps its own list. */
+        /** Copies the list. */
         public Route {
             split = List.copyOf(split);
         }
     }
 
-    /** A part of a route's requests. */
+    /** A service and its weight among the services of a route. */
     public record Split(String service, double weight) {}
 
     /**
-     * A service.
+     * A service that routes refer to by name.
      *
      * @param check the path of its health check
-     * @param maxconn connections that one of its hosts takes from all callers together
+     * @param maxconn the most connections that one host accepts from all callers together
      */
     public record Service(String name, String check, int maxconn) {}
 
     /**
-     * What a client may send and how long it may take.
+     * Limits on the size and duration of what clients send.
      *
-     * @param hdrBytes the longest head of a request
-     * @param bodyMaxBytes the longest body
-     * @param hdrMs how long a head may take to arrive
-     * @param idleMs how long a connection may stand idle
+     * @param hdrBytes the largest request head
+     * @param bodyMaxBytes the largest request body
+     * @param hdrMs the longest time in which a head may arrive
+     * @param idleMs the idle timeout of a connection
      */
     public record Limits(int hdrBytes, long bodyMaxBytes, long hdrMs, long idleMs) {
-        /** Where a configuration names none. */
+        /** Applied where a configuration sets none. */
         public static final Limits DEFAULTS = new Limits(16_384, 64L << 20, 3_000, 15_000);
     }
 }
--- a/src/main/java/tinworks/config/ConfigurationChange.java
+++ b/src/main/java/tinworks/config/ConfigurationChange.java
@@ -11,15 +11,15 @@
 import tinworks.config.Configuration.Service;
 
 /**
- * What leads from one version of the configuration to a later one. Routes are known by their {@link RouteKey}, of which
- * a valid configuration has each once; their order means nothing.
+ * The difference between one version of the configuration and a later one. Routes are identified by their
+ * {@link RouteKey}, which is unique in a valid configuration; the order of routes has no meaning.
  *
- * @param base the version that it builds on
- * @param rev the version that it leads to
- * @param changedRoutes routes that are new, or not as they were
- * @param removedRoutes places that have no route any more
- * @param changedServices services that are new, or not as they were
- * @param removedServices names of services that are there no more
+ * @param base the version that the change applies to
+ * @param rev the resulting version
+ * @param changedRoutes routes that are new or differ
+ * @param removedRoutes keys of routes that were removed
+ * @param changedServices services that are new or differ
+ * @param removedServices names of services that were removed
  */
 public record ConfigurationChange(
         long base,
@@ -29,14 +29,14 @@
         List<Service> changedServices,
         List<String> removedServices,
         Limits limits) {
-    /** Where a route applies. */
+    /** Identifies a route by its domain and path prefix. */
     public record RouteKey(String domain, String prefix) {
         static RouteKey of(Route route) {
             return new RouteKey(route.domain(), route.prefix());
         }
     }
 
-    /** Keeps its own lists. */
+    /** Copies the lists. */
     public ConfigurationChange {
         changedRoutes = List.copyOf(changedRoutes);
         removedRoutes = List.copyOf(removedRoutes);
@@ -44,9 +44,9 @@
         removedServices = List.copyOf(removedServices);
     }
 
-    /** What leads from one configuration to another. */
+    /** The change from one configuration to another. */
     public static ConfigurationChange between(Configuration from, Configuration to) {
-        Map<RouteKey, Route> before = byPlace(from.routes());
+        Map<RouteKey, Route> before = byKey(from.routes());
         List<Route> set = new ArrayList<>();
         for (Route route : to.routes()) {
             if (!route.equals(before.remove(RouteKey.of(route)))) {
@@ -56,21 +56,21 @@
         List<Service> services = to.services().values().stream()
                 .filter(service -> !service.equals(from.services().get(service.name())))
                 .toList();
-        Set<String> noMore = new HashSet<>(from.services().keySet());
-        noMore.removeAll(to.services().keySet());
+        Set<String> removed = new HashSet<>(from.services().keySet());
+        removed.removeAll(to.services().keySet());
         return new ConfigurationChange(
-                from.rev(), to.rev(), set, List.copyOf(before.keySet()), services, List.copyOf(noMore), to.limits());
+                from.rev(), to.rev(), set, List.copyOf(before.keySet()), services, List.copyOf(removed), to.limits());
     }
 
     /**
-     * The later configuration. One that isn't of the version that this builds on is an
-     * {@link IllegalArgumentException}.
+     * The resulting configuration. Throws an {@link IllegalArgumentException} if the given one is not of the base
+     * version.
      */
     public Configuration applyTo(Configuration configuration) {
         if (configuration.rev() != base) {
-            throw new IllegalArgumentException("builds on " + base + ", not on " + configuration.rev());
+            throw new IllegalArgumentException("change applies to version " + base + ", not to " + configuration.rev());
         }
-        Map<RouteKey, Route> routes = byPlace(configuration.routes());
+        Map<RouteKey, Route> routes = byKey(configuration.routes());
         removedRoutes.forEach(routes::remove);
         changedRoutes.forEach(route -> routes.put(RouteKey.of(route), route));
         Map<String, Service> all = new LinkedHashMap<>(configuration.services());
@@ -79,32 +79,32 @@
         return new Configuration(rev, List.copyOf(routes.values()), all, limits);
     }
 
-    /** This change and, after it, the next one as one. */
+    /** Merges this change and the next one into a single change. */
     public ConfigurationChange andThen(ConfigurationChange next) {
-        Map<RouteKey, Route> routes = byPlace(changedRoutes);
-        Set<RouteKey> noRoute = new HashSet<>(removedRoutes);
+        Map<RouteKey, Route> routes = byKey(changedRoutes);
+        Set<RouteKey> removedKeys = new HashSet<>(removedRoutes);
         next.removedRoutes.forEach(routes::remove);
-        noRoute.addAll(next.removedRoutes);
+        removedKeys.addAll(next.removedRoutes);
         next.changedRoutes.forEach(route -> routes.put(RouteKey.of(route), route));
-        noRoute.removeAll(routes.keySet());
-        Map<String, Service> named = new LinkedHashMap<>();
-        changedServices.forEach(service -> named.put(service.name(), service));
-        Set<String> noService = new HashSet<>(removedServices);
-        next.removedServices.forEach(named::remove);
-        noService.addAll(next.removedServices);
-        next.changedServices.forEach(service -> named.put(service.name(), service));
-        noService.removeAll(named.keySet());
+        removedKeys.removeAll(routes.keySet());
+        Map<String, Service> byName = new LinkedHashMap<>();
+        changedServices.forEach(service -> byName.put(service.name(), service));
+        Set<String> removedNames = new HashSet<>(removedServices);
+        next.removedServices.forEach(byName::remove);
+        removedNames.addAll(next.removedServices);
+        next.changedServices.forEach(service -> byName.put(service.name(), service));
+        removedNames.removeAll(byName.keySet());
         return new ConfigurationChange(
                 base,
                 next.rev,
                 List.copyOf(routes.values()),
-                List.copyOf(noRoute),
-                List.copyOf(named.values()),
-                List.copyOf(noService),
+                List.copyOf(removedKeys),
+                List.copyOf(byName.values()),
+                List.copyOf(removedNames),
                 next.limits);
     }
 
-    private static Map<RouteKey, Route> byPlace(List<Route> routes) {
+    private static Map<RouteKey, Route> byKey(List<Route> routes) {
         Map<RouteKey, Route> byPlace = new LinkedHashMap<>();
         routes.forEach(route -> byPlace.put(RouteKey.of(route), route));
         return byPlace;
--- a/src/main/java/tinworks/config/ConfigurationHistory.java
+++ b/src/main/java/tinworks/config/ConfigurationHistory.java
@@ -7,150 +7,154 @@
 import java.util.Arrays;
 
 /**
- * The versions of the configuration: the state machine that the agreed log drives. Equal commands in equal order give
- * equal verdicts at every member. Of older versions only a digest is kept, so that a call that is repeated is known
- * again ({@link AcceptedVersions}).
+ * The versions of the configuration: the replicated state machine that the Raft log drives. It is deterministic: equal
+ * commands in equal order give equal verdicts on every member. Of older versions only a digest is kept, so that a
+ * retried call is recognized ({@link AcceptedVersions}).
  */
 public final class ConfigurationHistory {
-    /** What became of a command. */
+    /** The outcome of a command. */
     public enum Verdict {
-        /** It is in force, or was: this very configuration has been taken. */
+        /** Exactly this configuration has been accepted; it is or was in force. */
         ACCEPTED,
-        /** It was built on a version that is not the current one. */
+        /** Its base is not the current version. */
         CONFLICT,
-        /** Its number isn't above the version that it was built on. */
+        /** Its version is not above its base. */
         VERSION_NOT_INCREASED,
-        /** It may have been taken: its number is among those that are no longer known. */
+        /** Unknown whether it was accepted: its version is older than the deduplication window. */
         OUTSIDE_WINDOW
     }
 
     private static final int DIGEST_BYTES = 32;
-    private static final int HEAD_BYTES = 2 * Long.BYTES + DIGEST_BYTES;
-    /** The longest configuration that is taken, as the operator sends it. */
+    private static final int HEADER_BYTES = 2 * Long.BYTES + DIGEST_BYTES;
+    /** The largest configuration that is accepted, uncompressed. */
     public static final int MAX_BODY_BYTES = 8 << 20;
-    /** The first byte of what {@link #save} writes. */
+    /** The format version, the first byte that {@link #save} writes. */
     private static final byte FORMAT = 1;
 
-    private AcceptedVersions taken;
+    private AcceptedVersions accepted;
     private long rev;
-    /** The version in force, {@link CompressedBytes}; empty where there is none. */
-    private byte[] packed = {};
+    /** The configuration in force as {@link CompressedBytes}; empty if there is none. */
+    private byte[] compressedBody = {};
 
-    /** Before the first version. */
+    /** Creates a history without a version. */
     public ConfigurationHistory() {
         this(new AcceptedVersions());
     }
 
-    ConfigurationHistory(AcceptedVersions taken) {
-        this.taken = taken;
+    ConfigurationHistory(AcceptedVersions accepted) {
+        this.accepted = accepted;
     }
 
-    /** The bytes of a command: {@link #command(long, long, ByteBuffer...)}. */
+    /** Encodes a command, as {@link #command(long, long, ByteBuffer...)}. */
     public static byte[] command(long base, long rev, byte[] body) {
         return command(base, rev, ByteBuffer.wrap(body));
     }
 
     /**
-     * The bytes of a command: the version it builds on, its own, a digest of both and of the configuration as it was
-     * sent, and that configuration {@link CompressedBytes}. Made once, where the call arrives; the body's parts are
-     * left as they were.
+     * Encodes a command: its base version, its own version, a digest of both and of the configuration as sent, and that
+     * configuration as {@link CompressedBytes}. Encoded once, by the node that receives the call; the positions of the
+     * body's buffers do not change.
      */
     public static byte[] command(long base, long rev, ByteBuffer... body) {
-        byte[] packed = CompressedBytes.compress(body);
-        ByteBuffer command =
-                ByteBuffer.allocate(HEAD_BYTES + packed.length).putLong(base).putLong(rev);
-        return command.put(digest(base, rev, body)).put(packed).array();
+        byte[] compressed = CompressedBytes.compress(body);
+        ByteBuffer command = ByteBuffer.allocate(HEADER_BYTES + compressed.length)
+                .putLong(base)
+                .putLong(rev);
+        return command.put(digest(base, rev, body)).put(compressed).array();
     }
 
-    /** The version that a command builds on. */
+    /** The base version of a command. */
     public static long base(byte[] command) {
         return ByteBuffer.wrap(command).getLong();
     }
 
-    /** A command's own version. */
+    /** The version that a command sets. */
     public static long rev(byte[] command) {
         return ByteBuffer.wrap(command).getLong(Long.BYTES);
     }
 
-    /** Carries out a command. */
+    /** Applies a command. */
     public Verdict apply(byte[] command) {
         long next = rev(command);
         Verdict verdict = evaluate(base(command), next, command);
         if (verdict == Verdict.ACCEPTED && next > rev) {
             rev = next;
-            packed = Arrays.copyOfRange(command, HEAD_BYTES, command.length);
-            taken.add(next, digest(command));
+            compressedBody = Arrays.copyOfRange(command, HEADER_BYTES, command.length);
+            accepted.add(next, digest(command));
         }
         return verdict;
     }
 
-    /** What would become of a command now. */
+    /** The verdict that a command would get now, without applying it. */
     public Verdict evaluate(long base, long next, byte[] command) {
-        if (taken.has(next, digest(command))) {
+        if (accepted.contains(next, digest(command))) {
             return Verdict.ACCEPTED;
         }
-        // It never was, and never can be.
+        // Such a command was never accepted and never can be.
         if (next <= base) {
             return Verdict.VERSION_NOT_INCREASED;
         }
-        // Guards against refusing what was taken long ago.
-        if (next <= taken.forgotten()) {
+        // Avoids rejecting a command that may have been accepted before the deduplication window.
+        if (next <= accepted.highestEvicted()) {
             return Verdict.OUTSIDE_WINDOW;
         }
         return base == rev ? Verdict.ACCEPTED : Verdict.CONFLICT;
     }
 
-    /** The number of the version in force, 0 where there is none yet. */
+    /** The version in force, 0 if there is none yet. */
     public long rev() {
         return rev;
     }
 
-    /** The version in force as it was sent, unpacked for the caller; empty where there is none yet. */
+    /** The configuration in force as it was sent, decompressed on each call; empty if there is none yet. */
     public byte[] body() {
-        return rev == 0 ? new byte[0] : CompressedBytes.decompress(packed, MAX_BODY_BYTES);
+        return rev == 0 ? new byte[0] : CompressedBytes.decompress(compressedBody, MAX_BODY_BYTES);
     }
 
-    /** The version in force, {@link CompressedBytes}; empty where there is none yet. The caller doesn't write to it. */
+    /**
+     * The configuration in force as {@link CompressedBytes}; empty if there is none yet. Callers must not modify it.
+     */
     public byte[] compressedBody() {
-        return packed;
+        return compressedBody;
     }
 
     /**
-     * The whole as bytes: their format (1), the version (8), the packed body behind its length (4), then what was
-     * taken.
+     * Serializes the history: the format (1 byte), the version (8), the length of the compressed body (4), the body,
+     * and the accepted versions.
      */
     public byte[] save() {
-        ByteBuffer out = ByteBuffer.allocate(1 + Long.BYTES + Integer.BYTES + packed.length + taken.bytes());
-        out.put(FORMAT).putLong(rev).putInt(packed.length).put(packed);
-        taken.save(out);
+        ByteBuffer out =
+                ByteBuffer.allocate(1 + Long.BYTES + Integer.BYTES + compressedBody.length + accepted.savedBytes());
+        out.put(FORMAT).putLong(rev).putInt(compressedBody.length).put(compressedBody);
+        accepted.save(out);
         return out.array();
     }
 
-    /** Puts what was saved in place of all; what can't be read is an {@link IllegalArgumentException}. */
+    /** Replaces the state with a saved one. Throws an {@link IllegalArgumentException} if it cannot be decoded. */
     public void load(byte[] saved) {
         ByteBuffer in = ByteBuffer.wrap(saved);
         try {
             byte format = in.get();
             if (format != FORMAT) {
-                throw new IllegalArgumentException("history: format " + format + ", known here is " + FORMAT);
+                throw new IllegalArgumentException("history: format " + format + ", supported is " + FORMAT);
             }
             long savedRev = in.getLong();
             int length = in.getInt();
             if (length < 0 || length > in.remaining()) {
-                throw new IllegalArgumentException("history: a length of " + length);
+                throw new IllegalArgumentException("history: invalid length " + length);
             }
             byte[] savedBody = new byte[length];
             in.get(savedBody);
-            taken = taken.load(in);
+            accepted = accepted.load(in);
             rev = savedRev;
-            packed = savedBody;
+            compressedBody = savedBody;
         } catch (BufferUnderflowException e) {
-            throw new IllegalArgumentException("history: cut short", e);
+            throw new IllegalArgumentException("history: truncated", e);
         }
     }
 
     private static byte[] digest(byte[] command) {
-        return Arrays.copyOfRange(command, 2 * Long.BYTES, HEAD_BYTES);
+        return Arrays.copyOfRange(command, 2 * Long.BYTES, HEADER_BYTES);
     }
 
     private static byte[] digest(long base, long rev, ByteBuffer... body) {
--- a/src/main/java/tinworks/config/ConfigurationMemoryEstimate.java
+++ b/src/main/java/tinworks/config/ConfigurationMemoryEstimate.java
@@ -6,51 +6,51 @@
 import tinworks.config.Configuration.Split;
 
 /**
- * What a configuration takes in the memory of a process that serves by it, estimated a little too high: its own
- * records, and what an edge derives from each route. While a version comes into use the one before is held as well.
+ * Estimates, slightly too high, the heap that a configuration takes in a process that serves by it: its own records,
+ * and what an edge derives from each route. While a new version is put in force, the previous one is held as well.
  *
- * <p>What operators are told to be in force has to fit into every machine. So a core machine takes a configuration only
- * up to a part of its own heap, and edges are given no less heap than core machines.
+ * <p>A configuration that is reported to operators as in force has to fit into every node. So a core node accepts one
+ * only up to a fraction of its own heap, and edges must have at least the heap of core nodes.
  */
 public final class ConfigurationMemoryEstimate {
-    /** Records, map entries and the decision module's state of a route, its texts and parts left out. */
+    /** Records, map entries and the decision module's state of a route, without its strings and splits. */
     private static final long ROUTE_BYTES = 600;
-    /** A route's texts are held twice, as they came and joined into the name of its class. */
-    private static final long BYTES_PER_LETTER = 3;
+    /** A route's strings are held twice: as they were sent, and joined into the name of its request class. */
+    private static final long BYTES_PER_CHARACTER = 3;
 
-    private static final long PART_BYTES = 150;
+    private static final long SPLIT_BYTES = 150;
     private static final long SERVICE_BYTES = 300;
-    /** Two versions and the traffic have to fit side by side. */
-    private static final double PART_OF_HEAP = 0.4;
+    /** Two versions and the traffic have to fit into the heap at the same time. */
+    private static final double MAX_HEAP_FRACTION = 0.4;
 
     private ConfigurationMemoryEstimate() {}
 
-    /** What one configuration may weigh by this process's heap, in bytes. */
+    /** The largest estimate, in bytes, that a configuration may have with this process's maximum heap. */
     public static long maxBytesForHeap() {
-        return (long) (Runtime.getRuntime().maxMemory() * PART_OF_HEAP);
+        return (long) (Runtime.getRuntime().maxMemory() * MAX_HEAP_FRACTION);
     }
 
-    /** The weight of a whole configuration. */
+    /** The estimate for a whole configuration, in bytes. */
     public static long of(Configuration configuration) {
-        long weight = 0;
+        long bytes = 0;
         for (Route route : configuration.routes()) {
-            weight += of(route);
+            bytes += of(route);
         }
         for (Service service : configuration.services().values()) {
-            weight += of(service);
+            bytes += of(service);
         }
-        return weight;
+        return bytes;
     }
 
     static long of(Route route) {
-        List<Split> parts = route.split();
-        int letters =
+        List<Split> splits = route.split();
+        int characters =
                 route.name().length() + route.domain().length() + route.prefix().length();
-        return ROUTE_BYTES + BYTES_PER_LETTER * letters + PART_BYTES * parts.size();
+        return ROUTE_BYTES + BYTES_PER_CHARACTER * characters + SPLIT_BYTES * splits.size();
     }
 
     static long of(Service service) {
-        int letters = service.name().length() + service.check().length();
-        return SERVICE_BYTES + BYTES_PER_LETTER * letters;
+        int characters = service.name().length() + service.check().length();
+        return SERVICE_BYTES + BYTES_PER_CHARACTER * characters;
     }
 }
--- a/src/main/java/tinworks/config/ConfigurationReader.java
+++ b/src/main/java/tinworks/config/ConfigurationReader.java
@@ -22,11 +22,11 @@
 import tinworks.json.Json;
 
 /**
- * Reads a configuration from the operator's JSON. Fields that it doesn't know are passed over. Whether the version may
- * follow the one in force is the {@link ConfigurationHistory}'s to say.
+ * Parses and validates a configuration in the operator's JSON. Unknown fields are ignored. It does not check whether
+ * the version may follow the one in force; {@link ConfigurationHistory} does.
  */
 public final class ConfigurationReader {
-    private static final int MOST_ROUTES = 100_000;
+    private static final int MAX_ENTRIES = 100_000;
     private static final String SERVICES = "svcs";
     private static final String ROUTES = "routes";
     private static final String REV = "rev";
@@ -34,65 +34,66 @@
 
     private ConfigurationReader() {}
 
-    /** The configuration, or why it can't be taken and where. */
+    /** Reads a configuration. Throws an {@link InvalidConfiguration} with the field at fault and the reason. */
     public static Configuration read(byte[] json) throws InvalidConfiguration {
         return read(new ByteArrayInputStream(json));
     }
 
-    /** As {@link #read(byte[])}, from a stream that is read once and never held whole. */
+    /** As {@link #read(byte[])}, from a stream that is parsed incrementally and not held in memory. */
     public static Configuration read(InputStream json) throws InvalidConfiguration {
         return read(json, Long.MAX_VALUE);
     }
 
     /**
-     * The same; one of a higher {@link ConfigurationMemoryEstimate} is refused as too large, and not held while it is
-     * read.
+     * The same, but rejects a configuration as too large, without holding it, if its
+     * {@link ConfigurationMemoryEstimate} exceeds the limit.
      */
-    public static Configuration read(InputStream json, long mostWeight) throws InvalidConfiguration {
-        Parts parts = new Parts(mostWeight);
+    public static Configuration read(InputStream json, long maxMemoryBytes) throws InvalidConfiguration {
+        Builder builder = new Builder(maxMemoryBytes);
         boolean isObject;
         try {
-            // By a decoder of its own, which refuses what isn't UTF-8; the library would guess at other encodings.
-            isObject = Json.read(new InputStreamReader(json, StandardCharsets.UTF_8.newDecoder()), parts);
+            // An explicit decoder rejects what is not UTF-8; the library would guess other encodings.
+            isObject = Json.read(new InputStreamReader(json, StandardCharsets.UTF_8.newDecoder()), builder);
         } catch (CharacterCodingException e) {
             throw new InvalidConfiguration("", "not UTF-8");
         } catch (IOException e) {
             throw new InvalidConfiguration(
                     "",
-                    "can't be read as JSON: "
+                    "cannot be parsed as JSON: "
                             + e.getMessage().lines().findFirst().orElse(""));
         }
         if (!isObject) {
             throw new InvalidConfiguration("", "not a JSON object");
         }
-        return parts.configuration();
+        return builder.build();
     }
 
     /**
-     * What has been read so far. Faults wait until the end: a text that isn't JSON throughout has no places to name.
+     * Collects what has been parsed. Errors are thrown only at the end, because field paths mean nothing in a text that
+     * turns out not to be valid JSON.
      */
-    private static final class Parts implements Json.Handler {
+    private static final class Builder implements Json.Handler {
         private final Map<String, Object> fields = new HashMap<>();
         private final ValueInterner shared = new ValueInterner();
-        /** The routes that name one service and no split. */
-        private final BitSet plain = new BitSet();
+        /** Indexes of the routes that name a single service instead of a split. */
+        private final BitSet singleService = new BitSet();
 
         private Map<String, Service> services;
         private List<Route> routes;
-        private Set<ConfigurationChange.RouteKey> places;
-        private InvalidConfiguration servicesFault;
-        private InvalidConfiguration routesFault;
-        private final long mostWeight;
-        private long weight;
+        private Set<ConfigurationChange.RouteKey> routeKeys;
+        private InvalidConfiguration servicesError;
+        private InvalidConfiguration routesError;
+        private final long maxMemoryBytes;
+        private long memoryBytes;
         private String array = "";
 
-        Parts(long mostWeight) {
-            this.mostWeight = mostWeight;
+        Builder(long maxMemoryBytes) {
+            this.maxMemoryBytes = maxMemoryBytes;
         }
 
         @Override
         public void field(String name, Json value) {
-            forget(name);
+            discardPrevious(name);
             if (name.equals(REV) || name.equals(LIMITS)) {
                 fields.put(name, value.value());
             }
@@ -100,130 +101,130 @@
 
         @Override
         public void array(String name) {
-            forget(name);
+            discardPrevious(name);
             array = name;
             if (name.equals(SERVICES)) {
                 services = new LinkedHashMap<>();
             } else if (name.equals(ROUTES)) {
                 routes = new ArrayList<>();
-                places = new HashSet<>();
-                plain.clear();
+                routeKeys = new HashSet<>();
+                singleService.clear();
             } else if (name.equals(REV) || name.equals(LIMITS)) {
                 fields.put(name, List.of());
             }
         }
 
-        /** Of a field that stands there twice the last one counts. */
-        private void forget(String name) {
+        /** Of duplicate fields the last one counts. */
+        private void discardPrevious(String name) {
             fields.remove(name);
             if (name.equals(SERVICES)) {
                 services = null;
-                servicesFault = null;
+                servicesError = null;
             } else if (name.equals(ROUTES)) {
                 routes = null;
-                routesFault = null;
+                routesError = null;
             }
         }
 
         @Override
         public void entry(Json entry) {
-            if (array.equals(SERVICES) && servicesFault == null) {
+            if (array.equals(SERVICES) && servicesError == null) {
                 try {
-                    takeService(entry);
+                    addService(entry);
                 } catch (InvalidConfiguration e) {
-                    servicesFault = e;
+                    servicesError = e;
                 }
-            } else if (array.equals(ROUTES) && routesFault == null) {
+            } else if (array.equals(ROUTES) && routesError == null) {
                 try {
-                    takeRoute(entry);
+                    addRoute(entry);
                 } catch (InvalidConfiguration e) {
-                    routesFault = e;
+                    routesError = e;
                 }
             }
         }
 
-        /** Guards against holding what is refused in the end. */
-        private void weigh(long more) throws InvalidConfiguration {
-            weight += more;
-            if (weight > mostWeight) {
+        /** Drops what was read once the limit is exceeded, so that a rejected configuration is not held in memory. */
+        private void addMemoryBytes(long added) throws InvalidConfiguration {
+            memoryBytes += added;
+            if (memoryBytes > maxMemoryBytes) {
                 routes = new ArrayList<>();
                 services = new LinkedHashMap<>();
-                places = new HashSet<>();
-                servicesFault = InvalidConfiguration.tooLarge(mostWeight);
-                throw servicesFault;
+                routeKeys = new HashSet<>();
+                servicesError = InvalidConfiguration.tooLarge(maxMemoryBytes);
+                throw servicesError;
             }
         }
 
-        private void takeService(Json entry) throws InvalidConfiguration {
-            if (services.size() == MOST_ROUTES) {
-                throw tooMany(SERVICES);
+        private void addService(Json entry) throws InvalidConfiguration {
+            if (services.size() == MAX_ENTRIES) {
+                throw tooManyEntries(SERVICES);
             }
             String at = SERVICES + "[" + services.size() + "].";
             Service service = service(entry, at);
-            weigh(ConfigurationMemoryEstimate.of(service));
+            addMemoryBytes(ConfigurationMemoryEstimate.of(service));
             if (services.put(service.name(), service) != null) {
-                throw new InvalidConfiguration(at + "name", "a second service '" + service.name() + "'");
+                throw new InvalidConfiguration(at + "name", "duplicate service name '" + service.name() + "'");
             }
         }
 
-        private void takeRoute(Json entry) throws InvalidConfiguration {
-            if (routes.size() == MOST_ROUTES) {
+        private void addRoute(Json entry) throws InvalidConfiguration {
+            if (routes.size() == MAX_ENTRIES) {
                 routes.clear();
-                throw tooMany(ROUTES);
+                throw tooManyEntries(ROUTES);
             }
             String at = ROUTES + "[" + routes.size() + "].";
             Route route = route(entry, at, shared);
-            weigh(ConfigurationMemoryEstimate.of(route));
-            plain.set(routes.size(), entry.field("split").value() == null);
+            addMemoryBytes(ConfigurationMemoryEstimate.of(route));
+            singleService.set(routes.size(), entry.field("split").value() == null);
             routes.add(route);
-            if (!places.add(ConfigurationChange.RouteKey.of(route))) {
+            if (!routeKeys.add(ConfigurationChange.RouteKey.of(route))) {
                 throw new InvalidConfiguration(at + "prefix", "another route has this domain and prefix");
             }
         }
 
-        Configuration configuration() throws InvalidConfiguration {
+        Configuration build() throws InvalidConfiguration {
             Json root = new Json(fields);
-            long rev = whole(root, "", REV, 1, Long.MAX_VALUE, null);
-            if (servicesFault != null && servicesFault.isTooLarge()) {
-                throw servicesFault;
+            long rev = wholeNumber(root, "", REV, 1, Long.MAX_VALUE, null);
+            if (servicesError != null && servicesError.isTooLarge()) {
+                throw servicesError;
             }
-            requireArray(services, SERVICES, servicesFault);
+            requireArray(services, SERVICES, servicesError);
             requireArray(routes, ROUTES, null);
-            checkServices();
-            if (routesFault != null) {
-                throw routesFault;
+            checkServiceReferences();
+            if (routesError != null) {
+                throw routesError;
             }
             return new Configuration(rev, routes, services, limits(root.field(LIMITS)));
         }
 
-        private static void requireArray(Object array, String name, InvalidConfiguration fault)
+        private static void requireArray(Object array, String name, InvalidConfiguration error)
                 throws InvalidConfiguration {
             if (array == null) {
-                throw new InvalidConfiguration(name, "wanted an array");
+                throw new InvalidConfiguration(name, "must be an array");
             }
-            if (fault != null) {
-                throw fault;
+            if (error != null) {
+                throw error;
             }
         }
 
-        /** Routes may stand before the services that they name. */
-        private void checkServices() throws InvalidConfiguration {
+        /** Runs after parsing, because routes may precede the services that they name. */
+        private void checkServiceReferences() throws InvalidConfiguration {
             for (int i = 0; i < routes.size(); i++) {
                 List<Split> split = routes.get(i).split();
                 for (int part = 0; part < split.size(); part++) {
                     String service = split.get(part).service();
                     if (!services.containsKey(service)) {
-                        String where = plain.get(i) ? "svc" : "split[" + part + "].svc";
+                        String where = singleService.get(i) ? "svc" : "split[" + part + "].svc";
                         throw new InvalidConfiguration(
-                                ROUTES + "[" + i + "]." + where, "no service '" + service + "' in svcs");
+                                ROUTES + "[" + i + "]." + where, "service '" + service + "' is not defined in svcs");
                     }
                 }
             }
         }
     }
 
-    private static InvalidConfiguration tooMany(String name) {
-        return new InvalidConfiguration(name, "more than " + MOST_ROUTES + " entries");
+    private static InvalidConfiguration tooManyEntries(String name) {
+        return new InvalidConfiguration(name, "more than " + MAX_ENTRIES + " entries");
     }
 
     private static Service service(Json entry, String at) throws InvalidConfiguration {
@@ -231,13 +232,13 @@
         String check = entry.field("check").value() == null ? "/" : text(entry, at, "check");
         String proto = entry.field("proto").text();
         if (!proto.isEmpty() && !proto.equals("h1")) {
-            throw new InvalidConfiguration(at + "proto", "only h1 is spoken, not '" + proto + "'");
+            throw new InvalidConfiguration(at + "proto", "only h1 is supported, not '" + proto + "'");
         }
         if (entry.field("tls").isTrue()) {
-            throw new InvalidConfiguration(at + "tls", "TLS to hosts is not spoken");
+            throw new InvalidConfiguration(at + "tls", "TLS to hosts is not supported");
         }
         return new Service(
-                name, check, (int) whole(entry, at, "maxconn", 1, Integer.MAX_VALUE, (long) Integer.MAX_VALUE));
+                name, check, (int) wholeNumber(entry, at, "maxconn", 1, Integer.MAX_VALUE, (long) Integer.MAX_VALUE));
     }
 
     private static Route route(Json entry, String at, ValueInterner shared) throws InvalidConfiguration {
@@ -245,18 +246,18 @@
         String domain = shared.intern(text(entry, at, "domain").toLowerCase(Locale.ROOT));
         String prefix = text(entry, at, "prefix");
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
-            throw new InvalidConfiguration(at + "prefix", "wanted a slash at both ends of '" + prefix + "'");
+            throw new InvalidConfiguration(at + "prefix", "must begin and end with a slash: '" + prefix + "'");
         }
         String typeName = text(entry, at, "type");
         Configuration.Type type = switch (typeName) {
             case "idem" -> Configuration.Type.IDEM;
             case "mutating" -> Configuration.Type.MUTATING;
-            default -> throw new InvalidConfiguration(at + "type", "wanted idem or mutating, not '" + typeName + "'");
+            default -> throw new InvalidConfiguration(at + "type", "must be idem or mutating, not '" + typeName + "'");
         };
-        long timeout = whole(entry, at, "timeoutMs", 1, Integer.MAX_VALUE, null);
-        long target = whole(entry, at, "targetMs", 1, Integer.MAX_VALUE, timeout);
-        int prio = (int) whole(entry, at, "prio", 0, 1_000, 0L);
-        int tries = (int) whole(entry, at, "tries", 1, 32, 1L);
+        long timeout = wholeNumber(entry, at, "timeoutMs", 1, Integer.MAX_VALUE, null);
+        long target = wholeNumber(entry, at, "targetMs", 1, Integer.MAX_VALUE, timeout);
+        int prio = (int) wholeNumber(entry, at, "prio", 0, 1_000, 0L);
+        int tries = (int) wholeNumber(entry, at, "tries", 1, 32, 1L);
         return new Route(name, domain, prefix, type, timeout, target, prio, split(entry, at, shared), tries);
     }
 
@@ -265,7 +266,7 @@
             return shared.internSplits(List.of(new Split(shared.intern(text(entry, at, "svc")), 1)));
         }
         if (!entry.field("split").isArray()) {
-            throw new InvalidConfiguration(at + "split", "wanted an array");
+            throw new InvalidConfiguration(at + "split", "must be an array");
         }
         List<Split> parts = new ArrayList<>();
         double sum = 0;
@@ -274,48 +275,49 @@
             String here = at + "split[" + i++ + "].";
             double weight = part.field("weight").number(Double.NaN).doubleValue();
             if (!(weight >= 0 && weight < 1e12)) {
-                throw new InvalidConfiguration(here + "weight", "wanted a number that isn't below 0");
+                throw new InvalidConfiguration(here + "weight", "must be a number from 0 to below 1e12");
             }
             parts.add(new Split(shared.intern(text(part, here, "svc")), weight));
             sum += weight;
         }
         if (sum <= 0) {
-            throw new InvalidConfiguration(at + "split", "the weights sum to 0");
+            throw new InvalidConfiguration(at + "split", "the sum of the weights must be above 0");
         }
         return shared.internSplits(List.copyOf(parts));
     }
 
     private static Limits limits(Json entry) throws InvalidConfiguration {
-        Limits usual = Limits.DEFAULTS;
+        Limits defaults = Limits.DEFAULTS;
         return new Limits(
-                (int) whole(entry, "limits.", "hdrBytes", 256, 1 << 20, (long) usual.hdrBytes()),
-                whole(entry, "limits.", "bodyMaxBytes", 0, Long.MAX_VALUE, usual.bodyMaxBytes()),
-                whole(entry, "limits.", "hdrMs", 1, Integer.MAX_VALUE, usual.hdrMs()),
-                whole(entry, "limits.", "idleMs", 1, Integer.MAX_VALUE, usual.idleMs()));
+                (int) wholeNumber(entry, "limits.", "hdrBytes", 256, 1 << 20, (long) defaults.hdrBytes()),
+                wholeNumber(entry, "limits.", "bodyMaxBytes", 0, Long.MAX_VALUE, defaults.bodyMaxBytes()),
+                wholeNumber(entry, "limits.", "hdrMs", 1, Integer.MAX_VALUE, defaults.hdrMs()),
+                wholeNumber(entry, "limits.", "idleMs", 1, Integer.MAX_VALUE, defaults.idleMs()));
     }
 
     private static String text(Json entry, String at, String name) throws InvalidConfiguration {
         Json field = entry.field(name);
         if (!field.isText() || field.text().isEmpty()) {
-            throw new InvalidConfiguration(at + name, field.value() == null ? "is missing" : "wanted a text");
+            throw new InvalidConfiguration(
+                    at + name, field.value() == null ? "is missing" : "must be a non-empty string");
         }
         return field.text();
     }
 
-    private static long whole(Json entry, String at, String name, long least, long most, Long absent)
+    private static long wholeNumber(Json entry, String at, String name, long min, long max, Long defaultValue)
             throws InvalidConfiguration {
         Json field = entry.field(name);
-        if (field.value() == null && absent != null) {
-            return absent;
+        if (field.value() == null && defaultValue != null) {
+            return defaultValue;
         }
         boolean isWhole = field.value() instanceof Integer || field.value() instanceof Long;
         long value = isWhole ? field.number(0).longValue() : 0;
-        if (!isWhole || value < least || value > most) {
+        if (!isWhole || value < min || value > max) {
             throw new InvalidConfiguration(
                     at + name,
                     field.value() == null
                             ? "is missing"
-                            : "wanted a whole number from " + least + " to " + most + ", not " + field.text());
+                            : "must be an integer from " + min + " to " + max + ", not " + field.text());
         }
         return value;
     }
--- a/src/main/java/tinworks/config/InvalidConfiguration.java
+++ b/src/main/java/tinworks/config/InvalidConfiguration.java
@@ -1,36 +1,36 @@
 package tinworks.config;
 
-/** A configuration that can't be taken. */
+/** Thrown for a configuration that is rejected, with the field at fault. Its message is shown to the operator. */
 public final class InvalidConfiguration extends Exception {
     private static final long serialVersionUID = 1L;
 
-    private final String where;
+    private final String fieldPath;
     private final boolean tooLarge;
 
-    /** {@code where} names the field, as {@code routes[3].timeoutMs}; empty where the whole can't be read. */
-    public InvalidConfiguration(String where, String what) {
-        this(where, what, false);
+    /** {@code fieldPath} names the field, as {@code routes[3].timeoutMs}; empty if the text cannot be parsed. */
+    public InvalidConfiguration(String fieldPath, String reason) {
+        this(fieldPath, reason, false);
     }
 
-    private InvalidConfiguration(String where, String what, boolean tooLarge) {
-        super(where.isEmpty() ? what : where + ": " + what);
-        this.where = where;
+    private InvalidConfiguration(String fieldPath, String reason, boolean tooLarge) {
+        super(fieldPath.isEmpty() ? reason : fieldPath + ": " + reason);
+        this.fieldPath = fieldPath;
         this.tooLarge = tooLarge;
     }
 
-    /** One of which nothing is wrong but that the machines can't hold it. */
-    static InvalidConfiguration tooLarge(long mostBytes) {
+    /** For a configuration that takes more memory than a node can hold. */
+    static InvalidConfiguration tooLarge(long maxBytes) {
         return new InvalidConfiguration(
-                "", "takes more than the " + mostBytes + " bytes of memory that a configuration may take", true);
+                "", "configuration needs more than the limit of " + maxBytes + " bytes of memory", true);
     }
 
-    /** Whether it is only too large. */
+    /** Whether the configuration was rejected for its size alone. */
     public boolean isTooLarge() {
         return tooLarge;
     }
 
-    /** The field at fault. */
+    /** The path of the field at fault, empty if there is none. */
     public String fieldPath() {
-        return where;
+        return fieldPath;
     }
 }
--- a/src/main/java/tinworks/config/ValueInterner.java
+++ b/src/main/java/tinworks/config/ValueInterner.java
@@ -5,17 +5,19 @@
 import java.util.Map;
 import tinworks.config.Configuration.Split;
 
-/** What many routes have alike, so that it is in memory once: names of domains and services, and lists of parts. */
+/**
+ * Interns values that many routes share, so that each is in memory once: domains, service names and lists of splits.
+ */
 public final class ValueInterner {
     private final Map<String, String> texts = new HashMap<>();
     private final Map<List<Split>, List<Split>> lists = new HashMap<>();
 
-    /** The text that is equal to this one and was seen first. */
+    /** The first string seen that equals this one. */
     public String intern(String text) {
         return texts.computeIfAbsent(text, same -> same);
     }
 
-    /** The list that is equal to this one and was seen first. */
+    /** The first list seen that equals this one. */
     public List<Split> internSplits(List<Split> list) {
         return lists.computeIfAbsent(list, same -> same);
     }
--- a/src/main/java/tinworks/config/package-info.java
+++ b/src/main/java/tinworks/config/package-info.java
@@ -1,2 +1,2 @@
-/** The operator's configuration: its form, what makes it valid, and the history of its versions. */
+/** The operator's configuration: its data types, parsing and validation, and the history of its versions. */
 package tinworks.config;
--- a/src/main/java/tinworks/json/Address.java
+++ b/src/main/java/tinworks/json/Address.java
@@ -4,32 +4,32 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as texts of the form {@code 10.1.0.18:8080}. */
+/** Parses network addresses of the form {@code 10.1.0.18:8080}. */
 public final class Address {
-    private static final int PARTS = 4;
-    private static final int LONGEST_PART = 3;
-    private static final int MOST_IN_PART = 255;
+    private static final int OCTETS = 4;
+    private static final int MAX_OCTET_DIGITS = 3;
+    private static final int MAX_OCTET = 255;
 
     private Address() {}
 
     /**
-     * The address by number, IPv4; a text that is none is an {@link IllegalArgumentException}. A name is none: looking
-     * it up would hold up the thread that asks, and on the platform there are no names.
+     * Parses a numeric IPv4 address and port, and throws an {@link IllegalArgumentException} for anything else. Host
+     * names are rejected: a lookup would block the calling thread, and the platform has no names.
      */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
-        byte[] number = number(text.substring(0, Math.max(0, colon)));
-        if (number == null) {
+        byte[] octets = octets(text.substring(0, Math.max(0, colon)));
+        if (octets == null) {
             throw new IllegalArgumentException("not an address: '" + text + "'");
         }
         try {
-            return new InetSocketAddress(InetAddress.getByAddress(number), port(text.substring(colon + 1)));
+            return new InetSocketAddress(InetAddress.getByAddress(octets), port(text.substring(colon + 1)));
         } catch (IllegalArgumentException | UnknownHostException e) {
             throw new IllegalArgumentException("not an address: '" + text + "'", e);
         }
     }
 
-    /** Whether the text is an address that {@link #parse} takes. */
+    /** Whether {@link #parse} accepts the text. */
     public static boolean isValid(String text) {
         try {
             parse(text);
@@ -39,7 +39,7 @@
         }
     }
 
-    /** The address, by name or number. May look the name up, and wait for that: not for event loops. */
+    /** Parses an address by name or number. May block on a name lookup, so it must not be called on an event loop. */
     public static InetSocketAddress resolve(String text) {
         int colon = text.lastIndexOf(':');
         try {
@@ -53,25 +53,25 @@
         return Integer.parseInt(text);
     }
 
-    /** The four bytes of an IPv4 number, or null where the text is none. */
-    private static byte[] number(String text) {
+    /** The four bytes of an IPv4 address in dotted form, or null if the text is not one. */
+    private static byte[] octets(String text) {
         String[] parts = text.split("\\.", -1);
-        if (parts.length != PARTS) {
+        if (parts.length != OCTETS) {
             return null;
         }
-        byte[] number = new byte[PARTS];
-        for (int i = 0; i < PARTS; i++) {
-            int value = part(parts[i]);
+        byte[] octets = new byte[OCTETS];
+        for (int i = 0; i < OCTETS; i++) {
+            int value = octet(parts[i]);
             if (value < 0) {
                 return null;
             }
-            number[i] = (byte) value;
+            octets[i] = (byte) value;
         }
-        return number;
+        return octets;
     }
 
-    private static int part(String text) {
-        if (text.isEmpty() || text.length() > LONGEST_PART) {
+    private static int octet(String text) {
+        if (text.isEmpty() || text.length() > MAX_OCTET_DIGITS) {
             return -1;
         }
         int value = 0;
@@ -82,6 +82,6 @@
             }
             value = value * 10 + digit - '0';
         }
-        return value <= MOST_IN_PART ? value : -1;
+        return value <= MAX_OCTET ? value : -1;
     }
 }
--- a/src/main/java/tinworks/json/Json.java
+++ b/src/main/java/tinworks/json/Json.java
@@ -12,65 +12,65 @@
 import java.util.Map;
 
 /**
- * A value of a JSON text, as plain maps, lists, strings, numbers and flags; null where there is none. The library is
- * Jackson's reader of tokens: its binding to objects costs a start nearly as much as the Java runtime.
+ * A parsed JSON value: maps, lists, strings, numbers, booleans, or null if there is none. Uses only Jackson's streaming
+ * parser: its data binding costs nearly as much start-up time as the Java runtime.
  */
 public record Json(Object value) {
     private static final JsonFactory FACTORY = new JsonFactory();
 
-    /** Reads one text that holds one value; what can't be read is an {@link IOException}. */
+    /** Parses a text that holds exactly one value; malformed text throws an {@link IOException}. */
     public static Json read(String text) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
             parser.nextToken();
             Object value = value(parser);
             if (parser.nextToken() != null) {
-                throw new JsonParseException(parser, "something stands behind the value");
+                throw new JsonParseException(parser, "unexpected content after the value");
             }
             return new Json(value);
         }
     }
 
-    /** Told what a text's outermost object holds, piece by piece, so that the whole need never be in memory. */
+    /** Receives the members of the outermost object one at a time, so that the text need not be in memory at once. */
     public interface Handler {
-        /** A field whose value is no array. */
+        /** Called for a field whose value is not an array. */
         void field(String name, Json value);
 
-        /** A field whose value is an array; its entries follow. */
+        /** Called at the start of a field whose value is an array; its entries follow. */
         void array(String name);
 
-        /** The next entry of the array. */
+        /** Called for each entry of the current array. */
         void entry(Json entry);
     }
 
     /**
-     * Reads one text that holds one object and tells of it as it comes; false where the text holds another value. What
-     * can't be read is an {@link IOException}, at times after much has been told.
+     * Parses a text that holds exactly one object and passes its members to the handler; returns false if the text
+     * holds another value. Malformed text throws an {@link IOException}, possibly after calls to the handler.
      */
-    public static boolean read(Reader text, Handler told) throws IOException {
+    public static boolean read(Reader text, Handler handler) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
             boolean isObject = parser.nextToken() == JsonToken.START_OBJECT;
             while (isObject && parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
                 if (parser.nextToken() != JsonToken.START_ARRAY) {
-                    told.field(name, new Json(value(parser)));
+                    handler.field(name, new Json(value(parser)));
                     continue;
                 }
-                told.array(name);
+                handler.array(name);
                 while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    told.entry(new Json(value(parser)));
+                    handler.entry(new Json(value(parser)));
                 }
             }
             if (!isObject) {
                 value(parser);
             }
             if (parser.nextToken() != null) {
-                throw new JsonParseException(parser, "something stands behind the value");
+                throw new JsonParseException(parser, "unexpected content after the value");
             }
             return isObject;
         }
     }
 
-    /** The value that begins with the present token; the library bounds how deep it may go. */
+    /** Parses the value that begins at the current token; the library limits the nesting depth. */
     private static Object value(JsonParser parser) throws IOException {
         JsonToken token = parser.currentToken();
         if (token == JsonToken.START_OBJECT) {
@@ -96,29 +96,29 @@
         } else if (token == JsonToken.VALUE_NULL) {
             return null;
         }
-        throw new JsonParseException(parser, "no value, but " + token);
+        throw new JsonParseException(parser, "expected a value, got " + token);
     }
 
-    /** A field, with no value where this is no object or lacks it. */
+    /** A field of an object; its value is null if this is not an object or lacks the field. */
     public Json field(String name) {
         return new Json(fields().get(name));
     }
 
-    /** A field that has to be there. */
+    /** A field that must be present; throws an {@link IllegalArgumentException} otherwise. */
     public Json required(String name) {
         Json field = field(name);
         if (field.value == null) {
-            throw new IllegalArgumentException("the JSON text lacks " + name);
+            throw new IllegalArgumentException("JSON object lacks the field " + name);
         }
         return field;
     }
 
-    /** The fields of an object, none of anything else. */
+    /** The fields of an object, empty for any other value. */
     public Map<?, ?> fields() {
         return value instanceof Map<?, ?> fields ? fields : Map.of();
     }
 
-    /** The entries of an array, none of anything else. */
+    /** The entries of an array, empty for any other value. */
     public List<Json> entries() {
         if (!(value instanceof List<?> list)) {
             return List.of();
@@ -150,13 +150,13 @@
         return Boolean.TRUE.equals(value);
     }
 
-    /** The value as text, empty where there is none. */
+    /** The value as a string, empty if there is none. */
     public String text() {
         return value == null ? "" : value.toString();
     }
 
-    /** The value as a number, or what is given where it is none. */
-    public Number number(Number absent) {
-        return value instanceof Number number ? number : absent;
+    /** The value as a number, or the default if it is not a number. */
+    public Number number(Number defaultValue) {
+        return value instanceof Number number ? number : defaultValue;
     }
 }
--- a/src/main/java/tinworks/json/package-info.java
+++ b/src/main/java/tinworks/json/package-info.java
@@ -1,2 +1,2 @@
-/** Reading JSON texts, for every part that is told something in JSON. */
+/** Parsing of JSON, and of network addresses in text form. */
 package tinworks.json;
--- a/src/test/java/tinworks/config/CompressedBytesTest.java
+++ b/src/test/java/tinworks/config/CompressedBytesTest.java
@@ -11,9 +11,9 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Deflated bodies are read back whole, and their size is bounded. */
+/** Compressed bytes round-trip, and their decompressed size is bounded. */
 class CompressedBytesTest {
-    private static final int MOST = 1 << 20;
+    private static final int MAX_BYTES = 1 << 20;
 
     private static byte[] routes(int count) {
         StringBuilder json = new StringBuilder("{\"rev\":7,\"routes\":[");
@@ -31,43 +31,43 @@
     }
 
     @Test
-    void whatWasPackedComesBackAndALongConfigurationIsShort() {
+    void roundTripsAndCompressesALongConfiguration() {
         for (int count : new int[] {0, 1, 14, 60, 1_240}) {
-            byte[] whole = routes(count);
-            byte[] packed = CompressedBytes.compress(whole);
-            assertArrayEquals(whole, CompressedBytes.decompress(packed, MOST));
+            byte[] bytes = routes(count);
+            byte[] compressed = CompressedBytes.compress(bytes);
+            assertArrayEquals(bytes, CompressedBytes.decompress(compressed, MAX_BYTES));
             assertTrue(
-                    count < 1_000 || packed.length * 6 < whole.length,
-                    whole.length + " bytes, packed " + packed.length);
+                    count < 1_000 || compressed.length * 6 < bytes.length,
+                    bytes.length + " bytes, compressed " + compressed.length);
         }
-        assertEquals(0, CompressedBytes.decompress(CompressedBytes.compress(new byte[0]), MOST).length);
+        assertEquals(0, CompressedBytes.decompress(CompressedBytes.compress(new byte[0]), MAX_BYTES).length);
     }
 
     @Test
-    void whatIsCutSpoiltOrTooLongIsRefused() {
-        byte[] packed = CompressedBytes.compress(routes(60));
-        for (int i = 0; i < packed.length; i++) {
-            byte[] cut = Arrays.copyOf(packed, i);
-            assertThrows(IllegalArgumentException.class, () -> CompressedBytes.decompress(cut, MOST));
+    void rejectsTruncatedCorruptOrOversizedInput() {
+        byte[] compressed = CompressedBytes.compress(routes(60));
+        for (int i = 0; i < compressed.length; i++) {
+            byte[] truncated = Arrays.copyOf(compressed, i);
+            assertThrows(IllegalArgumentException.class, () -> CompressedBytes.decompress(truncated, MAX_BYTES));
         }
-        assertThrows(IllegalArgumentException.class, () -> CompressedBytes.decompress(packed, 100));
-        byte[] longer = Arrays.copyOf(packed, packed.length + 1);
-        assertThrows(IllegalArgumentException.class, () -> CompressedBytes.decompress(longer, MOST));
-        for (int lie : new int[] {-1, 0, 10, MOST}) {
-            byte[] lies = packed.clone();
-            ByteBuffer.wrap(lies).putInt(lie);
-            assertThrows(IllegalArgumentException.class, () -> CompressedBytes.decompress(lies, MOST));
+        assertThrows(IllegalArgumentException.class, () -> CompressedBytes.decompress(compressed, 100));
+        byte[] longer = Arrays.copyOf(compressed, compressed.length + 1);
+        assertThrows(IllegalArgumentException.class, () -> CompressedBytes.decompress(longer, MAX_BYTES));
+        for (int length : new int[] {-1, 0, 10, MAX_BYTES}) {
+            byte[] wrongLength = compressed.clone();
+            ByteBuffer.wrap(wrongLength).putInt(length);
+            assertThrows(IllegalArgumentException.class, () -> CompressedBytes.decompress(wrongLength, MAX_BYTES));
         }
         SplittableRandom random = new SplittableRandom(1);
-        byte[] whole = routes(60);
+        byte[] bytes = routes(60);
         for (int i = 0; i < 2_000; i++) {
-            byte[] spoilt = packed.clone();
-            spoilt[random.nextInt(spoilt.length)] ^= (byte) (1 << random.nextInt(8));
+            byte[] corrupt = compressed.clone();
+            corrupt[random.nextInt(corrupt.length)] ^= (byte) (1 << random.nextInt(8));
             try {
                 assertArrayEquals(
-                        whole,
-                        CompressedBytes.decompress(spoilt, MOST),
-                        "its checksum holds, so it is what was packed");
+                        bytes,
+                        CompressedBytes.decompress(corrupt, MAX_BYTES),
+                        "accepted with a valid checksum, but the bytes differ");
             } catch (IllegalArgumentException e) {
                 assertTrue(e.getMessage().startsWith("packed: "));
             }
--- a/src/test/java/tinworks/config/ConfigurationSchemaTest.java
+++ b/src/test/java/tinworks/config/ConfigurationSchemaTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The schema that is shipped says the same as the reader, as far as a schema can. */
+/** The published JSON schema agrees with the reader, as far as a schema can express its rules. */
 class ConfigurationSchemaTest {
     private static final String VALID =
             "{\"rev\":7,\"routes\":[{\"name\":\"a\",\"domain\":\"x.example\",\"prefix\":\"/p/\",\"type\":\"idem\","
@@ -37,11 +37,11 @@
         }
     }
 
-    private boolean schemaTakes(String text) {
+    private boolean schemaAccepts(String text) {
         return schema.validate(text, InputFormat.JSON).isEmpty();
     }
 
-    private static boolean readerTakes(String text) {
+    private static boolean readerAccepts(String text) {
         try {
             ConfigurationReader.read(text.getBytes(StandardCharsets.UTF_8));
             return true;
@@ -51,9 +51,10 @@
     }
 
     @Test
-    void bothTakeWhatIsValid() {
-        assertTrue(readerTakes(VALID));
-        assertTrue(schemaTakes(VALID), schema.validate(VALID, InputFormat.JSON).toString());
+    void bothAcceptAValidConfiguration() {
+        assertTrue(readerAccepts(VALID));
+        assertTrue(
+                schemaAccepts(VALID), schema.validate(VALID, InputFormat.JSON).toString());
     }
 
     @ParameterizedTest
@@ -73,23 +74,23 @@
                 "\"hdrBytes\":16384|\"hdrBytes\":1",
                 "\"name\":\"t\"}]|\"name\":\"\"}]"
             })
-    void bothRefuseWhatIsWrongInOneField(String change) {
+    void bothRejectAnInvalidField(String change) {
         String[] parts = change.split("\\|", 2);
         assertTrue(VALID.contains(parts[0]));
         String changed = VALID.replace(parts[0], parts[1]);
-        assertFalse(readerTakes(changed));
-        assertFalse(schemaTakes(changed));
+        assertFalse(readerAccepts(changed));
+        assertFalse(schemaAccepts(changed));
     }
 
     /**
-     * Values put in place of others at any place; what only the reader can know is left out by keeping names of
+     * Replaces random values by others. Service names are not replaced, because only the reader can check references to
      * services.
      */
     @Test
-    void theyAgreeOnAnyFieldWithAnyValue() {
+    void schemaAndReaderAgreeOnRandomFieldValues() {
         SplittableRandom random = new SplittableRandom(5);
         String[] fields = VALID.split("(?<=[:,\\[{])|(?=[,\\]}])");
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 3_000; i++) {
             String[] changed = fields.clone();
             int at = random.nextInt(changed.length);
@@ -98,9 +99,9 @@
             }
             changed[at] = VALUES[random.nextInt(VALUES.length)];
             String text = String.join("", changed);
-            assertEquals(readerTakes(text), schemaTakes(text), text);
-            refused += readerTakes(text) ? 0 : 1;
+            assertEquals(readerAccepts(text), schemaAccepts(text), text);
+            rejected += readerAccepts(text) ? 0 : 1;
         }
-        assertTrue(refused > 100, "too few were refused to mean anything: " + refused);
+        assertTrue(rejected > 100, "too few invalid configurations for a meaningful test: " + rejected);
     }
 }
--- a/src/test/java/tinworks/config/ConfigurationTest.java
+++ b/src/test/java/tinworks/config/ConfigurationTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import tinworks.config.ConfigurationHistory.Verdict;
 
-/** The operator's configuration is read, and an invalid one is refused with its reason. */
+/** Parsing, validation and history of the operator's configuration. */
 class ConfigurationTest {
     private static final String VALID =
             "{'rev':7,'routes':[{'name':'a','domain':'X.example','prefix':'/p/','type':'idem',"
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void readsWhatTheOperatorSends() throws InvalidConfiguration {
+    void readsAValidConfiguration() throws InvalidConfiguration {
         Configuration read = read(VALID);
         assertEquals(7, read.rev());
         assertEquals("x.example", read.routes().get(0).domain());
@@ -55,7 +55,7 @@
                 "'tries':2        | 'tries':0          | routes[0].tries",
                 "'svcs':[         | 'svcs':5,'odd':[   | svcs",
             })
-    void namesTheFieldThatIsWrong(String quotedFrom, String quotedTo, String where) throws InvalidConfiguration {
+    void reportsThePathOfAnInvalidField(String quotedFrom, String quotedTo, String where) throws InvalidConfiguration {
         String changed = VALID.replace(quotedFrom.trim(), quotedTo.trim());
         if (where == null) {
             read(changed);
@@ -71,20 +71,20 @@
     }
 
     @Test
-    void anyTextCutShortOrSpoiltIsRefusedInOrderly() {
+    void truncatedOrCorruptTextThrowsOnlyInvalidConfiguration() {
         SplittableRandom random = new SplittableRandom(1);
-        byte[] whole = VALID.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
-        for (int i = 0; i < whole.length; i++) {
-            byte[] cut = java.util.Arrays.copyOf(whole, i);
-            assertThrows(InvalidConfiguration.class, () -> ConfigurationReader.read(cut));
+        byte[] bytes = VALID.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
+        for (int i = 0; i < bytes.length; i++) {
+            byte[] truncated = java.util.Arrays.copyOf(bytes, i);
+            assertThrows(InvalidConfiguration.class, () -> ConfigurationReader.read(truncated));
         }
         for (int i = 0; i < 20_000; i++) {
-            byte[] spoilt = whole.clone();
+            byte[] corrupt = bytes.clone();
             for (int flips = 1 + random.nextInt(4); flips > 0; flips--) {
-                spoilt[random.nextInt(spoilt.length)] = (byte) random.nextInt(256);
+                corrupt[random.nextInt(corrupt.length)] = (byte) random.nextInt(256);
             }
             try {
-                ConfigurationReader.read(spoilt);
+                ConfigurationReader.read(corrupt);
             } catch (InvalidConfiguration e) {
                 assertEquals(false, e.getMessage().isEmpty());
             }
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void whatStandsTwiceCountsAsItStandsLast() throws InvalidConfiguration {
+    void theLastOfDuplicateFieldsCounts() throws InvalidConfiguration {
         assertEquals(
                 9,
                 read(VALID.replace("{'rev':7,", "{'rev':'x','routes':[5],'svcs':[{}],'rev':8,")
@@ -107,9 +107,9 @@
                         .fieldPath());
     }
 
-    /** The bytes come back, and the command's size is that of the packed body. */
+    /** The body is returned unchanged, and the command is as small as the compressed body. */
     @Test
-    void aLongConfigurationIsKeptPackedAndShownAsItWasSent() {
+    void aLongConfigurationIsStoredCompressedAndReturnedAsSent() {
         StringBuilder text = new StringBuilder("{\"rev\":4,\"routes\":[");
         for (int i = 0; i < 3_000; i++) {
             text.append("{\"name\":\"r-")
@@ -132,15 +132,16 @@
     }
 
     @Test
-    void oneOfTwoChangesOnOneBaseWinsAndItsRepeatIsKnown() {
+    void oneOfTwoChangesOnTheSameBaseWinsAndItsRetryIsRecognized() {
         ConfigurationHistory history = new ConfigurationHistory();
         assertEquals(Verdict.ACCEPTED, history.apply(command(0, 2, "first")));
         assertEquals(Verdict.ACCEPTED, history.apply(command(2, 5, "one")));
         assertEquals(Verdict.CONFLICT, history.apply(command(2, 6, "other")));
         assertEquals(Verdict.VERSION_NOT_INCREASED, history.apply(command(5, 4, "lower")));
         assertEquals(Verdict.ACCEPTED, history.apply(command(5, 9, "next")));
-        assertEquals(Verdict.ACCEPTED, history.apply(command(2, 5, "one")), "a repeat of what has been taken");
-        assertEquals(Verdict.CONFLICT, history.apply(command(2, 5, "forged")), "another body under a taken number");
+        assertEquals(Verdict.ACCEPTED, history.apply(command(2, 5, "one")), "a retry of an accepted change");
+        assertEquals(
+                Verdict.CONFLICT, history.apply(command(2, 5, "forged")), "another body under an accepted version");
         assertEquals(9, history.rev());
         ConfigurationHistory copy = new ConfigurationHistory();
         copy.load(history.save());
@@ -150,8 +151,8 @@
         assertThrows(IllegalArgumentException.class, () -> copy.load(new byte[] {1, 2, 3}));
     }
 
-    /** Versions of uneven steps, each with a body of its own, on top of each other. */
-    private static long chain(ConfigurationHistory history, int count) {
+    /** Applies a chain of versions with uneven steps and distinct bodies; returns the last version. */
+    private static long applyChain(ConfigurationHistory history, int count) {
         for (int i = 1; i <= count; i++) {
             assertEquals(
                     Verdict.ACCEPTED, history.apply(command(history.rev(), history.rev() + 1 + i % 3, "body " + i)));
@@ -159,75 +160,77 @@
         return history.rev();
     }
 
-    /** The commands of {@link #chain}, from the first to the last. */
-    private static void forChain(int count, BiConsumer<Integer, byte[]> told) {
+    /** Passes the commands of {@link #applyChain} to the consumer, in order. */
+    private static void forEachCommandOfChain(int count, BiConsumer<Integer, byte[]> consumer) {
         long rev = 0;
         for (int i = 1; i <= count; i++) {
             long base = rev;
             rev += 1 + i % 3;
-            told.accept(i, command(base, rev, "body " + i));
+            consumer.accept(i, command(base, rev, "body " + i));
         }
     }
 
-    private static int refusedOfADay(ConfigurationHistory history) {
+    private static int rejectedRetriesOfADay(ConfigurationHistory history) {
         int day = 4_600;
-        chain(history, day);
-        int[] refused = {0};
-        forChain(day, (i, command) -> refused[0] += history.apply(command) == Verdict.ACCEPTED ? 0 : 1);
-        return refused[0];
+        applyChain(history, day);
+        int[] rejected = {0};
+        forEachCommandOfChain(day, (i, command) -> rejected[0] += history.apply(command) == Verdict.ACCEPTED ? 0 : 1);
+        return rejected[0];
     }
 
     @Test
-    void aRepeatIsKnownAfterADayOfChanges() {
-        assertEquals(0, refusedOfADay(new ConfigurationHistory()));
+    void aRetryIsRecognizedAfterADayOfChanges() {
+        assertEquals(0, rejectedRetriesOfADay(new ConfigurationHistory()));
         assertEquals(
                 4_600 - 256,
-                refusedOfADay(new ConfigurationHistory(new AcceptedVersions(256))),
-                "with too short a memory");
+                rejectedRetriesOfADay(new ConfigurationHistory(new AcceptedVersions(256))),
+                "with too short a deduplication window");
     }
 
     @Test
-    void whatIsOlderThanTheMemoryIsNeitherRefusedNorAcknowledgedAlsoAfterASnapshot() {
+    void aRetryOutsideTheDeduplicationWindowIsNeitherRejectedNorAcknowledgedAlsoAfterASnapshot() {
         ConfigurationHistory history = new ConfigurationHistory();
         int count = 10_000;
-        long last = chain(history, count);
+        long last = applyChain(history, count);
         ConfigurationHistory copy = new ConfigurationHistory();
         copy.load(history.save());
         assertEquals(last, copy.rev());
         int[] known = {0};
-        forChain(count, (i, command) -> {
+        forEachCommandOfChain(count, (i, command) -> {
             Verdict verdict = copy.apply(command);
             assertEquals(i > count - 8_192 ? Verdict.ACCEPTED : Verdict.OUTSIDE_WINDOW, verdict, "change " + i);
             known[0] += verdict == Verdict.ACCEPTED ? 1 : 0;
         });
         assertEquals(8_192, known[0]);
-        assertEquals(Verdict.OUTSIDE_WINDOW, copy.apply(command(1, 3, "never taken")), "nobody knows any more");
-        assertEquals(Verdict.CONFLICT, copy.apply(command(last - 9, last - 3, "never taken")));
-        assertEquals(Verdict.VERSION_NOT_INCREASED, copy.apply(command(last, 3, "lower")), "it can't have been taken");
+        assertEquals(
+                Verdict.OUTSIDE_WINDOW, copy.apply(command(1, 3, "never accepted")), "unknown whether it was accepted");
+        assertEquals(Verdict.CONFLICT, copy.apply(command(last - 9, last - 3, "never accepted")));
+        assertEquals(
+                Verdict.VERSION_NOT_INCREASED, copy.apply(command(last, 3, "lower")), "it cannot have been accepted");
         assertEquals(Verdict.VERSION_NOT_INCREASED, copy.apply(command(3, 3, "lower")));
         assertEquals(last, copy.rev());
-        // The bound of what a snapshot holds besides the configuration itself.
+        // The largest size of a snapshot without the configuration itself.
         assertEquals(25 + 8_192 * 24, history.save().length - history.compressedBody().length);
     }
 
     @Test
-    void anotherBodyUnderATakenNumberIsAnotherOrder() {
+    void anotherBodyUnderAnAcceptedVersionIsAnotherChange() {
         ConfigurationHistory history = new ConfigurationHistory();
-        chain(history, 3);
+        applyChain(history, 3);
         byte[] other = command(0, 2, "another's");
         assertEquals(Verdict.CONFLICT, history.apply(other));
         ConfigurationHistory byNumber = new ConfigurationHistory(new AcceptedVersions() {
             @Override
-            boolean has(long rev, byte[] digest) {
+            boolean contains(long rev, byte[] digest) {
                 return rev <= 7;
             }
         });
-        chain(byNumber, 3);
-        assertEquals(Verdict.ACCEPTED, byNumber.apply(other), "known by its number alone it would be confirmed");
+        applyChain(byNumber, 3);
+        assertEquals(Verdict.ACCEPTED, byNumber.apply(other), "matched by its version alone, it would be confirmed");
     }
 
     @Test
-    void oneThatIsTooHeavyIsRefusedAsTooLargeAndAsNothingElse() throws Exception {
+    void aConfigurationAboveTheMemoryLimitIsRejectedAsTooLarge() throws Exception {
         StringBuilder json = new StringBuilder("{\"rev\":1,\"svcs\":[{\"name\":\"s\"}],\"routes\":[");
         for (int i = 0; i < 1_000; i++) {
             json.append(i == 0 ? "" : ",")
@@ -242,10 +245,10 @@
                 ConfigurationReader.read(new ByteArrayInputStream(bytes), weight)
                         .routes()
                         .size());
-        InvalidConfiguration refused = assertThrows(
+        InvalidConfiguration rejected = assertThrows(
                 InvalidConfiguration.class,
                 () -> ConfigurationReader.read(new ByteArrayInputStream(bytes), weight - 1));
-        assertTrue(refused.isTooLarge(), refused.getMessage());
+        assertTrue(rejected.isTooLarge(), rejected.getMessage());
         InvalidConfiguration invalid =
                 assertThrows(InvalidConfiguration.class, () -> read("{'rev':0,'routes':[],'svcs':[]}"));
         assertFalse(invalid.isTooLarge());
--- a/src/test/java/tinworks/config/ShortDeduplicationWindow.java
+++ b/src/test/java/tinworks/config/ShortDeduplicationWindow.java
@@ -1,23 +1,25 @@
 package tinworks.config;
 
-/** Broken on purpose: the versions that were taken are forgotten soon, and refused when they come again. */
+/**
+ * A deliberately faulty history for mutation tests: evicts accepted versions early and then rejects retries of them.
+ */
 public final class ShortDeduplicationWindow {
-    private static final int MOST = 4;
+    private static final int MAX_VERSIONS = 4;
 
     private ShortDeduplicationWindow() {}
 
-    /** A history that knows nothing yet. */
+    /** Creates an empty history. */
     public static ConfigurationHistory newHistory() {
-        return new ConfigurationHistory(new Forgetful());
+        return new ConfigurationHistory(new ShortWindow());
     }
 
-    private static final class Forgetful extends AcceptedVersions {
-        Forgetful() {
-            super(MOST);
+    private static final class ShortWindow extends AcceptedVersions {
+        ShortWindow() {
+            super(MAX_VERSIONS);
         }
 
         @Override
-        long forgotten() {
+        long highestEvicted() {
             return 0;
         }
     }
--- a/src/test/java/tinworks/json/AddressTest.java
+++ b/src/test/java/tinworks/json/AddressTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Addresses are numbers. A name was looked up where it was read, which is an event loop for the hosts of the platform's
- * list and for changed settings: the process stood still for as long as nobody answered.
+ * Addresses are numeric. Names used to be looked up while parsing, which runs on an event loop for the platform's host
+ * list and for changed settings: the process blocked until the name server answered.
  */
 class AddressTest {
     @Test
-    void numbersAreReadAndNothingElseIs() {
+    void parsesOnlyNumericAddresses() {
         assertEquals(new InetSocketAddress("10.1.0.18", 8_080), Address.parse("10.1.0.18:8080"));
         assertEquals(new InetSocketAddress("255.0.255.0", 0), Address.parse("255.0.255.0:0"));
-        for (String none : List.of(
+        for (String invalid : List.of(
                 "",
                 ":",
                 "80",
@@ -34,20 +34,20 @@
                 "10.1.0.18:65536",
                 "10.1.0.18:x",
                 "a.b.c.d:80")) {
-            assertThrows(IllegalArgumentException.class, () -> Address.parse(none), none);
+            assertThrows(IllegalArgumentException.class, () -> Address.parse(invalid), invalid);
         }
     }
 
     @Test
     @Timeout(value = 2, unit = TimeUnit.SECONDS)
-    void aNameIsNotLookedUp() {
+    void doesNotLookUpNames() {
         for (int i = 0; i < 1_000; i++) {
             assertFalse(Address.isValid("name-" + i + ".example:80"));
         }
     }
 
     @Test
-    void whoMayWaitMayUseNames() {
+    void resolveAcceptsNames() {
         assertEquals(80, Address.resolve("localhost:80").getPort());
     }
 }
