--- a/src/main/java/tinworks/invariant/Invariant.java
+++ b/src/main/java/tinworks/invariant/Invariant.java
@@ -6,75 +6,75 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What must hold at all times, whatever goes wrong around this process. Each is checked where it could break, in
- * production as in tests; a violation is counted, shown among the metrics, and logged with what was seen. A check never
- * changes what happens next, but where its place says so.
+ * The invariants that must hold at all times, whatever fails around this process. Each is checked where it could break,
+ * in production as in tests. A violation is counted, exported as a metric, and logged with details. A check does not
+ * change the control flow, except where the calling code says so.
  *
- * <p>The counts are the process's. Safe for use by several threads.
+ * <p>The counts are per process. Thread-safe.
  */
 public enum Invariant {
-    /** A request that must not run twice isn't sent again behind an attempt that may have run. */
+    /** A request that must not run twice is not retried after an attempt that may have run. */
     RUNS_ONCE,
-    /** A status that says "not run" is told only where nothing has run, or a further run does no harm. */
+    /** A "not run" status is sent only if nothing has run, or if running again does no harm. */
     PROMISE_KEPT,
-    /** Nothing is sent for a request that has its final answer, and it gets no second one. */
+    /** After its final answer a request causes no further attempts and gets no second answer. */
     ONE_ANSWER,
-    /** Each request has its final answer soon after its time is over. */
+    /** Each request gets its final answer soon after its deadline at the latest. */
     ANSWERED_IN_TIME,
-    /** A request goes to no more hosts than its route's tries. */
+    /** A request is sent to no more hosts than its route's limit of attempts. */
     TRIES_KEPT,
-    /** A host is told no more time than its request has left. */
+    /** The deadline sent to a host is no longer than the remaining time of the request. */
     DEADLINE_KEPT,
-    /** No request goes to a host that is known to drain or to be gone. */
+    /** No request is sent to a host that is known to be draining or removed. */
     NOT_TO_DRAINED,
-    /** What is passed on as a host's success bears the request's own id and the host's seal. */
+    /** An answer forwarded as a host's success carries the id of the request and the seal of the host. */
     OWN_ANSWER,
-    /** The version of the configuration in force at a process only rises. */
+    /** The version of the configuration in force in a process only increases. */
     VERSION_RISES,
-    /** Committed entries are applied each once, in their order, and terms never fall. */
+    /** Committed entries are applied once each and in order, and terms never decrease. */
     APPLIED_IN_ORDER,
-    /** What is committed at one member is never contradicted by a leader. */
+    /** A leader never contradicts an entry that a member has committed. */
     COMMITTED_STAYS,
-    /** There is one leader in a term. */
+    /** A term has at most one leader. */
     ONE_LEADER,
-    /** A version is acknowledged only where it is in the applied state. */
+    /** A version is acknowledged only if the applied state contains it. */
     ACKNOWLEDGED_IS_APPLIED,
-    /** A configuration that is shown is no older than one that was acknowledged or shown here before. */
+    /** A configuration shown is no older than any that this process acknowledged or showed before. */
     SHOWN_IS_NEWEST,
-    /** What is bounded in bytes stays within its bound, and nothing is given back that was not taken. */
+    /** A byte budget stays within its limit, and no more is released than was reserved. */
     WITHIN_BUDGET,
-    /** The program's own faults: exceptions that no code expects. */
+    /** No unexpected exceptions, which are faults of the program. */
     NO_FAULT;
 
     private static final Logger LOG = LoggerFactory.getLogger(Invariant.class);
-    /** Of each invariant so many violations are logged, and then the 32nd, the 64th and so on. */
-    private static final long LOGGED_EACH = 16;
+    /** The first violations of each invariant are all logged, then the 32nd, the 64th and so on. */
+    private static final long ALWAYS_LOGGED = 16;
 
-    /** By the position of each invariant; of this process. */
+    /** Violations in this process, indexed by ordinal. */
     private static final AtomicLongArray VIOLATIONS = new AtomicLongArray(values().length);
 
-    /** Counts a violation where this doesn't hold; what was seen is asked for then alone. */
-    public void check(boolean holds, Supplier<String> seen) {
+    /** Counts a violation unless the condition holds; the details are evaluated only then. */
+    public void check(boolean holds, Supplier<String> details) {
         if (!holds) {
-            recordViolation(seen.get());
+            recordViolation(details.get());
         }
     }
 
-    /** Counts a violation. */
-    public void recordViolation(String seen) {
+    /** Counts a violation, and logs it unless it is one of many. */
+    public void recordViolation(String details) {
         long count = VIOLATIONS.incrementAndGet(ordinal());
-        if (count <= LOGGED_EACH || Long.bitCount(count) == 1) {
-            LOG.error("invariant {} violated ({} times): {}", name(), count, seen);
+        if (count <= ALWAYS_LOGGED || Long.bitCount(count) == 1) {
+            LOG.error("invariant {} violated ({} times): {}", name(), count, details);
         }
     }
 
-    /** Counts a violation by a fault of the program, and says where it came from. */
-    public void recordException(RuntimeException fault, String doing) {
-        StackTraceElement[] trace = fault.getStackTrace();
-        recordViolation(doing + ": " + fault + " at " + (trace.length == 0 ? "an unknown place" : trace[0]));
+    /** Counts an unexpected exception as a violation, with the place that threw it. */
+    public void recordException(RuntimeException exception, String activity) {
+        StackTraceElement[] trace = exception.getStackTrace();
+        recordViolation(activity + ": " + exception + " at " + (trace.length == 0 ? "an unknown location" : trace[0]));
     }
 
-    /** How often it was violated since the process started. */
+    /** The number of violations since the process started. */
     public long violations() {
         return VIOLATIONS.get(ordinal());
     }
--- a/src/main/java/tinworks/invariant/package-info.java
+++ b/src/main/java/tinworks/invariant/package-info.java
@@ -1,2 +1,2 @@
-/** The promises that matter most, as checks that run in the code and count their violations. */
+/** Runtime checks of the most important invariants, which count their violations. */
 package tinworks.invariant;
--- a/src/main/java/tinworks/logging/Fatal.java
+++ b/src/main/java/tinworks/logging/Fatal.java
@@ -10,47 +10,47 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The end of a process that can't go on: a full heap, a full stack or another {@link Error} leaves it in no state that
- * is known, and whoever started it starts it anew.
+ * Terminates the process on a fatal error: after an exhausted heap or stack or another {@link Error} its state is
+ * unknown. Restarting it is left to its supervisor.
  */
 public final class Fatal {
-    /** The exit code of such an end. */
+    /** The exit code after a fatal error. */
     public static final int EXIT_CODE = 70;
-    /** Made beforehand, and written past all buffers: there may be no memory for it later. */
-    private static final byte[] HEAP = line("OutOfMemoryError");
+    /** Encoded in advance and written unbuffered, because there may be no memory left when it is needed. */
+    private static final byte[] HEAP_LINE = line("OutOfMemoryError");
 
-    private static final byte[] STACK = line("StackOverflowError");
-    private static final byte[] OTHER = line("another error");
+    private static final byte[] STACK_LINE = line("StackOverflowError");
+    private static final byte[] OTHER_LINE = line("another error");
 
-    private static final FileOutputStream OUT = new FileOutputStream(FileDescriptor.err);
-    private static final int DEEPEST = 20;
-    /** So long the last lines may take: nobody may be there to read them. */
-    private static final long LAST_LINES_MILLIS = 500;
+    private static final FileOutputStream STANDARD_ERROR = new FileOutputStream(FileDescriptor.err);
+    private static final int MAX_CAUSE_DEPTH = 20;
+    /** Limits the time to write the last log lines, because the log reader may be stalled. */
+    private static final long FINAL_FLUSH_MILLIS = 500;
 
-    private static final CountDownLatch ENDING = new CountDownLatch(1);
+    private static final CountDownLatch TERMINATING = new CountDownLatch(1);
 
     private Fatal() {}
 
     /**
-     * From now on what nobody has caught ends the process, on whichever thread it comes; but for work that an event
-     * loop refuses since it has ended: then the process is about to end in order.
+     * Installs a handler that ends the process on any uncaught exception in any thread. Tasks that a terminated event
+     * loop rejects are exempt: the process is then in its graceful shutdown.
      */
     public static void install() {
         startHalter();
         Thread.setDefaultUncaughtExceptionHandler((thread, thrown) -> {
             if (!(thrown instanceof RejectedExecutionException)) {
-                end(thrown);
+                terminate(thrown);
             }
         });
     }
 
-    /** Guards against an end that waits for a reader of the log. Started beforehand: there may be no memory later. */
+    /** Halts the process even if its last log lines block. Started in advance, as memory may be exhausted later. */
     private static void startHalter() {
         Thread halter = new Thread(
                 () -> {
                     try {
-                        ENDING.await();
-                        TimeUnit.MILLISECONDS.sleep(LAST_LINES_MILLIS);
+                        TERMINATING.await();
+                        TimeUnit.MILLISECONDS.sleep(FINAL_FLUSH_MILLIS);
                         Runtime.getRuntime().halt(EXIT_CODE);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
@@ -61,10 +61,10 @@
         halter.start();
     }
 
-    /** The error that something thrown is, or that caused it; null where it is none. */
+    /** The first {@link Error} in the cause chain, the throwable itself included; null if there is none. */
     public static Error findError(Throwable thrown) {
         Throwable cause = thrown;
-        for (int i = 0; cause != null && i < DEEPEST; i++) {
+        for (int i = 0; cause != null && i < MAX_CAUSE_DEPTH; i++) {
             if (cause instanceof Error error) {
                 return error;
             }
@@ -74,8 +74,8 @@
     }
 
     /**
-     * To be called with all that is caught for want of a better place. Where it is an error, or was caused by one, it
-     * goes to the thread's handler of uncaught ones, which ends the process once {@link #install} was called.
+     * To be called from catch-all handlers. An {@link Error} in the cause chain is passed to the thread's uncaught
+     * exception handler, which ends the process if {@link #install} was called.
      */
     public static void reportIfFatal(Throwable thrown) {
         Error error = findError(thrown);
@@ -85,23 +85,26 @@
         }
     }
 
-    private static byte[] line(String what) {
+    private static byte[] line(String error) {
         return ("{\"level\":\"ERROR\",\"part\":\"Fatal\",\"said\":\"this process can't go on and ends with code "
-                        + EXIT_CODE + "\",\"thrown\":\"" + what + "\"}\n")
+                        + EXIT_CODE + "\",\"thrown\":\"" + error + "\"}\n")
                 .getBytes(StandardCharsets.US_ASCII);
     }
 
-    private static void end(Throwable thrown) {
+    private static void terminate(Throwable thrown) {
         try {
-            ENDING.countDown();
+            TERMINATING.countDown();
             if (findError(thrown) == null) {
-                LoggerFactory.getLogger(Fatal.class).error("nobody has caught", thrown);
+                LoggerFactory.getLogger(Fatal.class).error("uncaught exception", thrown);
             }
-            OUT.write(thrown instanceof OutOfMemoryError ? HEAP : thrown instanceof StackOverflowError ? STACK : OTHER);
-            // Behind the line above: it may want memory.
-            JsonLog.flush(LAST_LINES_MILLIS);
+            STANDARD_ERROR.write(
+                    thrown instanceof OutOfMemoryError
+                            ? HEAP_LINE
+                            : thrown instanceof StackOverflowError ? STACK_LINE : OTHER_LINE);
+            // After the line above, because this may need memory.
+            JsonLog.flush(FINAL_FLUSH_MILLIS);
         } catch (IOException e) {
-            // Nobody reads what this process says.
+            // Standard error is closed; there is nowhere left to report to.
             return;
         } finally {
             Runtime.getRuntime().halt(EXIT_CODE);
--- a/src/main/java/tinworks/logging/JsonLog.java
+++ b/src/main/java/tinworks/logging/JsonLog.java
@@ -9,75 +9,77 @@
 import org.slf4j.helpers.MessageFormatter;
 
 /**
- * Writes one line of JSON to standard error for each record, through a {@link LogWriter}. Small on purpose: the
- * runtime's own logging and its formats cost a start on a part of a core as much as reading the settings.
+ * An SLF4J logger that writes one line of JSON to standard error for each record, through a {@link LogWriter}. Kept
+ * small: java.util.logging and its formatters take as long as reading the settings when a process starts on a fraction
+ * of a core.
  */
 public final class JsonLog extends LegacyAbstractLogger {
     private static final long serialVersionUID = 1L;
-    private static final int FIRST_PRINTED = 0x20;
+    private static final int FIRST_PRINTABLE = 0x20;
     private static final String HEX = "0123456789abcdef";
 
     private static final LogWriter WRITER = new LogWriter("log", () -> System.err, JsonLog::droppedLine);
 
     private static volatile String node = "";
-    private static volatile int least = Level.INFO.toInt();
+    private static volatile int minLevel = Level.INFO.toInt();
 
-    private final String part;
+    private final String component;
 
     JsonLog(String name) {
         this.name = name;
-        part = name.substring(name.lastIndexOf('.') + 1);
+        component = name.substring(name.lastIndexOf('.') + 1);
     }
 
-    /** From now on each line names this node, and what is below the level is left out. */
-    public static void install(String itsNode, Level level) {
-        node = itsNode;
-        least = level.toInt();
+    /** Sets the node name of all following lines, and the lowest level that is logged. */
+    public static void install(String nodeName, Level level) {
+        node = nodeName;
+        minLevel = level.toInt();
     }
 
-    /** Waits until all lines so far have been written, or for so long: at the end of a process. */
-    public static void flush(long millis) {
-        WRITER.flush(millis);
+    /** Waits until all lines are written or the timeout has passed; called before the process exits. */
+    public static void flush(long timeoutMillis) {
+        WRITER.flush(timeoutMillis);
     }
 
-    /** How many lines were dropped since the process started, as nobody read the log. */
+    /** The number of lines dropped since the process started because the log was not read. */
     public static long dropped() {
         return WRITER.dropped();
     }
 
     private static String droppedLine(long lines) {
-        String said = lines + " lines were dropped: nobody read the log";
-        return line(System.currentTimeMillis(), Level.WARN, node, "JsonLog", said, null);
+        String message = lines + " log lines were dropped because the log was not read";
+        return formatLine(System.currentTimeMillis(), Level.WARN, node, "JsonLog", message, null);
     }
 
-    /** One record as a line; {@code thrown} may be null. */
-    static String line(long epochMillis, Level level, String node, String part, String said, Throwable thrown) {
+    /** Formats one record as a line; {@code thrown} may be null. */
+    static String formatLine(
+            long epochMillis, Level level, String node, String component, String message, Throwable thrown) {
         StringBuilder line = new StringBuilder(160).append("{\"at\":\"");
-        time(line, epochMillis);
+        appendTime(line, epochMillis);
         line.append("\",\"level\":\"").append(level).append("\",\"node\":");
-        quote(line, node);
-        quote(line.append(",\"part\":"), part);
-        quote(line.append(",\"said\":"), said);
+        appendQuoted(line, node);
+        appendQuoted(line.append(",\"part\":"), component);
+        appendQuoted(line.append(",\"said\":"), message);
         if (thrown != null) {
-            quote(line.append(",\"thrown\":"), thrown.toString());
+            appendQuoted(line.append(",\"thrown\":"), thrown.toString());
         }
         return line.append("}\n").toString();
     }
 
-    /** In UTC, to the millisecond. By hand: the library's formats cost a cold start ten milliseconds. */
-    private static void time(StringBuilder line, long epochMillis) {
-        long second = TimeUnit.SECONDS.toMillis(1);
-        LocalDateTime t = LocalDateTime.ofEpochSecond(Math.floorDiv(epochMillis, second), 0, ZoneOffset.UTC);
-        digits(line, t.getYear(), 4).append('-');
-        digits(line, t.getMonthValue(), 2).append('-');
-        digits(line, t.getDayOfMonth(), 2).append('T');
-        digits(line, t.getHour(), 2).append(':');
-        digits(line, t.getMinute(), 2).append(':');
-        digits(line, t.getSecond(), 2).append('.');
-        digits(line, (int) Math.floorMod(epochMillis, second), 3).append('Z');
+    /** Appends a UTC time in milliseconds. Formatted by hand: java.time's formatters add 10 ms to a cold start. */
+    private static void appendTime(StringBuilder line, long epochMillis) {
+        long millisPerSecond = TimeUnit.SECONDS.toMillis(1);
+        LocalDateTime t = LocalDateTime.ofEpochSecond(Math.floorDiv(epochMillis, millisPerSecond), 0, ZoneOffset.UTC);
+        appendDigits(line, t.getYear(), 4).append('-');
+        appendDigits(line, t.getMonthValue(), 2).append('-');
+        appendDigits(line, t.getDayOfMonth(), 2).append('T');
+        appendDigits(line, t.getHour(), 2).append(':');
+        appendDigits(line, t.getMinute(), 2).append(':');
+        appendDigits(line, t.getSecond(), 2).append('.');
+        appendDigits(line, (int) Math.floorMod(epochMillis, millisPerSecond), 3).append('Z');
     }
 
-    private static StringBuilder digits(StringBuilder line, int value, int count) {
+    private static StringBuilder appendDigits(StringBuilder line, int value, int count) {
         String text = Integer.toString(value);
         for (int i = text.length(); i < count; i++) {
             line.append('0');
@@ -85,13 +87,13 @@
         return line.append(text);
     }
 
-    private static void quote(StringBuilder line, String text) {
+    private static void appendQuoted(StringBuilder line, String text) {
         line.append('"');
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (c == '"' || c == '\\') {
                 line.append('\\').append(c);
-            } else if (c < FIRST_PRINTED) {
+            } else if (c < FIRST_PRINTABLE) {
                 line.append("\\u00").append(HEX.charAt(c >> 4)).append(HEX.charAt(c & 0xf));
             } else {
                 line.append(c);
@@ -103,8 +105,8 @@
     @Override
     protected void handleNormalizedLoggingCall(
             Level level, Marker marker, String pattern, Object[] arguments, Throwable thrown) {
-        String said = arguments == null ? pattern : MessageFormatter.basicArrayFormat(pattern, arguments);
-        WRITER.write(line(System.currentTimeMillis(), level, node, part, String.valueOf(said), thrown));
+        String message = arguments == null ? pattern : MessageFormatter.basicArrayFormat(pattern, arguments);
+        WRITER.write(formatLine(System.currentTimeMillis(), level, node, component, String.valueOf(message), thrown));
     }
 
     @Override
@@ -112,32 +114,32 @@
         return null;
     }
 
-    private static boolean logs(Level level) {
-        return level.toInt() >= least;
+    private static boolean isEnabled(Level level) {
+        return level.toInt() >= minLevel;
     }
 
     @Override
     public boolean isTraceEnabled() {
-        return logs(Level.TRACE);
+        return isEnabled(Level.TRACE);
     }
 
     @Override
     public boolean isDebugEnabled() {
-        return logs(Level.DEBUG);
+        return isEnabled(Level.DEBUG);
     }
 
     @Override
     public boolean isInfoEnabled() {
-        return logs(Level.INFO);
+        return isEnabled(Level.INFO);
     }
 
     @Override
     public boolean isWarnEnabled() {
-        return logs(Level.WARN);
+        return isEnabled(Level.WARN);
     }
 
     @Override
     public boolean isErrorEnabled() {
-        return logs(Level.ERROR);
+        return isEnabled(Level.ERROR);
     }
 }
--- a/src/main/java/tinworks/logging/JsonLogProvider.java
+++ b/src/main/java/tinworks/logging/JsonLogProvider.java
@@ -9,20 +9,20 @@
 import org.slf4j.spi.MDCAdapter;
 import org.slf4j.spi.SLF4JServiceProvider;
 
-/** What SLF4J finds by its name, or by the property {@code slf4j.provider}. */
+/** The SLF4J provider, found as a service or by the system property {@code slf4j.provider}. */
 public final class JsonLogProvider implements SLF4JServiceProvider {
-    private final Map<String, JsonLog> logs = new ConcurrentHashMap<>();
+    private final Map<String, JsonLog> loggers = new ConcurrentHashMap<>();
     private final IMarkerFactory markers = new BasicMarkerFactory();
-    private final MDCAdapter context = new NOPMDCAdapter();
+    private final MDCAdapter mdcAdapter = new NOPMDCAdapter();
 
-    /** For SLF4J. */
+    /** Called by SLF4J. */
     public JsonLogProvider() {
-        // Nothing is made before it is asked for.
+        // Loggers are created on request.
     }
 
     @Override
     public ILoggerFactory getLoggerFactory() {
-        return name -> logs.computeIfAbsent(name, JsonLog::new);
+        return name -> loggers.computeIfAbsent(name, JsonLog::new);
     }
 
     @Override
@@ -32,7 +32,7 @@
 
     @Override
     public MDCAdapter getMDCAdapter() {
-        return context;
+        return mdcAdapter;
     }
 
     @Override
@@ -42,6 +42,6 @@
 
     @Override
     public void initialize() {
-        // All is there.
+        // Nothing to initialize.
     }
 }
--- a/src/main/java/tinworks/logging/LogWriter.java
+++ b/src/main/java/tinworks/logging/LogWriter.java
@@ -7,34 +7,34 @@
 import java.util.function.Supplier;
 
 /**
- * Writes log lines on a thread of its own, so that a reader that has stopped holds up nobody who logs. What waits is
- * bounded; lines that find no room are dropped and counted, and the count is written once there is room again. Safe for
- * use by several threads.
+ * Writes log lines on a separate thread, so that a stalled reader does not block the threads that log. The queue is
+ * bounded; lines that do not fit are dropped and counted, and the count is written once the queue is empty.
+ * Thread-safe.
  */
 public final class LogWriter {
-    /** Characters that may wait; at some 200 a line more than a process says in a minute. */
-    static final int MOST_WAITING_CHARS = 256 << 10;
-    /** A longer line is cut: one exception must not take the room of all others. */
-    static final int LONGEST_LINE_CHARS = 16 << 10;
+    /** Capacity of the queue; at about 200 characters a line, more than a process logs in a minute. */
+    static final int MAX_QUEUED_CHARS = 256 << 10;
+    /** Longer lines are truncated, so that one exception cannot fill the queue. */
+    static final int MAX_LINE_CHARS = 16 << 10;
 
     private static final long FLUSH_AT_EXIT_MILLIS = 300;
 
     private final String name;
     private final Supplier<PrintStream> target;
     private final LongFunction<String> droppedLine;
-    private final ArrayDeque<String> waiting = new ArrayDeque<>();
-    private int waitingChars;
+    private final ArrayDeque<String> queue = new ArrayDeque<>();
+    private int queuedChars;
     private boolean started;
     private boolean writing;
     private long dropped;
-    private long droppedUntold;
+    private long droppedUnreported;
 
     /**
-     * A writer whose thread starts with the first line.
+     * Creates a writer whose thread starts with the first line.
      *
-     * @param name of its thread
-     * @param target asked for anew with each line
-     * @param droppedLine the line that tells how many were dropped
+     * @param name the name of the thread
+     * @param target supplies the stream, and is called again for each line
+     * @param droppedLine formats the line that reports how many lines were dropped
      */
     public LogWriter(String name, Supplier<PrintStream> target, LongFunction<String> droppedLine) {
         this.name = name;
@@ -42,30 +42,30 @@
         this.droppedLine = droppedLine;
     }
 
-    /** Takes a line, which ends with a line feed, or drops it; never waits for the reader. */
+    /** Queues a line, which ends with a line feed, or drops it; never blocks on the reader. */
     public synchronized void write(String line) {
         start();
-        String kept = line.length() <= LONGEST_LINE_CHARS ? line : line.substring(0, LONGEST_LINE_CHARS) + "\n";
-        if (waitingChars + kept.length() > MOST_WAITING_CHARS) {
+        String truncated = line.length() <= MAX_LINE_CHARS ? line : line.substring(0, MAX_LINE_CHARS) + "\n";
+        if (queuedChars + truncated.length() > MAX_QUEUED_CHARS) {
             dropped++;
-            droppedUntold++;
+            droppedUnreported++;
             return;
         }
-        waiting.add(kept);
-        waitingChars += kept.length();
+        queue.add(truncated);
+        queuedChars += truncated.length();
         notifyAll();
     }
 
-    /** Waits until all that was taken has been written, and what was dropped told, or for so long; whether it has. */
-    public synchronized boolean flush(long millis) {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+    /** Waits until all lines are written and drops are reported; returns false if the timeout passes first. */
+    public synchronized boolean flush(long timeoutMillis) {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         try {
-            while (writing || !waiting.isEmpty() || droppedUntold > 0) {
-                long left = until - System.nanoTime();
-                if (left <= 0) {
+            while (writing || !queue.isEmpty() || droppedUnreported > 0) {
+                long remaining = deadline - System.nanoTime();
+                if (remaining <= 0) {
                     return false;
                 }
-                TimeUnit.NANOSECONDS.timedWait(this, left);
+                TimeUnit.NANOSECONDS.timedWait(this, remaining);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -74,7 +74,7 @@
         return true;
     }
 
-    /** How many lines found no room since the process started. */
+    /** The number of lines dropped since the process started. */
     public synchronized long dropped() {
         return dropped;
     }
@@ -90,7 +90,7 @@
         try {
             Runtime.getRuntime().addShutdownHook(new Thread(() -> flush(FLUSH_AT_EXIT_MILLIS), name + " at exit"));
         } catch (IllegalStateException e) {
-            // The process is ending already: whoever ends it flushes.
+            // The process is already shutting down, and the code that ends it flushes.
             return;
         }
     }
@@ -98,31 +98,31 @@
     private void run() {
         try {
             while (true) {
-                // Each line by itself: a reader that comes back after a pause finds whole lines.
-                target.get().print(next());
-                written();
+                // One line at a time, so that a reader that resumes after a stall gets complete lines.
+                target.get().print(nextLine());
+                lineWritten();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private synchronized String next() throws InterruptedException {
-        while (waiting.isEmpty() && droppedUntold == 0) {
+    private synchronized String nextLine() throws InterruptedException {
+        while (queue.isEmpty() && droppedUnreported == 0) {
             wait();
         }
         writing = true;
-        if (waiting.isEmpty()) {
-            String told = droppedLine.apply(droppedUntold);
-            droppedUntold = 0;
-            return told;
+        if (queue.isEmpty()) {
+            String report = droppedLine.apply(droppedUnreported);
+            droppedUnreported = 0;
+            return report;
         }
-        String line = waiting.poll();
-        waitingChars -= line.length();
+        String line = queue.poll();
+        queuedChars -= line.length();
         return line;
     }
 
-    private synchronized void written() {
+    private synchronized void lineWritten() {
         writing = false;
         notifyAll();
     }
--- a/src/main/java/tinworks/logging/package-info.java
+++ b/src/main/java/tinworks/logging/package-info.java
@@ -1,2 +1,2 @@
-/** Lines of JSON for everything that is logged through SLF4J. */
+/** An SLF4J provider that writes JSON lines, and the handling of fatal errors. */
 package tinworks.logging;
--- a/src/main/java/tinworks/metrics/MetricsPage.java
+++ b/src/main/java/tinworks/metrics/MetricsPage.java
@@ -16,7 +16,7 @@
 import tinworks.invariant.Invariant;
 import tinworks.logging.JsonLog;
 
-/** Collects figures at one moment and writes them as one page. Names come without the prefix that all share. */
+/** Builds one page of metrics from current values. Names are given without the common prefix. */
 public final class MetricsPage {
     /** The page's {@code Content-Type}. */
     public static final String CONTENT_TYPE = PrometheusTextFormatWriter.CONTENT_TYPE;
@@ -26,7 +26,7 @@
     private final Map<String, CounterSnapshot.Builder> counters = new LinkedHashMap<>();
     private final Map<String, GaugeSnapshot.Builder> gauges = new LinkedHashMap<>();
 
-    /** A count that only rises while the process lives; labels are names and values in turn. */
+    /** Adds a counter, which never decreases in the process's lifetime; labels alternate names and values. */
     public MetricsPage counter(String name, String help, double value, String... labels) {
         counters.computeIfAbsent(
                         name, n -> CounterSnapshot.builder().name(PREFIX + n).help(help))
@@ -37,7 +37,7 @@
         return this;
     }
 
-    /** A figure that rises and falls; labels are names and values in turn. */
+    /** Adds a gauge, which may rise and fall; labels alternate names and values. */
     public MetricsPage gauge(String name, String help, double value, String... labels) {
         gauges.computeIfAbsent(
                         name, n -> GaugeSnapshot.builder().name(PREFIX + n).help(help))
@@ -48,12 +48,12 @@
         return this;
     }
 
-    /** Adds how often each invariant was violated; those that never were stand there too, at 0. */
+    /** Adds the violation counter of each invariant, including those at 0. */
     public MetricsPage invariantViolations() {
         for (Invariant invariant : Invariant.values()) {
             counter(
                     "invariant_violations",
-                    "Promises that were found broken; anything above 0 is a fault of the program",
+                    "Detected invariant violations; any value above 0 is a fault of the program",
                     (double) invariant.violations(),
                     "invariant",
                     invariant.name().toLowerCase(Locale.ROOT));
@@ -61,13 +61,13 @@
         return this;
     }
 
-    /** Adds how many lines of the log were dropped. */
+    /** Adds the counter of dropped log lines. */
     public MetricsPage droppedLogLines() {
-        return counter("log_lines_dropped", "Lines of the log that found no room, as nobody read it", (double)
-                JsonLog.dropped());
+        return counter(
+                "log_lines_dropped", "Log lines dropped because the log was not read", (double) JsonLog.dropped());
     }
 
-    /** The page, in UTF-8. */
+    /** The page as UTF-8 bytes. */
     public byte[] text() {
         MetricSnapshots.Builder all = MetricSnapshots.builder();
         counters.values().forEach(counter -> all.metricSnapshot(counter.build()));
--- a/src/main/java/tinworks/metrics/package-info.java
+++ b/src/main/java/tinworks/metrics/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Figures for a monitoring system, in the text format of Prometheus. Nothing of it is loaded before it is asked for.
- */
+/** Metrics in the Prometheus text format. The library's classes are loaded only when metrics are first requested. */
 package tinworks.metrics;
--- a/src/test/java/tinworks/invariant/BreaksInvariants.java
+++ b/src/test/java/tinworks/invariant/BreaksInvariants.java
@@ -6,12 +6,12 @@
 import java.lang.annotation.Target;
 
 /**
- * A class of tests that breaks invariants on purpose: it takes guards out and shows that something notices, or checks
- * the checks. All others must not break any.
+ * Marks a test class that violates invariants deliberately: it removes safeguards and verifies that the violation is
+ * detected, or it tests the checks themselves. Other test classes must not violate any.
  */
 @Retention(RetentionPolicy.RUNTIME)
 @Target(ElementType.TYPE)
 public @interface BreaksInvariants {
-    /** Those that may be broken; all others still must hold. */
+    /** The invariants that may be violated; all others must still hold. */
     Invariant[] value();
 }
--- a/src/test/java/tinworks/invariant/InvariantCheck.java
+++ b/src/test/java/tinworks/invariant/InvariantCheck.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.extension.ExtensionContext.Namespace;
 
 /**
- * Fails a test class in which an invariant was violated, whatever its tests look at. Applies to all classes by the list
- * of extensions under {@code META-INF/services}.
+ * A JUnit extension that fails every test class in which an invariant was violated, even if its tests pass. Registered
+ * for all classes under {@code META-INF/services}.
  */
 public final class InvariantCheck implements BeforeAllCallback, AfterAllCallback {
     private static final Namespace STORE = Namespace.create(InvariantCheck.class);
 
-    /** The counts before a class's first test. */
+    /** The violation counts before a class's first test. */
     private record Before(Map<Invariant, Long> counts) {}
 
     @Override
@@ -39,13 +39,13 @@
         Map<Invariant, Long> before =
                 context.getStore(STORE).get(tests, Before.class).counts();
         allowed.forEach(before::remove);
-        assertEquals(before, counts(allowed), "violations of invariants in " + context.getDisplayName());
+        assertEquals(before, counts(allowed), "invariant violations in " + context.getDisplayName());
     }
 
-    private static Map<Invariant, Long> counts(Set<Invariant> leftOut) {
+    private static Map<Invariant, Long> counts(Set<Invariant> excluded) {
         Map<Invariant, Long> counts = new EnumMap<>(Invariant.class);
         for (Invariant invariant : Invariant.values()) {
-            if (!leftOut.contains(invariant)) {
+            if (!excluded.contains(invariant)) {
                 counts.put(invariant, invariant.violations());
             }
         }
--- a/src/test/java/tinworks/invariant/InvariantTest.java
+++ b/src/test/java/tinworks/invariant/InvariantTest.java
@@ -8,17 +8,17 @@
 import tinworks.metrics.MetricsPage;
 import tinworks.net.ByteBudget;
 
-/** Violations are counted and shown; what holds is not looked at twice. */
+/** Violations are counted and exported; details are evaluated only for a violation. */
 @BreaksInvariants({Invariant.NO_FAULT, Invariant.WITHIN_BUDGET})
 class InvariantTest {
     @Test
-    void aViolationIsCountedAndShown() {
+    void aViolationIsCountedAndExported() {
         long before = Invariant.NO_FAULT.violations();
         Invariant.NO_FAULT.check(true, () -> {
-            throw new IllegalStateException("asked for though it holds");
+            throw new IllegalStateException("details evaluated although the invariant holds");
         });
         assertEquals(before, Invariant.NO_FAULT.violations());
-        Invariant.NO_FAULT.check(false, () -> "made by a test");
+        Invariant.NO_FAULT.check(false, () -> "violated by a test");
         assertEquals(before + 1, Invariant.NO_FAULT.violations());
         String page = new String(new MetricsPage().invariantViolations().text(), StandardCharsets.UTF_8);
         String line = "tinworks_invariant_violations_total{invariant=\"no_fault\"} " + (before + 1);
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aBudgetThatGetsBackMoreThanItGaveIsNoticed() {
+    void releasingMoreThanWasReservedIsDetected() {
         ByteBudget budget = new ByteBudget(10);
         long before = Invariant.WITHIN_BUDGET.violations();
         assertTrue(budget.tryReserve(4));
--- a/src/test/java/tinworks/logging/FatalTest.java
+++ b/src/test/java/tinworks/logging/FatalTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.slf4j.LoggerFactory;
 
-/** A process that can't go on ends. */
+/** Fatal errors terminate the process. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class FatalTest {
-    /** A process that has installed the handler and then fails on another thread, while its first waits for good. */
+    /** A process that installs the handler and then fails on another thread, while its main thread sleeps. */
     static final class Failing {
         private Failing() {}
 
@@ -31,7 +31,7 @@
                 });
                 late.start();
                 late.join();
-                System.exit(IN_ORDER);
+                System.exit(ORDERLY_EXIT_CODE);
             }
             if (args[0].equals("unread")) {
                 for (int i = 0; i < UNREAD_LINES; i++) {
@@ -57,15 +57,15 @@
                     overflowStack(depth + 1);
                 }
             } catch (StackOverflowError e) {
-                Fatal.reportIfFatal(new IllegalStateException("as a library tells it", e));
+                Fatal.reportIfFatal(new IllegalStateException("wrapped by a library", e));
             }
         }
     }
 
-    private static final int IN_ORDER = 5;
+    private static final int ORDERLY_EXIT_CODE = 5;
     private static final int UNREAD_LINES = 20_000;
 
-    private static Process failing(String how) throws IOException {
+    private static Process startFailingProcess(String how) throws IOException {
         return new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-Xmx16m",
@@ -78,26 +78,26 @@
                 .start();
     }
 
-    private static String said(String how) throws IOException, InterruptedException {
-        Process process = failing(how);
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertEquals(how.equals("refused") ? IN_ORDER : Fatal.EXIT_CODE, process.waitFor(), said);
-        return said;
+    private static String outputOf(String how) throws IOException, InterruptedException {
+        Process process = startFailingProcess(how);
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertEquals(how.equals("refused") ? ORDERLY_EXIT_CODE : Fatal.EXIT_CODE, process.waitFor(), output);
+        return output;
     }
 
     @Test
-    void aFullHeapOrStackEndsTheProcessWithALineAndACodeOfItsOwn() throws IOException, InterruptedException {
-        assertTrue(said("heap").contains("OutOfMemoryError"));
-        assertTrue(said("stack").contains("StackOverflowError"));
-        assertEquals("", said("refused"), "work that came after the event loop's end");
+    void heapOrStackExhaustionLogsALineAndExitsWithTheFatalCode() throws IOException, InterruptedException {
+        assertTrue(outputOf("heap").contains("OutOfMemoryError"));
+        assertTrue(outputOf("stack").contains("StackOverflowError"));
+        assertEquals("", outputOf("refused"), "a task rejected by a terminated event loop");
     }
 
-    /** Whose log nobody reads ends all the same: it could wait in the writing of its last line for good. */
+    /** The process must exit even if its log is not read: writing the last line could block forever. */
     @Test
-    void aReaderOfTheLogWhoHasStoppedKeepsNoProcessFromItsEnd() throws IOException, InterruptedException {
-        Process process = failing("unread");
+    void exitsAlthoughTheLogReaderIsStalled() throws IOException, InterruptedException {
+        Process process = startFailingProcess("unread");
         try {
-            assertTrue(process.waitFor(20, TimeUnit.SECONDS), "it waits for the reader");
+            assertTrue(process.waitFor(20, TimeUnit.SECONDS), "the process is blocked by the log reader");
             assertEquals(Fatal.EXIT_CODE, process.exitValue());
         } finally {
             process.destroyForcibly();
@@ -105,11 +105,11 @@
     }
 
     @Test
-    void anErrorIsFoundBelowWhatALibraryMadeOfIt() {
+    void findsAnErrorInTheCauseChain() {
         OutOfMemoryError error = new OutOfMemoryError("test");
         assertSame(error, Fatal.findError(error));
         assertSame(error, Fatal.findError(new IllegalStateException(new IOException(error))));
         assertNull(Fatal.findError(new IllegalStateException(new IOException("disk full"))));
-        Fatal.reportIfFatal(new IOException("nothing happens"));
+        Fatal.reportIfFatal(new IOException("not an error, so it is ignored"));
     }
 }
--- a/src/test/java/tinworks/logging/JsonLogTest.java
+++ b/src/test/java/tinworks/logging/JsonLogTest.java
@@ -11,31 +11,31 @@
 import org.slf4j.event.Level;
 import tinworks.json.Json;
 
-/** Lines of the log are JSON. */
+/** Log records are written as JSON lines. */
 class JsonLogTest {
     @Test
-    void aLineIsReadBackAsItWasSaid() throws IOException {
-        String said = "a \"quoted\" \\ line\nand \u0001 control, \u00fc";
-        String line = JsonLog.line(
-                1_766_000_000_007L, Level.WARN, "edge-1", "EdgeNode", said, new IllegalStateException("no \"way\""));
+    void aLineRoundTripsThroughJson() throws IOException {
+        String message = "a \"quoted\" \\ line\nand \u0001 control, \u00fc";
+        String line = JsonLog.formatLine(
+                1_766_000_000_007L, Level.WARN, "edge-1", "EdgeNode", message, new IllegalStateException("no \"way\""));
         assertEquals('\n', line.charAt(line.length() - 1));
         Json read = Json.read(line);
         assertEquals("2025-12-17T19:33:20.007Z", read.field("at").text());
         assertEquals("WARN", read.field("level").text());
         assertEquals("edge-1", read.field("node").text());
         assertEquals("EdgeNode", read.field("part").text());
-        assertEquals(said, read.field("said").text());
+        assertEquals(message, read.field("said").text());
         assertEquals(
                 "java.lang.IllegalStateException: no \"way\"",
                 read.field("thrown").text());
     }
 
     @Test
-    void timesAreThoseOfTheLibrary() throws IOException {
+    void timestampsMatchJavaTime() throws IOException {
         SplittableRandom random = new SplittableRandom(3);
         for (int i = 0; i < 1_000; i++) {
             long millis = random.nextLong(4_000_000_000_000L);
-            String at = Json.read(JsonLog.line(millis, Level.INFO, "n", "p", "", null))
+            String at = Json.read(JsonLog.formatLine(millis, Level.INFO, "n", "p", "", null))
                     .field("at")
                     .text();
             assertEquals(millis, Instant.parse(at).toEpochMilli());
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void theLibraryFindsIt() {
+    void slf4jFindsTheProvider() {
         assertInstanceOf(JsonLog.class, LoggerFactory.getLogger("tinworks.Any"));
     }
 }
--- a/src/test/java/tinworks/logging/LogWriterTest.java
+++ b/src/test/java/tinworks/logging/LogWriterTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Lines wait for a reader within a bound, and what was lost is told. */
+/** Lines are queued up to a limit while the reader is stalled, and dropped lines are reported. */
 @Timeout(value = 30, unit = TimeUnit.SECONDS)
 class LogWriterTest {
     private final CountDownLatch reading = new CountDownLatch(1);
@@ -29,15 +29,15 @@
     }
 
     @Test
-    void whatFindsNoRoomIsDroppedCountedAndTold() {
+    void linesAboveTheQueueLimitAreDroppedCountedAndReported() {
         String line = "x".repeat(99) + "\n";
-        int lines = 2 * LogWriter.MOST_WAITING_CHARS / line.length();
+        int lines = 2 * LogWriter.MAX_QUEUED_CHARS / line.length();
         for (int i = 0; i < lines; i++) {
             writer.write(line);
         }
         long dropped = writer.dropped();
         assertTrue(dropped >= lines / 2 - 1, "dropped " + dropped + " of " + lines);
-        assertFalse(writer.flush(50), "nobody reads yet");
+        assertFalse(writer.flush(50), "the reader is stalled");
         reading.countDown();
         assertTrue(writer.flush(10_000));
         assertEquals(
@@ -46,11 +46,11 @@
     }
 
     @Test
-    void aLineWithoutEndIsCut() {
+    void anOverlongLineIsTruncated() {
         reading.countDown();
-        writer.write("y".repeat(LogWriter.MOST_WAITING_CHARS) + "\n");
+        writer.write("y".repeat(LogWriter.MAX_QUEUED_CHARS) + "\n");
         writer.write("next\n");
         assertTrue(writer.flush(10_000));
-        assertEquals("y".repeat(LogWriter.LONGEST_LINE_CHARS) + "\nnext\n", read.toString(StandardCharsets.UTF_8));
+        assertEquals("y".repeat(LogWriter.MAX_LINE_CHARS) + "\nnext\n", read.toString(StandardCharsets.UTF_8));
     }
 }
--- a/src/test/java/tinworks/logging/StuckLogTest.java
+++ b/src/test/java/tinworks/logging/StuckLogTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.slf4j.LoggerFactory;
 
-/** Who reads a process's log may stop reading: the process goes on. */
+/** A stalled log reader must not block the threads that log. */
 class StuckLogTest {
     @Test
     @Timeout(value = 30, unit = TimeUnit.SECONDS)
-    void aReaderWhoHasStoppedHoldsUpNobody() throws InterruptedException {
+    void aStalledLogReaderDoesNotBlockLoggingThreads() throws InterruptedException {
         CountDownLatch reading = new CountDownLatch(1);
-        PrintStream usual = System.err;
-        PrintStream stuck = new PrintStream(
+        PrintStream original = System.err;
+        PrintStream stalled = new PrintStream(
                 new OutputStream() {
                     @Override
                     public void write(int b) {
@@ -35,12 +35,12 @@
                 new Thread(() -> LoggerFactory.getLogger(StuckLogTest.class).info("a line"), "event loop");
         loop.setDaemon(true);
         try {
-            System.setErr(stuck);
+            System.setErr(stalled);
             loop.start();
             loop.join(2_000);
-            assertFalse(loop.isAlive(), "it waits for the reader");
+            assertFalse(loop.isAlive(), "the thread is blocked by the log reader");
         } finally {
-            System.setErr(usual);
+            System.setErr(original);
             reading.countDown();
             loop.join();
         }
