--- a/src/main/java/tinworks/channel/ByteReader.java
+++ b/src/main/java/tinworks/channel/ByteReader.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Reads with every length checked against what is there, before anything is made of that size. */
+/** Big-endian decoder that checks every length against the remaining bytes before it allocates memory of that size. */
 record ByteReader(ByteBuffer buffer) {
     private static final int MAX_STRING_BYTES = 4_096;
 
@@ -14,7 +14,7 @@
     boolean readBoolean() throws MalformedDataException {
         byte value = buffer.get();
         if (value != 0 && value != 1) {
-            throw new MalformedDataException("a flag of " + value);
+            throw new MalformedDataException("invalid boolean: " + value);
         }
         return value == 1;
     }
@@ -32,18 +32,18 @@
     }
 
     <T> T readConstant(T[] values) throws MalformedDataException {
-        int at = buffer.get();
-        if (at < 0 || at >= values.length) {
-            throw new MalformedDataException("no value of number " + at);
+        int ordinal = buffer.get();
+        if (ordinal < 0 || ordinal >= values.length) {
+            throw new MalformedDataException("unknown enum ordinal: " + ordinal);
         }
-        return values[at];
+        return values[ordinal];
     }
 
-    /** A count of things that take so many bytes each at least. */
-    int readCount(int leastBytes) throws MalformedDataException {
+    /** Reads the count of a list whose elements take at least {@code minElementBytes} each. */
+    int readCount(int minElementBytes) throws MalformedDataException {
         int count = buffer.getInt();
-        if (count < 0 || count > buffer.remaining() / leastBytes) {
-            throw new MalformedDataException("a count of " + count);
+        if (count < 0 || count > buffer.remaining() / minElementBytes) {
+            throw new MalformedDataException("invalid count: " + count);
         }
         return count;
     }
@@ -57,7 +57,7 @@
     String readString() throws MalformedDataException {
         byte[] value = readBytes();
         if (value.length > MAX_STRING_BYTES) {
-            throw new MalformedDataException("a text of " + value.length + " bytes");
+            throw new MalformedDataException("string too long: " + value.length + " bytes");
         }
         return new String(value, StandardCharsets.UTF_8);
     }
--- a/src/main/java/tinworks/channel/ByteWriter.java
+++ b/src/main/java/tinworks/channel/ByteWriter.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** The bytes of what one process says to another, big-endian, in a buffer that grows. */
+/** Big-endian encoder into a buffer that grows as needed. */
 final class ByteWriter {
     private ByteBuffer buffer = ByteBuffer.allocate(256);
 
--- a/src/main/java/tinworks/channel/ConfigurationCodec.java
+++ b/src/main/java/tinworks/channel/ConfigurationCodec.java
@@ -18,9 +18,9 @@
 import tinworks.config.SharedValues;
 
 /**
- * The bytes of a configuration and of a change of one, between a core machine that has read the operator's JSON and
- * checked it, and edges, which are spared both. Fields in the order of the records, a service's before the routes';
- * numbers, texts and lists as in {@link PeerMessageCodec}, a weight as the 8 bytes of a double.
+ * Encodes and decodes configurations and configuration changes. A core node parses and validates the operator's JSON,
+ * so that edges need do neither. Fields are in the order of the records, services before routes; numbers, strings and
+ * lists are encoded as in {@link PeerMessageCodec}, a weight as the 8 bytes of a double.
  */
 public final class ConfigurationCodec {
     private static final Configuration.Type[] ROUTE_TYPES = Configuration.Type.values();
@@ -30,12 +30,12 @@
 
     private ConfigurationCodec() {}
 
-    /** Reads a part. */
+    /** Reads one value from the input. */
     private interface Decoder<T> {
         T read(ByteReader in) throws MalformedDataException;
     }
 
-    /** A whole configuration as bytes. */
+    /** Encodes a whole configuration. */
     public static byte[] write(Configuration configuration) {
         ByteWriter out = new ByteWriter().writeLong(configuration.rev());
         writeLimits(out, configuration.limits());
@@ -44,7 +44,7 @@
         return toBytes(out);
     }
 
-    /** A change as bytes. */
+    /** Encodes a configuration change. */
     public static byte[] write(ConfigurationChange change) {
         ByteWriter out = new ByteWriter().writeLong(change.base()).writeLong(change.rev());
         writeLimits(out, change.limits());
@@ -57,7 +57,7 @@
         return toBytes(out);
     }
 
-    /** The configuration that the bytes are, no more and no less. */
+    /** Decodes a configuration; bytes that are missing or left over are an error. */
     public static Configuration read(byte[] bytes) throws MalformedDataException {
         return decodeFully(bytes, in -> {
             long rev = in.readLong();
@@ -70,7 +70,7 @@
         });
     }
 
-    /** The change that the bytes are, no more and no less. */
+    /** Decodes a configuration change; bytes that are missing or left over are an error. */
     public static ConfigurationChange readChange(byte[] bytes) throws MalformedDataException {
         return decodeFully(bytes, in -> {
             long base = in.readLong();
@@ -78,42 +78,43 @@
             Limits limits = readLimits(in);
             List<Service> services = readServices(in);
             List<Route> set = readRoutes(in);
-            List<String> goneServices = readList(in, Integer.BYTES, ConfigurationCodec::readString);
-            List<Place> gone =
+            List<String> removedServices = readList(in, Integer.BYTES, ConfigurationCodec::readString);
+            List<Place> removed =
                     readList(in, 2 * Integer.BYTES, place -> new Place(readString(place), readString(place)));
-            return new ConfigurationChange(base, rev, set, gone, services, goneServices, limits);
+            return new ConfigurationChange(base, rev, set, removed, services, removedServices, limits);
         });
     }
 
-    private static <T> T decodeFully(byte[] bytes, Decoder<T> part) throws MalformedDataException {
+    private static <T> T decodeFully(byte[] bytes, Decoder<T> decoder) throws MalformedDataException {
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         try {
-            T read = part.read(new ByteReader(buffer));
+            T value = decoder.read(new ByteReader(buffer));
             if (buffer.hasRemaining()) {
-                throw new MalformedDataException(buffer.remaining() + " bytes left over");
+                throw new MalformedDataException(buffer.remaining() + " unexpected bytes after the end");
             }
-            return read;
+            return value;
         } catch (BufferUnderflowException e) {
-            throw new MalformedDataException("cut short");
+            throw new MalformedDataException("unexpected end of data");
         }
     }
 
     private static byte[] toBytes(ByteWriter out) {
-        ByteBuffer done = out.finish();
-        byte[] bytes = new byte[done.remaining()];
-        done.get(bytes);
+        ByteBuffer encoded = out.finish();
+        byte[] bytes = new byte[encoded.remaining()];
+        encoded.get(bytes);
         return bytes;
     }
 
-    private static <T> List<T> readList(ByteReader in, int leastBytes, Decoder<T> part) throws MalformedDataException {
+    private static <T> List<T> readList(ByteReader in, int minElementBytes, Decoder<T> decoder)
+            throws MalformedDataException {
         List<T> list = new ArrayList<>();
-        for (int i = in.readCount(leastBytes); i > 0; i--) {
-            list.add(part.read(in));
+        for (int i = in.readCount(minElementBytes); i > 0; i--) {
+            list.add(decoder.read(in));
         }
         return list;
     }
 
-    /** A text of any length: the operator's names are the operator's. */
+    /** Reads a string of any length: the names in a configuration have no limit of their own here. */
     private static String readString(ByteReader in) throws MalformedDataException {
         return new String(in.readBytes(), StandardCharsets.UTF_8);
     }
@@ -154,7 +155,8 @@
                     .writeInt(route.prio())
                     .writeInt(route.split().size());
             route.split()
-                    .forEach(part -> out.writeString(part.service()).writeLong(Double.doubleToLongBits(part.weight())));
+                    .forEach(split ->
+                            out.writeString(split.service()).writeLong(Double.doubleToLongBits(split.weight())));
             out.writeInt(route.tries());
         }
     }
@@ -180,6 +182,6 @@
         return shared.list(readList(
                 in,
                 MIN_SPLIT_BYTES,
-                part -> new Split(shared.text(readString(part)), Double.longBitsToDouble(part.readLong()))));
+                split -> new Split(shared.text(readString(split)), Double.longBitsToDouble(split.readLong()))));
     }
 }
--- a/src/main/java/tinworks/channel/ConnectionManager.java
+++ b/src/main/java/tinworks/channel/ConnectionManager.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * The connections that a process dials: one to each address that is wanted, dialled again for as long as it is. Belongs
+ * Maintains the outbound connections of a process: one to each configured address, reconnecting when it fails. Confined
  * to one thread.
  */
 public interface ConnectionManager {
-    /** From now on these addresses are wanted, except an own one; connections to others are closed. */
+    /** Sets the addresses to connect to, this process's own excepted; connections to other addresses are closed. */
     void setAddresses(Collection<String> addresses);
 
-    /** The dialled connections that are open. */
+    /** The outbound connections that are open. */
     List<PeerConnection> openConnections();
 }
--- a/src/main/java/tinworks/channel/HostList.java
+++ b/src/main/java/tinworks/channel/HostList.java
@@ -2,32 +2,32 @@
 
 import java.util.List;
 
-/** The platform's list of hosts, as a leader fetched it. */
+/** The platform's list of hosts, as fetched by a leader. */
 public record HostList(HostListVersion version, List<Host> hosts) {
-    /** No list yet. */
+    /** The empty list that stands for no list yet. */
     public static final HostList NONE = new HostList(HostListVersion.NONE, List.of());
 
-    /** Keeps its own list. */
+    /** Copies the list. */
     public HostList {
         hosts = List.copyOf(hosts);
     }
 
     /**
-     * One life of a host.
+     * One instance of a host, from its start to its removal.
      *
      * @param address {@code ip:port}
-     * @param draining it takes no new requests
-     * @param slots requests that it works on at once
-     * @param warmupMs how much longer it was slow from its start when the list was made
+     * @param slots requests that it processes concurrently
+     * @param draining whether it is draining and takes no new requests
+     * @param warmupMs remaining slow-start time when the list was fetched
      */
     public record Host(
             String id, String service, String address, String zone, int slots, boolean draining, long warmupMs) {
-        /** The same host, about to end. */
+        /** A copy of this host that is draining. */
         public Host asDraining() {
             return new Host(id, service, address, zone, slots, true, warmupMs);
         }
 
-        /** The same but for the time that passes by itself. */
+        /** Whether both are equal, ignoring the remaining warm-up time, which decreases by itself. */
         public boolean equalsIgnoringWarmup(Host other) {
             return id.equals(other.id)
                     && service.equals(other.service)
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Whether another list says the same. */
+    /** Whether both lists hold the same hosts in the same order, ignoring their warm-up times. */
     public boolean hasSameHosts(List<Host> others) {
         if (hosts.size() != others.size()) {
             return false;
--- a/src/main/java/tinworks/channel/HostListChange.java
+++ b/src/main/java/tinworks/channel/HostListChange.java
@@ -7,38 +7,38 @@
 import tinworks.channel.HostList.Host;
 
 /**
- * What leads from one version of the list of hosts to a later one.
+ * The difference between two versions of the host list.
  *
- * @param base the version that it builds on
- * @param version the version that it leads to
- * @param updated hosts that are new, or not as they were
- * @param removedIds ids of hosts that are there no more
+ * @param base the version to which the change applies
+ * @param version the version that results
+ * @param updated hosts that were added or changed
+ * @param removedIds ids of hosts that were removed
  */
 public record HostListChange(
         HostListVersion base, HostListVersion version, List<Host> updated, List<String> removedIds) {
-    /** Keeps its own lists. */
+    /** Copies the lists. */
     public HostListChange {
         updated = List.copyOf(updated);
         removedIds = List.copyOf(removedIds);
     }
 
-    /** What leads from one list to another; both hold each id once. */
+    /** Computes the change from one list to another; each id occurs once in a list. */
     public static HostListChange between(HostList from, HostList to) {
-        Map<String, Host> before = hostsById(from.hosts());
-        List<Host> set = new ArrayList<>();
+        Map<String, Host> remaining = hostsById(from.hosts());
+        List<Host> updated = new ArrayList<>();
         for (Host host : to.hosts()) {
-            Host old = before.remove(host.id());
+            Host old = remaining.remove(host.id());
             if (old == null || !old.equalsIgnoringWarmup(host)) {
-                set.add(host);
+                updated.add(host);
             }
         }
-        return new HostListChange(from.version(), to.version(), set, List.copyOf(before.keySet()));
+        return new HostListChange(from.version(), to.version(), updated, List.copyOf(remaining.keySet()));
     }
 
-    /** The later list. One that isn't of the version that this builds on is an {@link IllegalArgumentException}. */
+    /** Applies the change. A list whose version is not {@link #base} is an {@link IllegalArgumentException}. */
     public HostList applyTo(HostList list) {
         if (!list.version().isSameAs(base)) {
-            throw new IllegalArgumentException("builds on " + base + ", not on " + list.version());
+            throw new IllegalArgumentException("change applies to host list " + base + ", not to " + list.version());
         }
         Map<String, Host> hosts = hostsById(list.hosts());
         removedIds.forEach(hosts::remove);
@@ -46,17 +46,17 @@
         return new HostList(version, List.copyOf(hosts.values()));
     }
 
-    /** This change and, after it, the next one as one. */
+    /** Combines this change with the one that follows it. */
     HostListChange mergedWith(HostListChange next) {
-        Map<String, Host> both = hostsById(updated);
-        List<String> noMore = new ArrayList<>(removedIds);
+        Map<String, Host> merged = hostsById(updated);
+        List<String> removed = new ArrayList<>(removedIds);
         next.removedIds.forEach(id -> {
-            both.remove(id);
-            noMore.add(id);
+            merged.remove(id);
+            removed.add(id);
         });
-        next.updated.forEach(host -> both.put(host.id(), host));
-        noMore.removeAll(both.keySet());
-        return new HostListChange(base, next.version, List.copyOf(both.values()), noMore);
+        next.updated.forEach(host -> merged.put(host.id(), host));
+        removed.removeAll(merged.keySet());
+        return new HostListChange(base, next.version, List.copyOf(merged.values()), removed);
     }
 
     private static Map<String, Host> hostsById(List<Host> hosts) {
--- a/src/main/java/tinworks/channel/HostListHistory.java
+++ b/src/main/java/tinworks/channel/HostListHistory.java
@@ -2,9 +2,12 @@
 
 import java.util.ArrayDeque;
 
-/** The newest list of hosts and its last changes, for those who hold one that is a little older. */
+/**
+ * The newest host list and its latest changes, so that peers with a slightly older version are sent only the
+ * difference.
+ */
 public final class HostListHistory {
-    /** At one change a second, the longest that an edge may have been away and still be told changes alone. */
+    /** At one change a second, an edge can be disconnected for about a minute and still receive changes only. */
     private static final int MAX_CHANGES = 64;
 
     private final ArrayDeque<HostListChange> changes = new ArrayDeque<>();
@@ -15,7 +18,7 @@
         return newest;
     }
 
-    /** Takes a newer list. */
+    /** Records a newer list. */
     public void advance(HostList next) {
         changes.addLast(HostListChange.between(newest, next));
         newest = next;
@@ -24,16 +27,16 @@
         }
     }
 
-    /** What to tell one who holds this version: the changes since, or the whole list where they aren't known. */
+    /** The message that brings a peer up to date from the version held: the changes, or the whole list if unknown. */
     public PeerMessage since(HostListVersion held) {
-        HostListChange all = null;
+        HostListChange merged = null;
         for (HostListChange change : changes) {
-            if (all != null) {
-                all = all.mergedWith(change);
+            if (merged != null) {
+                merged = merged.mergedWith(change);
             } else if (change.base().isSameAs(held) && held.compareTo(HostListVersion.NONE) > 0) {
-                all = change;
+                merged = change;
             }
         }
-        return all == null ? new PeerMessage.Hosts(newest) : new PeerMessage.HostsChanged(all);
+        return merged == null ? new PeerMessage.Hosts(newest) : new PeerMessage.HostsChanged(merged);
     }
 }
--- a/src/main/java/tinworks/channel/HostListVersion.java
+++ b/src/main/java/tinworks/channel/HostListVersion.java
@@ -1,13 +1,13 @@
 package tinworks.channel;
 
-/** How new a list of hosts is: the term of the leader that fetched it, and a count within the term. */
+/** The version of a host list: the term of the leader that fetched it, and a count within the term. */
 public record HostListVersion(long term, long count) implements Comparable<HostListVersion> {
-    /** Before the first list. */
+    /** The version before the first list. */
     public static final HostListVersion NONE = new HostListVersion(0, 0);
 
     /**
-     * Whether it is the same. By hand: the comparison that the runtime makes for a record costs a cold start ten
-     * milliseconds.
+     * Whether both versions are equal. Used instead of {@code equals}, since the comparison that the runtime generates
+     * for a record adds 10 ms to a cold start.
      */
     public boolean isSameAs(HostListVersion other) {
         return term == other.term && count == other.count;
--- a/src/main/java/tinworks/channel/MalformedDataException.java
+++ b/src/main/java/tinworks/channel/MalformedDataException.java
@@ -1,10 +1,10 @@
 package tinworks.channel;
 
-/** Bytes that are not what they should be. */
+/** Thrown when bytes from a peer cannot be decoded. */
 public final class MalformedDataException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    MalformedDataException(String what) {
-        super(what);
+    MalformedDataException(String message) {
+        super(message);
     }
 }
--- a/src/main/java/tinworks/channel/MonotonicTime.java
+++ b/src/main/java/tinworks/channel/MonotonicTime.java
@@ -2,11 +2,11 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** The steady clock by which all processes of the system measure spans; the time of day decides nothing. */
+/** The monotonic clock for all durations in the system; no decision depends on the wall clock. */
 public final class MonotonicTime {
     private MonotonicTime() {}
 
-    /** Milliseconds since some moment, never going back. */
+    /** Milliseconds since an arbitrary origin; never decreases. */
     public static long millis() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
--- a/src/main/java/tinworks/channel/PeerConnection.java
+++ b/src/main/java/tinworks/channel/PeerConnection.java
@@ -2,35 +2,35 @@
 
 import tinworks.channel.PeerMessage.Hello;
 
-/** One connection between two processes of the system, as each of them sees it. Belongs to one thread. */
+/** One side of a connection between two processes of the system. Confined to one thread. */
 public interface PeerConnection {
-    /** Told on that thread. */
+    /** Callbacks, called on the connection's thread. */
     interface Listener {
-        /** The far side has said who it is. */
-        void opened(PeerConnection conversation);
+        /** The peer's {@link Hello} has been received. */
+        void opened(PeerConnection connection);
 
-        /** Something else has come. */
-        void received(PeerConnection conversation, PeerMessage signal);
+        /** A message other than Hello and Ping has been received. */
+        void received(PeerConnection connection, PeerMessage signal);
 
-        /** Nothing more will come; told once, and only after {@link #opened}. */
-        void closed(PeerConnection conversation);
+        /** The connection is closed; called once, and only after {@link #opened}. */
+        void closed(PeerConnection connection);
 
-        /** A line for the operators. */
+        /** Receives a log line for operators. */
         void log(String line);
     }
 
-    /** Who the far side is; null before it has said so. */
+    /** The peer's Hello; null before it has been received. */
     Hello peer();
 
-    /** Whether this side dialled. */
+    /** Whether this side opened the connection. */
     boolean isOutbound();
 
-    /** Whether something can be said. */
+    /** Whether messages can be sent: the peer's Hello has been received and the connection is not closed. */
     boolean isOpen();
 
-    /** Says something; lost where the connection is no more, as whatever is on its way then. */
+    /** Sends a message. It is lost if the connection is closed or closes before it arrives. */
     void send(PeerMessage signal);
 
-    /** Ends it; {@link Listener#closed} follows. */
-    void close(String why);
+    /** Closes the connection; {@link Listener#closed} follows. */
+    void close(String reason);
 }
--- a/src/main/java/tinworks/channel/PeerMessage.java
+++ b/src/main/java/tinworks/channel/PeerMessage.java
@@ -5,42 +5,42 @@
 import tinworks.raft.Member;
 import tinworks.raft.Message;
 
-/** What one process of the system says to another. */
+/** A message between two processes of the system. The wire format is that of {@link PeerMessageCodec}. */
 public sealed interface PeerMessage {
-    /** Which part a process plays. */
+    /** The role of a process. Written on the wire by position. */
     enum NodeRole {
         CORE,
         EDGE
     }
 
     /**
-     * The first thing on a connection, from both sides.
+     * The first message that each side sends on a connection.
      *
-     * @param id who it is, for as long as its disk or else its process lives
-     * @param address where a core machine takes connections of this kind; empty at an edge
+     * @param id identifies the sender: for the lifetime of its disk, or of its process if it stores nothing
+     * @param address where a core node accepts peer connections; empty for an edge
      */
     record Hello(NodeRole role, long id, String address, String node, String zone) implements PeerMessage {}
 
-    /** Shows that the sender lives. */
+    /** Keep-alive. */
     record Ping() implements PeerMessage {}
 
-    /** A message of the agreement. */
+    /** Carries a Raft message between two members. */
     record RaftMessage(long from, long to, Message message) implements PeerMessage {}
 
-    /** A core machine that isn't a voter asks to be sent the log. */
+    /** A core node that is not a voter asks to be sent the log. */
     record Join(Member member) implements PeerMessage {}
 
-    /** A voter that is about to end asks the leader to let another vote in its place. */
+    /** A voter that is shutting down asks the leader to have another member vote in its place. */
     record Leave(long id) implements PeerMessage {}
 
     /**
-     * What a core machine has: newer versions may be pulled from it.
+     * Announces the versions that a core node holds, so that newer ones can be pulled from it.
      *
-     * @param term the sender's term in the agreement
-     * @param fresh by the leader's lease, the sender's versions were the newest less than a lease ago
-     * @param leader it is the leader, and by its lease nobody else can be
-     * @param coreAddresses the addresses of all core machines that the sender knows of
-     * @param edgeCount how many edges are linked with the sender
+     * @param term the sender's Raft term
+     * @param fresh whether the leader's lease shows that the sender's versions were the newest less than a lease ago
+     * @param leader whether the sender is the leader, and its lease excludes any other
+     * @param coreAddresses the addresses of all core nodes known to the sender
+     * @param edgeCount how many edges are connected to the sender
      */
     record Announce(
             long term,
@@ -51,36 +51,36 @@
             List<String> coreAddresses,
             int edgeCount)
             implements PeerMessage {
-        /** Keeps its own list. */
+        /** Copies the list. */
         public Announce {
             coreAddresses = List.copyOf(coreAddresses);
         }
     }
 
-    /** Asks for the configuration, or for what has changed in it since the version held, 0 for none. */
+    /** Requests the configuration, or the changes since the version held; 0 if none is held. */
     record PullConfiguration(long heldRev) implements PeerMessage {}
 
-    /** A version of the configuration: {@link ConfigurationCodec}'s bytes, {@link CompressedBytes}. */
+    /** A whole configuration, encoded by {@link ConfigurationCodec} and compressed as {@link CompressedBytes}. */
     record ConfigurationBody(long rev, byte[] compressed) implements PeerMessage {}
 
     /**
-     * What leads from one version of the configuration to a later one: {@link ConfigurationCodec}'s bytes,
-     * {@link CompressedBytes}.
+     * The change from one version of the configuration to a later one, encoded by {@link ConfigurationCodec} and
+     * compressed as {@link CompressedBytes}.
      */
     record ConfigurationChanged(long base, long rev, byte[] compressed) implements PeerMessage {}
 
-    /** Asks for the list of hosts, or for what has changed in it since the version held. */
+    /** Requests the host list, or the changes since the version held. */
     record PullHosts(HostListVersion heldVersion) implements PeerMessage {}
 
-    /** The list of hosts. */
+    /** The whole host list. */
     record Hosts(HostList list) implements PeerMessage {}
 
-    /** What has changed in the list of hosts. */
+    /** A change of the host list. */
     record HostsChanged(HostListChange change) implements PeerMessage {}
 
-    /** A caller's request that only the leader can answer. {@code body} is a command, or empty for a read. */
+    /** A caller's request that only the leader can answer. {@code body} is a command; it is empty for a read. */
     record Call(long number, boolean read, byte[] body) implements PeerMessage {}
 
-    /** The answer to a {@link Call}: an HTTP status and a body. */
+    /** The response to a {@link Call}: an HTTP status and a body. */
     record CallResponse(long number, int status, byte[] body) implements PeerMessage {}
 }
--- a/src/main/java/tinworks/channel/PeerMessageCodec.java
+++ b/src/main/java/tinworks/channel/PeerMessageCodec.java
@@ -35,16 +35,16 @@
 import tinworks.raft.Snapshot;
 
 /**
- * The bytes of a {@link PeerMessage}: one byte for its kind, then its fields in order, big-endian. A text or a run of
- * bytes stands behind its length (4 bytes), a list behind its count (4 bytes), a flag is one byte. A {@link Hello}
- * begins with {@link #MAGIC} and {@link #VERSION}.
+ * Encodes and decodes {@link PeerMessage}s: one byte for the type, then the fields in order, big-endian. A string or
+ * byte array is preceded by its length (4 bytes), a list by its count (4 bytes); a boolean is one byte. The fields of a
+ * {@link Hello} follow {@link #MAGIC} and {@link #VERSION}. Framing is not done here.
  */
 public final class PeerMessageCodec {
     /** The first four bytes of a Hello: {@code TWCH}. */
     static final int MAGIC = 0x54574348;
-    /** Raised whenever the bytes change; a connection between two versions is closed at its Hello. */
+    /** Incremented whenever the wire format changes. Peers of different versions close the connection at the Hello. */
     static final short VERSION = 7;
-    /** The longest frame: a configuration of the longest body, and what stands round it. */
+    /** Bound of a frame: a configuration body of the largest size, and the fields around it. */
     static final int MAX_FRAME_BYTES = 16 << 20;
 
     private static final byte HELLO = 1;
@@ -75,10 +75,10 @@
 
     private PeerMessageCodec() {}
 
-    /** A signal as bytes, ready to be read. */
-    public static ByteBuffer write(PeerMessage signal) {
+    /** Encodes a message into a buffer that is ready to be read. */
+    public static ByteBuffer write(PeerMessage message) {
         ByteWriter out = new ByteWriter();
-        if (signal instanceof Hello s) {
+        if (message instanceof Hello s) {
             out.writeByte(HELLO)
                     .writeInt(MAGIC)
                     .writeShort(VERSION)
@@ -87,45 +87,45 @@
                     .writeString(s.address())
                     .writeString(s.node())
                     .writeString(s.zone());
-        } else if (signal instanceof Ping) {
+        } else if (message instanceof Ping) {
             out.writeByte(PING);
-        } else if (signal instanceof RaftMessage s) {
+        } else if (message instanceof RaftMessage s) {
             out.writeByte(RAFT_MESSAGE).writeLong(s.from()).writeLong(s.to());
             writeMessage(out, s.message());
-        } else if (signal instanceof Join s) {
+        } else if (message instanceof Join s) {
             out.writeByte(JOIN)
                     .writeLong(s.member().id())
                     .writeString(s.member().address());
-        } else if (signal instanceof Leave s) {
+        } else if (message instanceof Leave s) {
             out.writeByte(LEAVE).writeLong(s.id());
-        } else if (signal instanceof Announce s) {
+        } else if (message instanceof Announce s) {
             writeAnnounce(out, s);
-        } else if (signal instanceof PullConfiguration s) {
+        } else if (message instanceof PullConfiguration s) {
             out.writeByte(PULL_CONFIGURATION).writeLong(s.heldRev());
-        } else if (signal instanceof ConfigurationBody s) {
+        } else if (message instanceof ConfigurationBody s) {
             out.writeByte(CONFIGURATION).writeLong(s.rev()).writeBytes(s.compressed());
-        } else if (signal instanceof ConfigurationChanged s) {
+        } else if (message instanceof ConfigurationChanged s) {
             out.writeByte(CONFIGURATION_CHANGED)
                     .writeLong(s.base())
                     .writeLong(s.rev())
                     .writeBytes(s.compressed());
-        } else if (signal instanceof PullHosts s) {
+        } else if (message instanceof PullHosts s) {
             out.writeByte(PULL_HOSTS);
             writeVersion(out, s.heldVersion());
-        } else if (signal instanceof Hosts s) {
+        } else if (message instanceof Hosts s) {
             out.writeByte(HOSTS);
             writeVersion(out, s.list().version());
             writeHosts(out, s.list().hosts());
-        } else if (signal instanceof HostsChanged s) {
+        } else if (message instanceof HostsChanged s) {
             out.writeByte(HOSTS_CHANGED);
             writeVersion(out, s.change().base());
             writeVersion(out, s.change().version());
             writeHosts(out, s.change().updated());
             out.writeInt(s.change().removedIds().size());
             s.change().removedIds().forEach(out::writeString);
-        } else if (signal instanceof Call s) {
+        } else if (message instanceof Call s) {
             out.writeByte(CALL).writeLong(s.number()).writeBoolean(s.read()).writeBytes(s.body());
-        } else if (signal instanceof CallResponse s) {
+        } else if (message instanceof CallResponse s) {
             out.writeByte(CALL_RESPONSE)
                     .writeLong(s.number())
                     .writeInt(s.status())
@@ -134,25 +134,25 @@
         return out.finish();
     }
 
-    /** The signal that the rest of a buffer holds, no more and no less. */
+    /** Decodes a message that takes up the rest of a buffer; bytes that are missing or left over are an error. */
     public static PeerMessage read(ByteBuffer bytes) throws MalformedDataException {
         ByteReader in = new ByteReader(bytes);
         try {
-            PeerMessage signal = read(in);
+            PeerMessage message = read(in);
             if (bytes.hasRemaining()) {
-                throw new MalformedDataException(bytes.remaining() + " bytes left over");
+                throw new MalformedDataException(bytes.remaining() + " unexpected bytes after the end");
             }
-            return signal;
+            return message;
         } catch (BufferUnderflowException e) {
-            throw new MalformedDataException("cut short");
+            throw new MalformedDataException("unexpected end of data");
         } catch (IllegalArgumentException e) {
             throw new MalformedDataException(e.getMessage());
         }
     }
 
     private static PeerMessage read(ByteReader in) throws MalformedDataException {
-        byte kind = in.readByte();
-        return switch (kind) {
+        byte type = in.readByte();
+        return switch (type) {
             case HELLO -> readHello(in);
             case PING -> new Ping();
             case RAFT_MESSAGE -> new RaftMessage(in.readLong(), in.readLong(), readMessage(in));
@@ -168,17 +168,17 @@
                 new HostsChanged(new HostListChange(readVersion(in), readVersion(in), readHosts(in), readStrings(in)));
             case CALL -> new Call(in.readLong(), in.readBoolean(), in.readBytes());
             case CALL_RESPONSE -> new CallResponse(in.readLong(), in.readInt(), in.readBytes());
-            default -> throw new MalformedDataException("no signal of kind " + kind);
+            default -> throw new MalformedDataException("unknown message type: " + type);
         };
     }
 
     private static Hello readHello(ByteReader in) throws MalformedDataException {
         if (in.readInt() != MAGIC) {
-            throw new MalformedDataException("not a Hello of this system");
+            throw new MalformedDataException("Hello with wrong magic number");
         }
         short version = in.readShort();
         if (version != VERSION) {
-            throw new MalformedDataException("version " + version + ", spoken here is " + VERSION);
+            throw new MalformedDataException("protocol version " + version + ", expected " + VERSION);
         }
         return new Hello(in.readConstant(ROLES), in.readLong(), in.readString(), in.readString(), in.readString());
     }
@@ -205,11 +205,11 @@
     }
 
     private static List<String> readStrings(ByteReader in) throws MalformedDataException {
-        List<String> texts = new ArrayList<>();
+        List<String> strings = new ArrayList<>();
         for (int i = in.readCount(Integer.BYTES); i > 0; i--) {
-            texts.add(in.readString());
+            strings.add(in.readString());
         }
-        return texts;
+        return strings;
     }
 
     private static void writeVersion(ByteWriter out, HostListVersion version) {
@@ -284,15 +284,15 @@
                     .writeLong(m.round())
                     .writeLong(m.sentAt());
         } else if (message instanceof InstallSnapshot m) {
-            Snapshot.Metadata label = m.metadata();
+            Snapshot.Metadata metadata = m.metadata();
             out.writeByte(INSTALL_SNAPSHOT)
                     .writeLong(m.term())
                     .writeLong(m.round())
-                    .writeLong(label.index())
-                    .writeLong(label.term())
-                    .writeBytes(MemberListCodec.encode(label.members()))
-                    .writeInt(label.length())
-                    .writeInt(label.checksum())
+                    .writeLong(metadata.index())
+                    .writeLong(metadata.term())
+                    .writeBytes(MemberListCodec.encode(metadata.members()))
+                    .writeInt(metadata.length())
+                    .writeInt(metadata.checksum())
                     .writeLong(m.sequence())
                     .writeInt(m.offset())
                     .writeBytes(m.chunk());
@@ -313,9 +313,9 @@
     }
 
     private static Message readMessage(ByteReader in) throws MalformedDataException {
-        byte kind = in.readByte();
+        byte type = in.readByte();
         long term = in.readLong();
-        return switch (kind) {
+        return switch (type) {
             case VOTE_REQUEST ->
                 new VoteRequest(term, in.readBoolean(), in.readLong(), in.readLong(), in.readBoolean());
             case VOTE_REPLY -> new VoteReply(term, in.readBoolean(), in.readBoolean());
@@ -327,7 +327,7 @@
             case TIMEOUT_NOW -> new TimeoutNow(term);
             case LEASE_QUERY -> new LeaseQuery(term, in.readLong());
             case LEASE_ENDED -> new LeaseEnded(term, in.readLong());
-            default -> throw new MalformedDataException("no message of kind " + kind);
+            default -> throw new MalformedDataException("unknown Raft message type: " + type);
         };
     }
 
@@ -352,10 +352,10 @@
     private static InstallSnapshot readInstallSnapshot(ByteReader in, long term) throws MalformedDataException {
         long round = in.readLong();
         long index = in.readLong();
-        long itsTerm = in.readLong();
-        Snapshot.Metadata label = new Snapshot.Metadata(
-                index, itsTerm, MemberListCodec.decode(in.readBytes()), in.readInt(), in.readInt());
-        long number = in.readLong();
-        return new InstallSnapshot(term, label, in.readInt(), in.readBytes(), number, round);
+        long snapshotTerm = in.readLong();
+        Snapshot.Metadata metadata = new Snapshot.Metadata(
+                index, snapshotTerm, MemberListCodec.decode(in.readBytes()), in.readInt(), in.readInt());
+        long sequence = in.readLong();
+        return new InstallSnapshot(term, metadata, in.readInt(), in.readBytes(), sequence, round);
     }
 }
--- a/src/main/java/tinworks/channel/TcpConnectionManager.java
+++ b/src/main/java/tinworks/channel/TcpConnectionManager.java
@@ -23,8 +23,8 @@
 import tinworks.json.Address;
 
 /**
- * Connections to the core machines whose addresses it is given: each is dialled, and dialled again after a pause that
- * grows and is drawn by chance, for as long as it is wanted. Can also take connections. All on one event loop.
+ * Connects to the core nodes at the given addresses and reconnects with exponential backoff and jitter. Can also accept
+ * inbound connections. Confined to one event loop.
  */
 public final class TcpConnectionManager implements ConnectionManager {
     static final int CONNECT_TIMEOUT_MILLIS = 1_000;
@@ -41,19 +41,19 @@
     private int accepted;
     private boolean closed;
 
-    /** Nothing is dialled yet. */
-    public TcpConnectionManager(EventLoop loop, Hello own, PeerConnection.Listener listener) {
+    /** Connects to nothing before {@link #setAddresses}. */
+    public TcpConnectionManager(EventLoop loop, Hello localHello, PeerConnection.Listener listener) {
         this.loop = loop;
-        this.localHello = own;
+        this.localHello = localHello;
         this.listener = listener;
-        random = new SplittableRandom(own.id());
+        random = new SplittableRandom(localHello.id());
     }
 
     /**
-     * Takes connections at an address, so many at a time at most; the future fails where the address can't be had.
-     * Whoever comes beyond that is closed, and dials again.
+     * Accepts connections at an address, at most {@code maxAccepted} at a time; the future fails if the address cannot
+     * be bound. Connections above the limit are closed, and their peers reconnect.
      */
-    public ChannelFuture listen(InetSocketAddress address, int mostAccepted) {
+    public ChannelFuture listen(InetSocketAddress address, int maxAccepted) {
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
@@ -62,7 +62,7 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        if (accepted >= mostAccepted) {
+                        if (accepted >= maxAccepted) {
                             channel.close();
                             return;
                         }
@@ -97,7 +97,7 @@
         return open;
     }
 
-    /** Ends all. */
+    /** Closes all connections and stops listening. */
     public void close() {
         closed = true;
         setAddresses(List.of());
@@ -137,7 +137,7 @@
             try {
                 target = Address.read(address);
             } catch (IllegalArgumentException e) {
-                listener.log("can't dial: " + e.getMessage());
+                listener.log("cannot connect: " + e.getMessage());
                 return;
             }
             connection = new TcpPeerConnection(localHello, true, listener);
--- a/src/main/java/tinworks/channel/TcpPeerConnection.java
+++ b/src/main/java/tinworks/channel/TcpPeerConnection.java
@@ -14,22 +14,19 @@
 import tinworks.logging.Fatal;
 
 /**
- * A conversation over TCP. A frame is a length (4 bytes) and as many bytes of a {@link PeerMessage}; a frame that can't
- * be read closes the connection and harms nothing else. Each side says something once a {@link #PING_INTERVAL_MILLIS},
- * and closes when it has heard nothing for {@link #PEER_TIMEOUT_MILLIS}: a machine without power sends no end of a
- * connection. All on one event loop.
+ * A peer connection over TCP, confined to one event loop. A frame is a length (4 bytes) followed by an encoded
+ * {@link PeerMessage}; a malformed frame closes this connection only. Each side sends a heartbeat if it has sent
+ * nothing else for {@link #PING_INTERVAL_MILLIS}, and closes after {@link #PEER_TIMEOUT_MILLIS} without data, since a
+ * machine that loses power never closes its connections.
  */
 public final class TcpPeerConnection extends ByteToMessageDecoder implements PeerConnection {
     static final long PING_INTERVAL_MILLIS = 1_000;
     static final long PEER_TIMEOUT_MILLIS = 2_600;
-    /**
-     * What a far side that doesn't read may pile up here before something else is said: a tenth of a core machine's
-     * heap.
-     */
+    /** Bound of unsent bytes to a peer that does not read (backpressure): a tenth of a core node's heap. */
     static final int MAX_PENDING_WRITE_BYTES = 4 << 20;
-    /** A Hello has three texts of 4,096 bytes at most. */
+    /** A Hello holds three strings of at most 4,096 bytes. */
     static final int MAX_HELLO_FRAME_BYTES = 16 << 10;
-    /** What edges say is short: only core machines send entries, snapshots and calls of operators to each other. */
+    /** Edges send only short messages; log entries, snapshots and operators' calls pass between core nodes alone. */
     static final int MAX_EDGE_FRAME_BYTES = 64 << 10;
 
     private final Hello localHello;
@@ -42,9 +39,9 @@
     private long lastSentMillis;
     private boolean closed;
 
-    TcpPeerConnection(Hello own, boolean dialled, Listener listener) {
-        this.localHello = own;
-        this.outbound = dialled;
+    TcpPeerConnection(Hello localHello, boolean outbound, Listener listener) {
+        this.localHello = localHello;
+        this.outbound = outbound;
         this.listener = listener;
     }
 
@@ -64,25 +61,25 @@
     }
 
     @Override
-    public void send(PeerMessage signal) {
+    public void send(PeerMessage message) {
         if (channel == null || !channel.isActive()) {
             return;
         }
         if (channel.unsafe().outboundBuffer() != null
                 && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_PENDING_WRITE_BYTES) {
-            close("the far side doesn't read");
+            close("too many unsent bytes: the peer does not read");
             return;
         }
-        ByteBuffer bytes = PeerMessageCodec.write(signal);
+        ByteBuffer bytes = PeerMessageCodec.write(message);
         ByteBuf frame = Unpooled.wrappedBuffer(Unpooled.copyInt(bytes.remaining()), Unpooled.wrappedBuffer(bytes));
         lastSentMillis = MonotonicTime.millis();
         channel.writeAndFlush(frame, channel.voidPromise());
     }
 
     @Override
-    public void close(String why) {
+    public void close(String reason) {
         if (!closed && channel != null && channel.isActive()) {
-            listener.log("closing the connection with " + peerName() + ": " + why);
+            listener.log("closing the connection to " + peerName() + ": " + reason);
         }
         if (channel != null) {
             channel.close();
@@ -108,11 +105,11 @@
         }
         long now = MonotonicTime.millis();
         if (now - lastReceivedMillis > PEER_TIMEOUT_MILLIS) {
-            close("silent for " + (now - lastReceivedMillis) + " ms");
+            close("no data received for " + (now - lastReceivedMillis) + " ms");
             return;
         }
         if (peer == null && now - openedMillis > PEER_TIMEOUT_MILLIS) {
-            close("no Hello");
+            close("no Hello received");
             return;
         }
         if (now - lastSentMillis >= PING_INTERVAL_MILLIS) {
@@ -128,7 +125,7 @@
             int length = in.getInt(in.readerIndex());
             if (length <= 0 || length > maxFrameBytes()) {
                 in.skipBytes(in.readableBytes());
-                close("a frame of " + length + " bytes");
+                close("invalid frame length: " + length + " bytes");
                 return;
             }
             if (in.readableBytes() < Integer.BYTES + length) {
@@ -141,7 +138,7 @@
         }
     }
 
-    /** Guards against a memory full of frames that aren't whole yet, of peers who need none as long. */
+    /** The longest frame accepted from this peer, so that incomplete frames do not fill the memory. */
     private int maxFrameBytes() {
         if (peer == null) {
             return MAX_HELLO_FRAME_BYTES;
@@ -151,20 +148,20 @@
 
     private void handleFrame(ByteBuffer bytes) {
         try {
-            PeerMessage signal = PeerMessageCodec.read(bytes);
+            PeerMessage message = PeerMessageCodec.read(bytes);
             if (peer == null) {
-                handleHello(signal);
-            } else if (!(signal instanceof Ping)) {
-                listener.received(this, signal);
+                handleHello(message);
+            } else if (!(message instanceof Ping)) {
+                listener.received(this, message);
             }
         } catch (MalformedDataException e) {
-            close("can't read a frame: " + e.getMessage());
+            close("malformed frame: " + e.getMessage());
         }
     }
 
-    private void handleHello(PeerMessage signal) throws MalformedDataException {
-        if (!(signal instanceof Hello hello)) {
-            throw new MalformedDataException("no Hello at the start");
+    private void handleHello(PeerMessage message) throws MalformedDataException {
+        if (!(message instanceof Hello hello)) {
+            throw new MalformedDataException("the first message is not a Hello");
         }
         peer = hello;
         listener.opened(this);
@@ -192,7 +189,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         Fatal.pass(cause);
-        listener.log("the connection with " + peerName() + " broke: " + cause);
+        listener.log("connection to " + peerName() + " failed: " + cause);
         ctx.close();
     }
 }
--- a/src/main/java/tinworks/channel/package-info.java
+++ b/src/main/java/tinworks/channel/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the system's own processes say to each other over TCP: frames, written into {@link java.nio.ByteBuffer}s by
- * hand, on connections that notice a silent far side. See docs/design/system.md for the bytes.
+ * The TCP protocol between core and edge nodes: length-prefixed frames with hand-written codecs, and connections that
+ * detect an unresponsive peer. See docs/design/system.md for the wire format.
  */
 package tinworks.channel;
--- a/src/main/java/tinworks/store/CoreStore.java
+++ b/src/main/java/tinworks/store/CoreStore.java
@@ -28,25 +28,24 @@
 import tinworks.raft.Snapshot;
 
 /**
- * A core machine's part of the agreed log, and who the machine is. Each record carries a checksum of its own beside
- * MVStore's. All methods block on the disk and belong to one thread.
+ * Durable storage of a core node: its identity and its Raft state (hard state, snapshot and log). Each record has a
+ * checksum in addition to MVStore's. All methods block on the disk; confined to one thread.
  *
- * <p>Records, all big-endian behind a CRC-32C of the rest (4 bytes). {@code meta/identity}: id (8). {@code meta/hard}:
- * term (8), vote (8), the leader followed last (8, missing in older stores). {@code meta/snapshot}: index (8), term
- * (8), length (4) and bytes of the voters, the state. {@code log}, by index: term (8), kind (1), body.
- * {@code meta/sum}: a sum over the keys and checksums of all others (4).
+ * <p>Records are big-endian, each preceded by the CRC-32C of the rest (4 bytes). {@code meta/identity}: id (8).
+ * {@code meta/hard}: term (8), vote (8), the last leader followed (8, absent in older stores). {@code meta/snapshot}:
+ * index (8), term (8), length (4) and bytes of the member list, the state. {@code log}, by index: term (8), kind (1),
+ * body. {@code meta/sum}: a checksum over the keys and checksums of all other records (4).
  *
- * <p>Files: {@code state.mv}, or with a number, {@code state-3.mv}, once it was written anew as it had grown: a file is
- * only ever added to. {@code founding.mv} is a store whose making was cut short, {@code damaged-...mv} one that was set
- * aside.
+ * <p>Files are append-only: {@code state.mv} is rewritten to {@code state-1.mv} and so on when it has grown too large.
+ * {@code founding.mv} is a store whose initialization was interrupted, {@code damaged-...mv} one that was quarantined.
  */
 public final class CoreStore implements AutoCloseable {
-    /** A store whose contents can't be trusted. */
+    /** Thrown when the contents of a store are corrupt. */
     public static final class CorruptStoreException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        CorruptStoreException(String what, Throwable cause) {
-            super(what, cause);
+        CorruptStoreException(String message, Throwable cause) {
+            super(message, cause);
         }
     }
 
@@ -60,10 +59,10 @@
     private static final Entry.Kind[] ENTRY_KINDS = Entry.Kind.values();
     private static final int CACHE_MB = 1;
     private static final long REWRITE_SLACK_BYTES = 16 << 20;
-    /** How much of a new file is written at a time. */
+    /** Bytes of log entries per commit while a file is rewritten. */
     private static final int COPY_BATCH_BYTES = 2 << 20;
 
-    /** An open file. */
+    /** An open store file. */
     private record StoreFile(MVStore store, MVMap<Long, byte[]> log, MVMap<String, byte[]> meta) {
         void commit() {
             store.commit();
@@ -78,7 +77,7 @@
             return store.getFileStore().size();
         }
 
-        /** Lets go of the file and writes nothing. */
+        /** Closes the file without writing. */
         void close() {
             store.closeImmediately();
         }
@@ -86,81 +85,79 @@
 
     private final StoreDirectory directory;
     private final long rewriteSlackBytes;
-    /** The number of the file that is in use; -1 before the store is founded. */
+    /** The number of the file in use; -1 before the store is initialized. */
     private int fileNumber = -1;
 
     private StoreFile storeFile;
-    /** Over the keys and checksums of all records, in any order. */
+    /** XOR over the keys and checksums of all records, independent of their order. */
     private int checksum;
 
     private long liveBytes;
     private long rewriteAboveBytes;
 
-    private CoreStore(StoreDirectory folder, long spareBytes) {
-        this.directory = folder;
-        this.rewriteSlackBytes = spareBytes;
+    private CoreStore(StoreDirectory directory, long rewriteSlackBytes) {
+        this.directory = directory;
+        this.rewriteSlackBytes = rewriteSlackBytes;
     }
 
-    /**
-     * Opens the store in a folder, or makes one; a file that can't be read as a store is {@link CorruptStoreException}.
-     */
-    public static CoreStore open(Path folder) throws IOException, CorruptStoreException {
-        return open(new DiskStoreDirectory(folder));
+    /** Opens the store in a directory of the file system, as {@link #open(StoreDirectory)} does. */
+    public static CoreStore open(Path directory) throws IOException, CorruptStoreException {
+        return open(new DiskStoreDirectory(directory));
     }
 
     /**
-     * Opens the store in a folder, and reads and syncs all of it; there may be none yet. A file that can't be read as a
-     * store is {@link CorruptStoreException}; a disk that can't be read or synced is an {@link IOException}, and
-     * nothing is said of the store.
+     * Opens the store in a directory, then verifies and syncs all of it; a store need not exist yet. Contents that
+     * cannot be read as a store are a {@link CorruptStoreException}. A disk that cannot be read or synced is an
+     * {@link IOException}, which says nothing about the contents.
      */
-    public static CoreStore open(StoreDirectory folder) throws IOException, CorruptStoreException {
-        return open(folder, REWRITE_SLACK_BYTES);
+    public static CoreStore open(StoreDirectory directory) throws IOException, CorruptStoreException {
+        return open(directory, REWRITE_SLACK_BYTES);
     }
 
-    /** The same; a file is written anew once it is longer than twice what is live in it and this many bytes. */
-    static CoreStore open(StoreDirectory folder, long spareBytes) throws IOException, CorruptStoreException {
-        folder.createDirectories();
-        CoreStore opened = new CoreStore(folder, spareBytes);
-        boolean found = false;
+    /** As above. A file is rewritten once it is longer than twice its live bytes plus {@code rewriteSlackBytes}. */
+    static CoreStore open(StoreDirectory directory, long rewriteSlackBytes) throws IOException, CorruptStoreException {
+        directory.createDirectories();
+        CoreStore opened = new CoreStore(directory, rewriteSlackBytes);
+        boolean recovered = false;
         try {
             opened.recover();
-            found = true;
+            recovered = true;
             return opened;
         } finally {
-            if (!found) {
+            if (!recovered) {
                 opened.close();
             }
         }
     }
 
     /**
-     * Renames a damaged store, so that nothing is lost and an empty one can be made; returns the file's new name. A
-     * file that is renamed may be lost by itself with the power, so a mark is made and synced first: it keeps the
-     * folder from looking {@link #isPristine}.
+     * Renames a corrupt store, so that its contents are kept and an empty one can be initialized; returns the new file
+     * name. A power loss may drop the renamed file, so a marker file is created and synced first: it keeps the
+     * directory from being {@link #isPristine}.
      */
-    public static String quarantine(StoreDirectory folder, String date) throws IOException {
-        List<String> files = folder.files();
+    public static String quarantine(StoreDirectory directory, String date) throws IOException {
+        List<String> files = directory.files();
         String name = QUARANTINE_PREFIX + date;
         for (int i = 2; files.contains(name) || files.contains(name + ".mv"); i++) {
             name = QUARANTINE_PREFIX + date + "-" + i;
         }
-        String aside = name + ".mv";
-        folder.createFile(name);
-        folder.sync();
-        folder.rename(fileName(fileNumbers(files).first()), aside);
-        folder.sync();
-        folder.delete(name);
-        return aside;
+        String quarantined = name + ".mv";
+        directory.createFile(name);
+        directory.sync();
+        directory.rename(fileName(fileNumbers(files).first()), quarantined);
+        directory.sync();
+        directory.delete(name);
+        return quarantined;
     }
 
-    /** Whether nothing has ever been founded in the folder, nor set aside in it. */
+    /** Whether no store has ever been initialized or quarantined in the directory. */
     public boolean isPristine() throws IOException {
         return fileNumber < 0 && directory.files().stream().noneMatch(file -> file.startsWith(QUARANTINE_PREFIX));
     }
 
     /**
-     * Opens the file again, as it must be after a write that failed; what was not synced may be missing. Where the disk
-     * doesn't let it, the store stays shut and refuses the next write.
+     * Reopens the file, as is required after a failed write; unsynced data may be missing. If the disk fails, the store
+     * stays closed and rejects the next write.
      */
     public void reopen() throws CorruptStoreException {
         close();
@@ -172,8 +169,9 @@
     }
 
     /**
-     * Opens what is there. Of two files the older one counts, as nothing is acknowledged in a newer one before the
-     * older is gone for good; without any, a founding that was cut short before its name was sure is finished.
+     * Opens the existing file. Of two files the older one is valid, since no write to the newer one is acknowledged
+     * before the older one is durably deleted. If there is none, an initialization that was interrupted before its
+     * rename is completed.
      */
     private void recover() throws IOException, CorruptStoreException {
         List<String> files = directory.files();
@@ -188,7 +186,7 @@
         if (fileNumber >= 0) {
             storeFile = openFile(fileName(fileNumber));
             verify(fileName(fileNumber));
-            // What a killed process left may not be synced yet, and this one acts on it.
+            // A killed process may have left unsynced data, which this process is about to rely on.
             storeFile.store.sync();
         }
         for (int newer : numbers.tailSet(fileNumber, false)) {
@@ -228,14 +226,14 @@
     private StoreFile openFile(String file) throws IOException, CorruptStoreException {
         MVStore store = null;
         try {
-            // Commits happen where they are asked for alone: a thread of the library's would sync at times of its own.
+            // Only explicit commits: MVStore's background thread would sync at arbitrary times.
             store = new MVStore.Builder()
                     .fileName(OrderedFile.path(directory.path(file)))
                     .autoCommitDisabled()
                     .autoCommitBufferSize(0)
                     .cacheSize(CACHE_MB)
                     .open();
-            // Nothing in a file is ever overwritten, so that what was synced stays; the time of day decides nothing.
+            // Nothing in a file is overwritten, so synced data stays intact; the wall clock has no influence.
             store.getFileStore().setReuseSpace(false);
             store.setRetentionTime(-1);
             return new StoreFile(
@@ -259,8 +257,8 @@
     }
 
     /**
-     * What became of reading a file: the disk's fault, or the file's. An {@link Error} is neither, but for MVStore's
-     * asserts.
+     * Tells a disk failure, thrown as {@link IOException}, from a corrupt file, which is returned. An {@link Error} is
+     * neither and is rethrown, except for MVStore's assertion failures.
      */
     private static CorruptStoreException classifyFailure(Throwable e) throws IOException {
         IOException disk = null;
@@ -272,23 +270,23 @@
                 disk = io;
             }
             if (cause instanceof MVStoreException locked && locked.getErrorCode() == DataUtils.ERROR_FILE_LOCKED) {
-                disk = new IOException("another process has it open", e);
+                disk = new IOException("another process has the file open", e);
             }
         }
         if (disk != null) {
-            throw new IOException("the store can't be opened: " + disk.getMessage(), e);
+            throw new IOException("cannot open the store: " + disk.getMessage(), e);
         }
-        return new CorruptStoreException("the store can't be read: " + e.getMessage(), e);
+        return new CorruptStoreException("cannot read the store: " + e.getMessage(), e);
     }
 
-    /** Who this machine is for as long as its disk lives, 0 where the disk is new. */
+    /** The node's id, which is valid for the lifetime of its disk; 0 before initialization. */
     public long identity() throws CorruptStoreException {
         byte[] record = fileNumber < 0 ? null : storeFile.meta.get(IDENTITY_KEY);
         return record == null ? 0 : contentsOf(record, IDENTITY_KEY).getLong();
     }
 
-    /** Makes an empty store this machine's; returns once it outlasts a loss of power. */
-    public void initialize(long id, HardState hard, Snapshot first) {
+    /** Initializes an empty store with the node's id and first state; the store is durable when this returns. */
+    public void initialize(long id, HardState hardState, Snapshot snapshot) {
         try {
             if (directory.files().contains(INITIALIZING_FILE)) {
                 directory.delete(INITIALIZING_FILE);
@@ -297,8 +295,8 @@
             checksum = 0;
             liveBytes = 0;
             putMeta(IDENTITY_KEY, withChecksum(allocateRecord(Long.BYTES).putLong(id)));
-            writeHardState(hard);
-            writeSnapshot(first);
+            writeHardState(hardState);
+            writeSnapshot(snapshot);
             sync();
             directory.sync();
             directory.rename(INITIALIZING_FILE, fileName(0));
@@ -306,29 +304,29 @@
             fileNumber = 0;
             rewriteAboveBytes = 2 * liveBytes + rewriteSlackBytes;
         } catch (IOException | CorruptStoreException e) {
-            throw new IllegalStateException("the disk refuses a new store: " + e.getMessage(), e);
+            throw new IllegalStateException("cannot initialize the store: " + e.getMessage(), e);
         } catch (MVStoreException e) {
             throw rethrowError(e);
         }
     }
 
-    /** All that has been synced. */
+    /** Reads the synced state. */
     public PersistentState load() throws CorruptStoreException {
         if (fileNumber < 0) {
             return PersistentState.EMPTY;
         }
         try {
-            HardState hard = readHardState();
+            HardState hardState = readHardState();
             Snapshot snapshot = readSnapshot();
             List<Entry> entries = new ArrayList<>();
-            for (Cursor<Long, byte[]> each = storeFile.log.cursor(null); each.hasNext(); ) {
-                long index = each.next();
+            for (Cursor<Long, byte[]> cursor = storeFile.log.cursor(null); cursor.hasNext(); ) {
+                long index = cursor.next();
                 if (index > snapshot.index()) {
-                    entries.add(decodeEntry(index, each.getValue()));
+                    entries.add(decodeEntry(index, cursor.getValue()));
                 }
             }
             verifyContiguous(snapshot, entries);
-            return new PersistentState(hard, snapshot, entries);
+            return new PersistentState(hardState, snapshot, entries);
         } catch (RuntimeException | AssertionError e) {
             throw asCorrupt(e);
         }
@@ -342,35 +340,35 @@
         }
     }
 
-    /** Reads every record, and holds their sum against the one that was written with the last of them. */
+    /** Reads every record, and compares their total checksum with the one written by the last commit. */
     private void verify(String file) throws IOException, CorruptStoreException {
         try {
             checksum = 0;
             liveBytes = 0;
-            for (Cursor<Long, byte[]> each = storeFile.log.cursor(null); each.hasNext(); ) {
-                long index = each.next();
-                contentsOf(each.getValue(), "entry " + index);
-                updateTotals(Long.toString(index), null, each.getValue());
+            for (Cursor<Long, byte[]> cursor = storeFile.log.cursor(null); cursor.hasNext(); ) {
+                long index = cursor.next();
+                contentsOf(cursor.getValue(), "entry " + index);
+                updateTotals(Long.toString(index), null, cursor.getValue());
             }
-            for (Cursor<String, byte[]> each = storeFile.meta.cursor(null); each.hasNext(); ) {
-                String name = each.next();
-                contentsOf(each.getValue(), name);
+            for (Cursor<String, byte[]> cursor = storeFile.meta.cursor(null); cursor.hasNext(); ) {
+                String name = cursor.next();
+                contentsOf(cursor.getValue(), name);
                 if (!name.equals(CHECKSUM_KEY)) {
-                    updateTotals(name, null, each.getValue());
+                    updateTotals(name, null, cursor.getValue());
                 }
             }
             byte[] record = storeFile.meta.get(CHECKSUM_KEY);
             if (record == null) {
-                throw new CorruptStoreException("there is no sum of the records", null);
+                throw new CorruptStoreException("the checksum over all records is missing", null);
             }
             if (contentsOf(record, CHECKSUM_KEY).getInt() != checksum) {
-                throw new CorruptStoreException("the records don't match their sum", null);
+                throw new CorruptStoreException("the records do not match the checksum over all records", null);
             }
             if (OrderedFile.newestVersion(directory.path(file)) != storeFile.store.getCurrentVersion()) {
-                throw new CorruptStoreException("what was written last can't be read", null);
+                throw new CorruptStoreException("the newest committed version cannot be read", null);
             }
             if (identity() == 0) {
-                throw new CorruptStoreException("there is no identity in it", null);
+                throw new CorruptStoreException("the node's identity is missing", null);
             }
             rewriteAboveBytes = 2 * liveBytes + rewriteSlackBytes;
         } catch (RuntimeException | AssertionError e) {
@@ -379,23 +377,23 @@
     }
 
     private static void verifyContiguous(Snapshot snapshot, List<Entry> entries) throws CorruptStoreException {
-        long due = snapshot.index() + 1;
+        long expected = snapshot.index() + 1;
         for (Entry entry : entries) {
-            if (entry.index() != due++) {
+            if (entry.index() != expected++) {
                 throw new CorruptStoreException(
-                        "the log has entry " + entry.index() + " where " + (due - 1) + " was due", null);
+                        "the log has entry " + entry.index() + " where " + (expected - 1) + " was expected", null);
             }
         }
     }
 
     /**
-     * Writes what an output asks for and returns when it is on the disk. A disk that refuses it ends as an
-     * {@link IllegalStateException} or {@link MVStoreException}, and the store must be opened again; an {@link Error}
-     * stays one.
+     * Writes the changes of an output and syncs them before it returns. A disk failure is an
+     * {@link IllegalStateException} or {@link MVStoreException}, after which the store must be reopened; an
+     * {@link Error} is thrown unwrapped.
      */
     public void write(Output output) {
         if (fileNumber < 0 || storeFile.store.isClosed()) {
-            throw new IllegalStateException("the store isn't open");
+            throw new IllegalStateException("the store is not open");
         }
         try {
             if (output.hardState() != null) {
@@ -428,7 +426,7 @@
         }
     }
 
-    /** MVStore passes an {@link Error} on as one of its own exceptions. */
+    /** Rethrows an {@link Error} that MVStore has wrapped in an exception of its own; else returns the exception. */
     private static MVStoreException rethrowError(MVStoreException e) {
         for (Throwable cause = e; cause != null; cause = cause.getCause()) {
             if (cause instanceof Error error) {
@@ -438,21 +436,21 @@
         return e;
     }
 
-    /** Writes what is live to a new file and removes the old one, which counts for as long as it is there. */
+    /** Rewrites the live records to a new file and deletes the old one, which stays valid until it is deleted. */
     private void rewrite() {
-        StoreFile made;
+        StoreFile copy;
         try {
-            made = copyTo(fileName(fileNumber + 1));
+            copy = copyTo(fileName(fileNumber + 1));
         } catch (MVStoreException | IOException | CorruptStoreException e) {
             if (e instanceof MVStoreException failed) {
                 rethrowError(failed);
             }
-            // There is no room for it, say. The old file still holds all.
+            // For example, the disk is full. The old file still holds everything.
             rewriteAboveBytes = storeFile.length() + rewriteSlackBytes / 2;
             return;
         }
         storeFile.close();
-        storeFile = made;
+        storeFile = copy;
         try {
             directory.delete(fileName(fileNumber));
             directory.sync();
@@ -460,7 +458,7 @@
             rewriteAboveBytes = 2 * liveBytes + rewriteSlackBytes;
         } catch (IOException e) {
             storeFile.close();
-            throw new IllegalStateException("the old file can't be removed: " + e.getMessage(), e);
+            throw new IllegalStateException("cannot delete the old store file: " + e.getMessage(), e);
         }
     }
 
@@ -468,40 +466,40 @@
         if (directory.files().contains(file)) {
             directory.delete(file);
         }
-        StoreFile made = openFile(file);
+        StoreFile copy = openFile(file);
         boolean done = false;
         try {
-            long waiting = 0;
-            for (Cursor<Long, byte[]> each = storeFile.log.cursor(null); each.hasNext(); ) {
-                made.log.put(each.next(), each.getValue());
-                waiting += each.getValue().length;
-                if (waiting > COPY_BATCH_BYTES) {
-                    made.commit();
-                    waiting = 0;
+            long uncommittedBytes = 0;
+            for (Cursor<Long, byte[]> cursor = storeFile.log.cursor(null); cursor.hasNext(); ) {
+                copy.log.put(cursor.next(), cursor.getValue());
+                uncommittedBytes += cursor.getValue().length;
+                if (uncommittedBytes > COPY_BATCH_BYTES) {
+                    copy.commit();
+                    uncommittedBytes = 0;
                 }
             }
-            made.commit();
-            for (Cursor<String, byte[]> each = storeFile.meta.cursor(null); each.hasNext(); ) {
-                made.meta.put(each.next(), each.getValue());
+            copy.commit();
+            for (Cursor<String, byte[]> cursor = storeFile.meta.cursor(null); cursor.hasNext(); ) {
+                copy.meta.put(cursor.next(), cursor.getValue());
             }
-            made.sync();
+            copy.sync();
             directory.sync();
             done = true;
-            return made;
+            return copy;
         } finally {
             if (!done) {
-                made.close();
+                copy.close();
             }
         }
     }
 
-    private void writeHardState(HardState hard) {
+    private void writeHardState(HardState hardState) {
         putMeta(
                 HARD_STATE_KEY,
                 withChecksum(allocateRecord(3 * Long.BYTES)
-                        .putLong(hard.term())
-                        .putLong(hard.votedFor())
-                        .putLong(hard.lastLeader())));
+                        .putLong(hardState.term())
+                        .putLong(hardState.votedFor())
+                        .putLong(hardState.lastLeader())));
     }
 
     private void writeSnapshot(Snapshot snapshot) {
@@ -533,6 +531,7 @@
         updateTotals(Long.toString(index), storeFile.log.remove(index), null);
     }
 
+    /** Updates the checksum over all records and the live bytes for a record that is replaced, added or removed. */
     private void updateTotals(String key, byte[] before, byte[] record) {
         for (byte[] each : new byte[][] {before, record}) {
             if (each != null) {
@@ -552,7 +551,7 @@
         storeFile.sync();
     }
 
-    /** Lets go of the file. There is nothing to write: all that counts is synced. */
+    /** Closes the file. Nothing is left to write: every acknowledged write is already synced. */
     @Override
     public void close() {
         if (storeFile != null) {
@@ -591,36 +590,37 @@
         long term = in.getLong();
         int kind = in.get();
         if (kind < 0 || kind >= ENTRY_KINDS.length) {
-            throw new CorruptStoreException("entry " + index + " is of no known kind", null);
+            throw new CorruptStoreException("entry " + index + " is of an unknown kind", null);
         }
         byte[] body = new byte[in.remaining()];
         in.get(body);
         return new Entry(index, term, ENTRY_KINDS[kind], body);
     }
 
-    /** Room for contents of this length behind their checksum. */
+    /** Allocates a record for contents of this length, positioned after the checksum. */
     private static ByteBuffer allocateRecord(int length) {
         return ByteBuffer.allocate(Integer.BYTES + length).position(Integer.BYTES);
     }
 
-    /** The record, full to its end, with its checksum. */
-    @SuppressWarnings("ByteBufferBackingArray") // record() allocates each of them, whole and without an offset.
+    /** Writes the checksum of a completely filled record into it. */
+    @SuppressWarnings("ByteBufferBackingArray") // allocateRecord() allocates each of them without an offset.
     private static byte[] withChecksum(ByteBuffer record) {
-        CRC32C sum = new CRC32C();
-        sum.update(record.array(), Integer.BYTES, record.capacity() - Integer.BYTES);
-        return record.putInt(0, (int) sum.getValue()).array();
+        CRC32C crc = new CRC32C();
+        crc.update(record.array(), Integer.BYTES, record.capacity() - Integer.BYTES);
+        return record.putInt(0, (int) crc.getValue()).array();
     }
 
-    private static ByteBuffer contentsOf(byte[] record, String what) throws CorruptStoreException {
+    /** Verifies the checksum of a record and returns its contents. */
+    private static ByteBuffer contentsOf(byte[] record, String name) throws CorruptStoreException {
         if (record.length < Integer.BYTES) {
-            throw new CorruptStoreException(what + " is cut short", null);
+            throw new CorruptStoreException(name + " is truncated", null);
         }
         ByteBuffer in = ByteBuffer.wrap(record);
         int written = in.getInt();
-        CRC32C sum = new CRC32C();
-        sum.update(record, Integer.BYTES, record.length - Integer.BYTES);
-        if ((int) sum.getValue() != written) {
-            throw new CorruptStoreException(what + " doesn't match its checksum", null);
+        CRC32C crc = new CRC32C();
+        crc.update(record, Integer.BYTES, record.length - Integer.BYTES);
+        if ((int) crc.getValue() != written) {
+            throw new CorruptStoreException(name + " does not match its checksum", null);
         }
         return in;
     }
--- a/src/main/java/tinworks/store/DiskStoreDirectory.java
+++ b/src/main/java/tinworks/store/DiskStoreDirectory.java
@@ -9,22 +9,22 @@
 import java.util.stream.Stream;
 
 /**
- * A folder of the machine's disk.
+ * A store directory in the machine's file system.
  *
- * @param location where it is
+ * @param location its path
  */
 public record DiskStoreDirectory(Path location) implements StoreDirectory {
     @Override
     public void createDirectories() throws IOException {
-        make(location.toAbsolutePath());
+        createDirectories(location.toAbsolutePath());
     }
 
-    /** A folder that is new is only there for good once the one that it stands in is synced. */
-    private static void make(Path folder) throws IOException {
-        if (!Files.isDirectory(folder)) {
-            make(folder.getParent());
-            Files.createDirectory(folder);
-            sync(folder.getParent());
+    /** A new directory is durable only once its parent has been synced. */
+    private static void createDirectories(Path directory) throws IOException {
+        if (!Files.isDirectory(directory)) {
+            createDirectories(directory.getParent());
+            Files.createDirectory(directory);
+            sync(directory.getParent());
         }
     }
 
@@ -60,8 +60,8 @@
         sync(location);
     }
 
-    private static void sync(Path folder) throws IOException {
-        try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+    private static void sync(Path directory) throws IOException {
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
         }
     }
--- a/src/main/java/tinworks/store/OrderedFile.java
+++ b/src/main/java/tinworks/store/OrderedFile.java
@@ -13,13 +13,13 @@
 import org.h2.store.fs.FilePathWrapper;
 
 /**
- * A file of MVStore's, written in an order that no loss of power can turn round. MVStore takes a chunk for whole that
- * has a head and a footer, whatever lies between. So a chunk is written up to its footer and synced, and the footer
- * after that: a chunk that has one is whole, and so is all that was written before it. The file's header names a chunk,
- * and is written once that is synced. Public as MVStore makes instances of it.
+ * An MVStore file with write ordering that holds across power loss. MVStore considers a chunk complete if it has a
+ * header and a footer, whatever lies between. So each chunk is written up to its footer and synced before the footer is
+ * written: a chunk with a footer is complete, and so is everything written before it. The file's header refers to a
+ * chunk and is written after that chunk has been synced. Public because MVStore creates instances.
  */
 public final class OrderedFile extends FilePathWrapper {
-    /** What stands before a file's path. */
+    /** The URI-like prefix of the paths of these files. */
     static final String SCHEME = "ordered";
 
     private static final int FOOTER_BYTES = 128;
@@ -27,8 +27,8 @@
     private static final int HEADER_BYTES = 2 * BLOCK_BYTES;
     private static final int HEX_RADIX = 16;
     /**
-     * As MVStore reads it, which passes over what is no more than blank at the end: of a torn footer that is whole
-     * enough.
+     * The footer as MVStore parses it. Trailing blanks and control bytes are ignored, so a torn footer that lacks only
+     * those is valid.
      */
     private static final Pattern FOOTER_PATTERN = Pattern.compile(
             "(chunk:[0-9a-f]{1,8},len:[0-9a-f]{1,8},version:([0-9a-f]{1,15})),fletcher:([0-9a-f]{1,8})[\\x00-\\x20]*");
@@ -37,17 +37,17 @@
         FilePath.register(new OrderedFile());
     }
 
-    /** The path that MVStore opens the file of this path by. */
+    /** The path by which MVStore opens the given file with write ordering. */
     static String path(String path) {
         return SCHEME + ":" + path;
     }
 
-    /** Where a chunk ends, and its version; 0 both where there is none. */
+    /** The end offset and version of a chunk; both are 0 if there is none. */
     private record Footer(long endOffset, long version) {}
 
     /**
-     * The version of the last chunk that was ever whole, by its footer, 0 where there is none. As a file is only added
-     * to, this is the newest one; where MVStore opens an older one, the newest has been damaged since.
+     * The version of the last chunk with a valid footer, 0 if there is none. Files are append-only, so it is the newest
+     * complete chunk; if MVStore opens an older version, the newest has been corrupted since.
      */
     static long newestVersion(String path) throws IOException {
         try (FileChannel file = FilePath.get(path).open("r")) {
@@ -89,7 +89,8 @@
             this.file = file;
         }
 
-        @SuppressWarnings("UnsynchronizedOverridesSynchronized") // Guarded otherwise: no shared position is moved.
+        @SuppressWarnings(
+                "UnsynchronizedOverridesSynchronized") // Safe unsynchronized: the shared position is not moved.
         @Override
         public int write(ByteBuffer from, long position) throws IOException {
             int length = from.remaining();
@@ -104,13 +105,14 @@
         }
 
         private void writeAll(ByteBuffer from, long position) throws IOException {
-            long at = position;
+            long offset = position;
             while (from.hasRemaining()) {
-                at += file.write(from, at);
+                offset += file.write(from, offset);
             }
         }
 
-        @SuppressWarnings("UnsynchronizedOverridesSynchronized") // Guarded otherwise: no shared position is moved.
+        @SuppressWarnings(
+                "UnsynchronizedOverridesSynchronized") // Safe unsynchronized: the shared position is not moved.
         @Override
         public int read(ByteBuffer into, long position) throws IOException {
             return file.read(into, position);
@@ -151,8 +153,8 @@
         }
 
         @Override
-        public void force(boolean lengthToo) throws IOException {
-            file.force(lengthToo);
+        public void force(boolean withLength) throws IOException {
+            file.force(withLength);
         }
 
         @Override
@@ -160,8 +162,9 @@
             FileLock lock = file.tryLock(position, size, shared);
             long end = lock == null ? 0 : lastFooter(file).endOffset;
             if (end > 0 && end < file.size()) {
-                // What a torn write left may hold part of a footer, which must not come to stand behind another chunk's
-                // head.
+                // The rest of a torn write may contain part of a footer, which must not end up after the header of a
+                // new
+                // chunk.
                 file.truncate(end);
                 file.force(true);
             }
--- a/src/main/java/tinworks/store/StoreDirectory.java
+++ b/src/main/java/tinworks/store/StoreDirectory.java
@@ -4,28 +4,28 @@
 import java.util.List;
 
 /**
- * The folder that a store lives in. A file that was made, renamed or removed is only sure to be so after a loss of
- * power once the folder has been synced.
+ * The directory that holds a store's files. Creating, renaming or deleting a file is durable only once the directory
+ * has been synced.
  */
 public interface StoreDirectory {
-    /** Makes the folder where there is none; once this returns it outlasts a loss of power. */
+    /** Creates the directory and its missing parents; they are durable when this returns. */
     void createDirectories() throws IOException;
 
-    /** The full name of a file in it, as MVStore's file systems take it. */
+    /** The full path of a file in this directory, as MVStore's file systems expect it. */
     String path(String file);
 
-    /** The names of the files in it, in no order. */
+    /** The names of the files in this directory, in no particular order. */
     List<String> files() throws IOException;
 
-    /** Makes an empty file; there must be none of this name. */
+    /** Creates an empty file; the name must not exist yet. */
     void createFile(String file) throws IOException;
 
-    /** Renames a file; there must be none of the new name. */
+    /** Renames a file; the new name must not exist yet. */
     void rename(String file, String to) throws IOException;
 
-    /** Removes a file. */
+    /** Deletes a file. */
     void delete(String file) throws IOException;
 
-    /** Returns once all changes of names so far outlast a loss of power. */
+    /** Makes all earlier creations, renames and deletions durable (fsync of the directory). */
     void sync() throws IOException;
 }
--- a/src/main/java/tinworks/store/package-info.java
+++ b/src/main/java/tinworks/store/package-info.java
@@ -1,2 +1,2 @@
-/** What a core machine keeps on its disk, in MVStore. */
+/** Durable storage of a core node's Raft state and identity, in an H2 MVStore file. */
 package tinworks.store;
