--- a/src/main/java/tinworks/channel/PeerConnection.java
+++ b/src/main/java/tinworks/channel/PeerConnection.java
@@ -10,7 +10,7 @@
         void opened(PeerConnection connection);
 
         /** A message other than Hello and Ping has been received. */
-        void received(PeerConnection connection, PeerMessage signal);
+        void received(PeerConnection connection, PeerMessage message);
 
         /** The connection is closed; called once, and only after {@link #opened}. */
         void closed(PeerConnection connection);
@@ -29,7 +29,7 @@
     boolean isOpen();
 
     /** Sends a message. It is lost if the connection is closed or closes before it arrives. */
-    void send(PeerMessage signal);
+    void send(PeerMessage message);
 
     /** Closes the connection; {@link Listener#closed} follows. */
     void close(String reason);
--- a/src/main/java/tinworks/channel/TcpConnectionManager.java
+++ b/src/main/java/tinworks/channel/TcpConnectionManager.java
@@ -78,14 +78,14 @@
 
     @Override
     public void setAddresses(Collection<String> addresses) {
-        Set<String> wanted = new HashSet<>(addresses);
-        wanted.remove(localHello.address());
+        Set<String> targets = new HashSet<>(addresses);
+        targets.remove(localHello.address());
         for (String old : List.copyOf(links.keySet())) {
-            if (!wanted.contains(old)) {
+            if (!targets.contains(old)) {
                 links.remove(old).stop();
             }
         }
-        for (String address : wanted) {
+        for (String address : targets) {
             links.computeIfAbsent(address, Link::new).start();
         }
     }
@@ -106,6 +106,7 @@
         }
     }
 
+    /** The connection to one address, with the state of its reconnects. */
     private final class Link {
         private final String address;
         private TcpPeerConnection connection;
--- a/src/main/java/tinworks/store/CoreStore.java
+++ b/src/main/java/tinworks/store/CoreStore.java
@@ -279,7 +279,7 @@
         return new CorruptStoreException("cannot read the store: " + e.getMessage(), e);
     }
 
-    /** The node's id, which is valid for the lifetime of its disk; 0 before initialization. */
+    /** The node's id, stable for the lifetime of its disk; 0 before initialization. */
     public long identity() throws CorruptStoreException {
         byte[] record = fileNumber < 0 ? null : storeFile.meta.get(IDENTITY_KEY);
         return record == null ? 0 : contentsOf(record, IDENTITY_KEY).getLong();
@@ -532,8 +532,8 @@
     }
 
     /** Updates the checksum over all records and the live bytes for a record that is replaced, added or removed. */
-    private void updateTotals(String key, byte[] before, byte[] record) {
-        for (byte[] each : new byte[][] {before, record}) {
+    private void updateTotals(String key, byte[] previous, byte[] record) {
+        for (byte[] each : new byte[][] {previous, record}) {
             if (each != null) {
                 byte[] name = key.getBytes(StandardCharsets.UTF_8);
                 CRC32C crc = new CRC32C();
--- a/src/test/java/tinworks/channel/HostListHistoryTest.java
+++ b/src/test/java/tinworks/channel/HostListHistoryTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import tinworks.channel.HostList.Host;
 
-/** Changes of the list of hosts lead from one version to a later one. */
+/** Host list changes lead from one version to a later one, and stay small. */
 class HostListHistoryTest {
     private static Host host(int number, boolean draining) {
         return new Host(
@@ -69,8 +69,7 @@
     }
 
     /**
-     * Held in CI: a changed host costs its own size, however many there are, and an announcement no more for more
-     * edges.
+     * A change of one host has the size of that host for any number of hosts; an Announce is as small for many edges.
      */
     @Test
     void messageSizesDoNotGrowWithHostsOrEdges() {
@@ -82,7 +81,7 @@
             changed.set(7, host(7, true));
             history.advance(new HostList(new HostListVersion(1, 2), changed));
             int bytes = PeerMessageCodec.write(history.since(first.version())).remaining();
-            assertTrue(bytes < 200, bytes + " bytes for one host of " + hosts);
+            assertTrue(bytes < 200, bytes + " bytes for one changed host of " + hosts);
         }
         for (int edges : new int[] {4, 16, 64, 256}) {
             int bytes = PeerMessageCodec.write(new PeerMessage.Announce(
--- a/src/test/java/tinworks/channel/PeerMessageCodecTest.java
+++ b/src/test/java/tinworks/channel/PeerMessageCodecTest.java
@@ -14,7 +14,7 @@
 import tinworks.raft.Message;
 import tinworks.raft.Snapshot;
 
-/** Signals between processes are read as they were written, and damaged bytes are refused. */
+/** Messages between processes round-trip through the codec, and corrupt bytes are rejected. */
 class PeerMessageCodecTest {
     private static final Member MEMBER = new Member(-5, "10.1.0.9:7540");
     private static final List<PeerMessage> MESSAGES = List.of(
@@ -53,8 +53,8 @@
         return new PeerMessage.RaftMessage(1, 2, message);
     }
 
-    private static byte[] bytes(PeerMessage signal) {
-        ByteBuffer buffer = PeerMessageCodec.write(signal);
+    private static byte[] bytes(PeerMessage message) {
+        ByteBuffer buffer = PeerMessageCodec.write(message);
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
         return bytes;
@@ -62,30 +62,30 @@
 
     @Test
     void everyMessageRoundTrips() throws MalformedDataException {
-        for (PeerMessage signal : MESSAGES) {
-            byte[] bytes = bytes(signal);
-            PeerMessage read = PeerMessageCodec.read(ByteBuffer.wrap(bytes));
-            assertTrue(read.getClass() == signal.getClass());
-            assertArrayEquals(bytes, bytes(read));
+        for (PeerMessage message : MESSAGES) {
+            byte[] bytes = bytes(message);
+            PeerMessage decoded = PeerMessageCodec.read(ByteBuffer.wrap(bytes));
+            assertTrue(decoded.getClass() == message.getClass());
+            assertArrayEquals(bytes, bytes(decoded));
         }
     }
 
     @Test
     void truncatedOrCorruptBytesAreRejected() {
         SplittableRandom random = new SplittableRandom(3);
-        for (PeerMessage signal : MESSAGES) {
-            byte[] bytes = bytes(signal);
+        for (PeerMessage message : MESSAGES) {
+            byte[] bytes = bytes(message);
             for (int i = 0; i < bytes.length; i++) {
-                byte[] cut = java.util.Arrays.copyOf(bytes, i);
-                assertThrows(MalformedDataException.class, () -> PeerMessageCodec.read(ByteBuffer.wrap(cut)));
+                byte[] truncated = java.util.Arrays.copyOf(bytes, i);
+                assertThrows(MalformedDataException.class, () -> PeerMessageCodec.read(ByteBuffer.wrap(truncated)));
             }
             byte[] longer = java.util.Arrays.copyOf(bytes, bytes.length + 1);
             assertThrows(MalformedDataException.class, () -> PeerMessageCodec.read(ByteBuffer.wrap(longer)));
             for (int i = 0; i < 3_000; i++) {
-                byte[] spoilt = bytes.clone();
-                spoilt[random.nextInt(spoilt.length)] = (byte) random.nextInt(256);
+                byte[] corrupt = bytes.clone();
+                corrupt[random.nextInt(corrupt.length)] = (byte) random.nextInt(256);
                 try {
-                    PeerMessageCodec.read(ByteBuffer.wrap(spoilt));
+                    PeerMessageCodec.read(ByteBuffer.wrap(corrupt));
                 } catch (MalformedDataException e) {
                     assertTrue(!e.getMessage().isEmpty());
                 }
--- a/src/test/java/tinworks/channel/SimulatedNetwork.java
+++ b/src/test/java/tinworks/channel/SimulatedNetwork.java
@@ -19,10 +19,10 @@
 import tinworks.simulation.World;
 
 /**
- * Connections between simulated machines, with the rules of {@link TcpConnectionManager} and {@link TcpPeerConnection}.
- * A connection keeps its bytes in order; what a cut holds up goes on when the cut ends, or is lost where the connection
- * is reset before. A cut is silent and may hold in one direction alone. Every signal travels as
- * {@link PeerMessageCodec}'s bytes.
+ * A network between simulated machines, with the behaviour of {@link TcpConnectionManager} and
+ * {@link TcpPeerConnection}. A connection keeps its frames in order. A partition may affect one direction only and is
+ * not reported; frames that it blocks are delivered once it heals, or lost if the connection is reset before. Every
+ * message is encoded and decoded by {@link PeerMessageCodec}.
  */
 public final class SimulatedNetwork {
     private static final int MIN_LATENCY_MICROS = 1_400;
@@ -35,7 +35,7 @@
     private final Set<List<Machine>> partitions = new HashSet<>();
     private final Set<Machine> throttled = new HashSet<>();
     private final Set<Pipe> blockedPipes = new LinkedHashSet<>();
-    /** Those with frames on their way. */
+    /** The pipes with frames in flight. */
     private final Set<Pipe> busyPipes = new LinkedHashSet<>();
 
     private final Set<Connection> connections = new LinkedHashSet<>();
@@ -43,19 +43,19 @@
 
     private record Acceptor(Machine machine, long life, Hello localHello, PeerConnection.Listener listener) {}
 
-    /** A network without anyone on it. */
+    /** A network without connections. */
     public SimulatedNetwork(World world) {
         this.world = world;
     }
 
-    // ---- troubles
+    // ---- faults
 
-    /** Nothing gets from one machine to the other, and nobody is told. */
+    /** Blocks all traffic from one machine to the other; neither side is notified. */
     public void partition(Machine from, Machine to) {
         partitions.add(List.of(from, to));
     }
 
-    /** Ends a cut: what was held up comes within a while. */
+    /** Heals a partition: blocked frames are delivered after a random retransmission delay. */
     public void heal(Machine from, Machine to) {
         partitions.remove(List.of(from, to));
         List.copyOf(blockedPipes).forEach(pipe -> {
@@ -66,18 +66,18 @@
         });
     }
 
-    /** Whether anything gets from one machine to the other. */
+    /** Whether traffic from one machine to the other is blocked. */
     public boolean isPartitioned(Machine from, Machine to) {
         return partitions.contains(List.of(from, to));
     }
 
-    /** Links with a machine take so many bytes a millisecond. */
+    /** Limits the bandwidth of all connections of a machine. */
     public void throttle(Machine machine, long bytesPerMilli) {
         throttled.add(machine);
         throttledBytesPerMilli = bytesPerMilli;
     }
 
-    /** Links with a machine are as fast as ever, also for what is on its way. */
+    /** Removes the bandwidth limit of a machine, also for frames in flight. */
     public void unthrottle(Machine machine) {
         throttled.remove(machine);
         busyPipes.stream()
@@ -85,7 +85,7 @@
                 .forEach(Pipe::reschedule);
     }
 
-    /** Resets the connections between two machines; what is on its way is lost. */
+    /** Resets the connections between two machines; frames in flight are lost. */
     public void resetConnections(Machine one, Machine other) {
         List.copyOf(connections).forEach(c -> {
             if (c.isBetween(one, other)) {
@@ -94,28 +94,28 @@
         });
     }
 
-    /** The process of a machine is gone: its kernel ends the connections. */
+    /** The process of a machine was killed: its kernel closes the connections. */
     public void processKilled(Machine machine) {
         acceptors.values().removeIf(l -> l.machine == machine);
         List.copyOf(connections).forEach(c -> c.processKilled(machine));
     }
 
-    /** A machine is dark: nobody is told. */
+    /** A machine lost power: its peers are not notified. */
     public void powerOff(Machine machine) {
         acceptors.values().removeIf(l -> l.machine == machine);
     }
 
-    // ---- what processes ask for
+    // ---- operations of processes
 
-    /** Takes connections at the machine's address. */
-    public void listen(Machine machine, Hello own, PeerConnection.Listener listener) {
-        acceptors.put(machine.address(), new Acceptor(machine, machine.life(), own, listener));
+    /** Accepts connections at the machine's address. */
+    public void listen(Machine machine, Hello localHello, PeerConnection.Listener listener) {
+        acceptors.put(machine.address(), new Acceptor(machine, machine.life(), localHello, listener));
     }
 
-    /** The connections that a process dials. */
+    /** Creates the connection manager of a process. */
     public SimulatedConnectionManager connectionManager(
-            Machine machine, Map<String, Machine> machines, Hello own, PeerConnection.Listener listener) {
-        return new SimulatedConnectionManager(machine, machines, own, listener);
+            Machine machine, Map<String, Machine> machines, Hello localHello, PeerConnection.Listener listener) {
+        return new SimulatedConnectionManager(machine, machines, localHello, listener);
     }
 
     private long randomLatencyMicros() {
@@ -133,7 +133,7 @@
         private int pendingBytes;
         private Endpoint receiver;
 
-        /** Null bytes end the connection. */
+        /** A frame in flight; null bytes close the connection. */
         private record Frame(long dueMicros, byte[] bytes) {}
 
         Pipe(Connection connection, Machine from, Machine to) {
@@ -158,14 +158,12 @@
             return frame == null ? 0 : frame.length * 1_000L / rate;
         }
 
-        /**
-         * The link has become faster: what is on its way comes at the present rate, and no later than it would have.
-         */
+        /** Reschedules frames in flight at the new, higher rate; none arrives later than it would have. */
         void reschedule() {
-            List<Frame> onTheirWay = List.copyOf(frames);
+            List<Frame> inFlight = List.copyOf(frames);
             frames.clear();
             transmittedMicros = world.micros();
-            for (Frame frame : onTheirWay) {
+            for (Frame frame : inFlight) {
                 transmittedMicros += transmissionMicros(frame.bytes);
                 long due = Math.min(frame.dueMicros, transmittedMicros + MIN_LATENCY_MICROS);
                 frames.add(new Frame(due, frame.bytes));
@@ -195,7 +193,7 @@
             if (receiver.life == to.life() && to.running()) {
                 to.arrive(receiver.life, () -> receiver.receive(frame));
             } else if (to.powered() && frame != null) {
-                // Whoever came after knows nothing of the connection.
+                // The process that was started since does not know the connection.
                 connection.opposite(this).enqueue(null);
             }
         }
@@ -206,9 +204,9 @@
         private final Pipe reverse;
         private boolean wasReset;
 
-        Connection(Machine dialling, Machine accepting) {
-            forward = new Pipe(this, dialling, accepting);
-            reverse = new Pipe(this, accepting, dialling);
+        Connection(Machine initiator, Machine acceptor) {
+            forward = new Pipe(this, initiator, acceptor);
+            reverse = new Pipe(this, acceptor, initiator);
             connections.add(this);
         }
 
@@ -243,7 +241,7 @@
         }
     }
 
-    /** One side of a connection. */
+    /** One side of a simulated connection. */
     private final class Endpoint implements PeerConnection {
         private final Machine machine;
         private final long life;
@@ -260,15 +258,20 @@
         private long lastSentMillis;
 
         Endpoint(
-                Machine machine, boolean dialled, Hello own, Listener listener, Connection connection, Runnable onEnd) {
+                Machine machine,
+                boolean outbound,
+                Hello localHello,
+                Listener listener,
+                Connection connection,
+                Runnable onClosed) {
             this.machine = machine;
             life = machine.life();
-            this.outbound = dialled;
-            this.localHello = own;
+            this.outbound = outbound;
+            this.localHello = localHello;
             this.listener = listener;
             this.connection = connection;
-            this.onClosed = onEnd;
-            outgoing = dialled ? connection.forward : connection.reverse;
+            this.onClosed = onClosed;
+            outgoing = outbound ? connection.forward : connection.reverse;
             connection.opposite(outgoing).receiver = this;
             lastReceivedMillis = machine.millis();
         }
@@ -284,7 +287,7 @@
             }
             long now = machine.millis();
             if (now - lastReceivedMillis > TcpPeerConnection.PEER_TIMEOUT_MILLIS) {
-                close("silent for " + (now - lastReceivedMillis) + " ms");
+                close("no data received for " + (now - lastReceivedMillis) + " ms");
                 return;
             }
             if (now - lastSentMillis >= TcpPeerConnection.PING_INTERVAL_MILLIS) {
@@ -309,22 +312,22 @@
         }
 
         @Override
-        public void send(PeerMessage signal) {
+        public void send(PeerMessage message) {
             if (closing || closed) {
                 return;
             }
-            ByteBuffer written = PeerMessageCodec.write(signal);
+            ByteBuffer written = PeerMessageCodec.write(message);
             byte[] frame = new byte[written.remaining()];
             written.get(frame);
             lastSentMillis = machine.millis();
             outgoing.enqueue(frame);
             if (outgoing.pendingBytes > TcpPeerConnection.MAX_PENDING_WRITE_BYTES) {
-                close("the far side doesn't read");
+                close("too many unsent bytes: the peer does not read");
             }
         }
 
         @Override
-        public void close(String why) {
+        public void close(String reason) {
             if (!closing && !closed) {
                 closing = true;
                 outgoing.enqueue(null);
@@ -342,15 +345,15 @@
             }
             lastReceivedMillis = machine.millis();
             try {
-                PeerMessage signal = PeerMessageCodec.read(ByteBuffer.wrap(frame));
+                PeerMessage message = PeerMessageCodec.read(ByteBuffer.wrap(frame));
                 if (peer == null) {
-                    peer = (Hello) signal;
+                    peer = (Hello) message;
                     listener.opened(this);
-                } else if (!(signal instanceof Ping)) {
-                    listener.received(this, signal);
+                } else if (!(message instanceof Ping)) {
+                    listener.received(this, message);
                 }
             } catch (MalformedDataException e) {
-                throw new IllegalStateException("a frame of our own can't be read", e);
+                throw new IllegalStateException("a frame written by the codec cannot be decoded", e);
             }
         }
 
@@ -367,7 +370,7 @@
         }
     }
 
-    /** What {@link TcpConnectionManager} does, on this network. */
+    /** The counterpart of {@link TcpConnectionManager} on this network. */
     public final class SimulatedConnectionManager implements ConnectionManager {
         private final Machine machine;
         private final Map<String, Machine> machines;
@@ -377,24 +380,24 @@
         private final Map<String, Link> links = new LinkedHashMap<>();
 
         private SimulatedConnectionManager(
-                Machine machine, Map<String, Machine> machines, Hello own, PeerConnection.Listener listener) {
+                Machine machine, Map<String, Machine> machines, Hello localHello, PeerConnection.Listener listener) {
             this.machine = machine;
             this.machines = machines;
-            this.localHello = own;
+            this.localHello = localHello;
             this.listener = listener;
-            random = new SplittableRandom(own.id());
+            random = new SplittableRandom(localHello.id());
         }
 
         @Override
         public void setAddresses(Collection<String> addresses) {
-            Set<String> wanted = new TreeSet<>(addresses);
-            wanted.remove(localHello.address());
+            Set<String> targets = new TreeSet<>(addresses);
+            targets.remove(localHello.address());
             for (String old : List.copyOf(links.keySet())) {
-                if (!wanted.contains(old)) {
+                if (!targets.contains(old)) {
                     links.remove(old).stop();
                 }
             }
-            for (String address : wanted) {
+            for (String address : targets) {
                 if (!links.containsKey(address)) {
                     Link link = new Link(address);
                     links.put(address, link);
@@ -430,38 +433,41 @@
                     return;
                 }
                 endpoint = null;
-                long dial = ++attempts;
+                long attempt = ++attempts;
                 long life = machine.life();
-                Machine far = machines.get(address);
-                machine.schedule(TcpConnectionManager.CONNECT_TIMEOUT_MILLIS, () -> connectFailed(dial));
+                Machine remote = machines.get(address);
+                machine.schedule(TcpConnectionManager.CONNECT_TIMEOUT_MILLIS, () -> connectFailed(attempt));
                 world.later(randomLatencyMicros(), () -> {
-                    if (far == null || !far.powered() || isPartitioned(machine, far) || isPartitioned(far, machine)) {
+                    if (remote == null
+                            || !remote.powered()
+                            || isPartitioned(machine, remote)
+                            || isPartitioned(remote, machine)) {
                         return;
                     }
-                    Acceptor there = acceptors.get(address);
-                    if (there == null) {
-                        world.later(randomLatencyMicros(), () -> machine.arrive(life, () -> connectFailed(dial)));
+                    Acceptor acceptor = acceptors.get(address);
+                    if (acceptor == null) {
+                        world.later(randomLatencyMicros(), () -> machine.arrive(life, () -> connectFailed(attempt)));
                         return;
                     }
                     if (machine.life() != life) {
                         return;
                     }
-                    Connection connection = new Connection(machine, far);
+                    Connection connection = new Connection(machine, remote);
                     Endpoint accepted =
-                            new Endpoint(far, false, there.localHello, there.listener, connection, () -> {});
-                    Endpoint dialling =
+                            new Endpoint(remote, false, acceptor.localHello, acceptor.listener, connection, () -> {});
+                    Endpoint initiated =
                             new Endpoint(machine, true, localHello, listener, connection, this::scheduleReconnect);
-                    long back = randomLatencyMicros();
-                    // What the far side says comes behind its consent.
-                    connection.reverse.transmittedMicros = world.micros() + back;
-                    far.arrive(there.life, accepted::start);
-                    world.later(back, () -> machine.arrive(life, () -> connected(dial, dialling)));
+                    long replyLatency = randomLatencyMicros();
+                    // The acceptor's first message arrives after its acceptance of the connection.
+                    connection.reverse.transmittedMicros = world.micros() + replyLatency;
+                    remote.arrive(acceptor.life, accepted::start);
+                    world.later(replyLatency, () -> machine.arrive(life, () -> connected(attempt, initiated)));
                 });
             }
 
-            private void connected(long dial, Endpoint opened) {
-                if (dial != attempts || stopped) {
-                    opened.close("too late");
+            private void connected(long attempt, Endpoint opened) {
+                if (attempt != attempts || stopped) {
+                    opened.close("connection attempt abandoned");
                     return;
                 }
                 attempts++;
@@ -469,8 +475,8 @@
                 endpoint.start();
             }
 
-            private void connectFailed(long dial) {
-                if (dial == attempts) {
+            private void connectFailed(long attempt) {
+                if (attempt == attempts) {
                     scheduleReconnect();
                 }
             }
@@ -490,7 +496,7 @@
             void stop() {
                 stopped = true;
                 if (endpoint != null) {
-                    endpoint.close("not wanted");
+                    endpoint.close("address no longer configured");
                 }
             }
         }
--- a/src/test/java/tinworks/channel/SimulatedNetworkTest.java
+++ b/src/test/java/tinworks/channel/SimulatedNetworkTest.java
@@ -14,7 +14,7 @@
 import tinworks.simulation.Machine;
 import tinworks.simulation.World;
 
-/** What the simulated days rest on: links that are slow for a while. */
+/** The simulated network removes a bandwidth limit also for frames that are already in flight. */
 class SimulatedNetworkTest {
     private static final int THROTTLED_BYTES_PER_MILLI = 1;
     private static final int MESSAGES = 1_000;
@@ -36,23 +36,23 @@
 
     private final class CountingListener implements PeerConnection.Listener {
         @Override
-        public void opened(PeerConnection conversation) {
-            outbound = conversation.isOutbound() ? conversation : outbound;
+        public void opened(PeerConnection connection) {
+            outbound = connection.isOutbound() ? connection : outbound;
         }
 
         @Override
-        public void received(PeerConnection conversation, PeerMessage signal) {
+        public void received(PeerConnection connection, PeerMessage message) {
             received++;
         }
 
         @Override
-        public void closed(PeerConnection conversation) {
-            // Not looked at.
+        public void closed(PeerConnection connection) {
+            // Not needed here.
         }
 
         @Override
         public void log(String line) {
-            // Not looked at.
+            // Not needed here.
         }
     }
 
@@ -60,7 +60,7 @@
         return new Hello(NodeRole.CORE, id, machine.address(), "m" + id, "z");
     }
 
-    /** What was sent over a slow link comes at the rate of the moment, in order, and not at that of its sending. */
+    /** Frames sent while a link was throttled are delivered at the current rate, not at the rate of their sending. */
     @Test
     void removingAThrottleAlsoSpeedsUpFramesInFlight() {
         network.listen(other, hello(other, 2), new CountingListener());
@@ -71,7 +71,7 @@
         Collections.nCopies(MESSAGES, new Leave(1)).forEach(outbound::send);
         world.run(1_500);
         int before = received;
-        assertTrue(before < MESSAGES / 5, before + " came over the slow link");
+        assertTrue(before < MESSAGES / 5, before + " were delivered over the throttled link");
         network.unthrottle(other);
         world.run(1_520);
         assertEquals(MESSAGES, received);
--- a/src/test/java/tinworks/channel/UntrustedPeersTest.java
+++ b/src/test/java/tinworks/channel/UntrustedPeersTest.java
@@ -24,15 +24,15 @@
 import tinworks.node.NodeProcess;
 
 /**
- * Peers at the inner port that aren't ours, or speak at greater length than ours do. Each connection could hold up to
- * 16 MiB of a frame that was not whole yet, for as long as a byte came every two seconds, and there was no bound on
- * their number: four of them fill a core machine's memory outside the heap.
+ * Guards the peer port against foreign or misbehaving peers. Without limits on the number of connections, on frames and
+ * on the time to a Hello, each connection can hold up to 16 MiB of an incomplete frame for as long as a byte arrives
+ * every two seconds, and four of them exhaust a core node's direct memory.
  */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class UntrustedPeersTest {
     private static final int MAX_ACCEPTED = 4;
     private static final int PROMPT_MILLIS = 2_000;
-    /** A second more than the silence after which a link is given up. */
+    /** Allows for the peer timeout, the heartbeat interval by which it is checked, and some slack. */
     private static final int TIMEOUT_DETECTED_MILLIS = 5_000;
 
     private final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
@@ -40,26 +40,26 @@
     private final CountDownLatch opened = new CountDownLatch(1);
     private final PeerConnection.Listener listener = new PeerConnection.Listener() {
         @Override
-        public void opened(PeerConnection conversation) {
+        public void opened(PeerConnection connection) {
             opened.countDown();
         }
 
         @Override
-        public void received(PeerConnection from, PeerMessage signal) {
-            // Nothing is asked.
+        public void received(PeerConnection from, PeerMessage message) {
+            // Not needed here.
         }
 
         @Override
-        public void closed(PeerConnection conversation) {
-            // Nothing is kept.
+        public void closed(PeerConnection connection) {
+            // Not needed here.
         }
 
         @Override
         public void log(String line) {
-            // It is told to nobody.
+            // Not needed here.
         }
     };
-    private final TcpConnectionManager links = NodeProcess.call(
+    private final TcpConnectionManager connections = NodeProcess.call(
             loop, () -> new TcpConnectionManager(loop, new Hello(NodeRole.CORE, 1, "127.0.0.1:1", "c", "z"), listener));
     private final List<Socket> sockets = new ArrayList<>();
     private InetSocketAddress address;
@@ -67,7 +67,7 @@
     @BeforeEach
     void listen() {
         address = (InetSocketAddress) NodeProcess.call(
-                        loop, () -> links.listen(new InetSocketAddress("127.0.0.1", 0), MAX_ACCEPTED))
+                        loop, () -> connections.listen(new InetSocketAddress("127.0.0.1", 0), MAX_ACCEPTED))
                 .syncUninterruptibly()
                 .channel()
                 .localAddress();
@@ -78,7 +78,7 @@
         for (Socket socket : sockets) {
             socket.close();
         }
-        NodeProcess.run(loop, links::close);
+        NodeProcess.run(loop, connections::close);
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(5_000);
     }
 
@@ -101,12 +101,12 @@
         socket.getOutputStream().write(bytes);
     }
 
-    /** Whether the far side closes the connection within this time. */
+    /** Whether the server closes the connection within this time. */
     private static boolean isClosed(Socket socket, int millis) throws IOException {
         socket.setSoTimeout(millis);
         try {
             while (socket.getInputStream().read() >= 0) {
-                // What it says first.
+                // Skips the server's Hello and heartbeats.
             }
             return true;
         } catch (java.net.SocketTimeoutException e) {
@@ -138,21 +138,21 @@
 
     @Test
     void slowSenderWithoutHelloIsClosed() throws Exception {
-        Socket drip = connect();
-        Thread dripping = new Thread(() -> {
+        Socket slow = connect();
+        Thread sender = new Thread(() -> {
             try {
-                writeFrameLength(drip, 10_000);
+                writeFrameLength(slow, 10_000);
                 while (true) {
-                    drip.getOutputStream().write(1);
+                    slow.getOutputStream().write(1);
                     TimeUnit.MILLISECONDS.sleep(300);
                 }
             } catch (IOException | InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        dripping.setDaemon(true);
-        dripping.start();
-        assertTrue(isClosed(drip, TIMEOUT_DETECTED_MILLIS));
+        sender.setDaemon(true);
+        sender.start();
+        assertTrue(isClosed(slow, TIMEOUT_DETECTED_MILLIS));
     }
 
     @Test
--- a/src/test/java/tinworks/store/CorruptionTest.java
+++ b/src/test/java/tinworks/store/CorruptionTest.java
@@ -23,7 +23,7 @@
 import tinworks.raft.PersistentState;
 import tinworks.raft.Snapshot;
 
-/** A file whose bytes were changed or lost on the disk is found out, or read as it was. */
+/** A file whose bytes were changed or lost on the disk is detected as corrupt, or read correctly. */
 class CorruptionTest {
     private static final String FILE = "state.mv";
     private static final int WRITES = 16;
@@ -69,14 +69,14 @@
                 + Arrays.hashCode(stored.snapshot().state()) + " " + stored.entries();
     }
 
-    /** What a damaged file is read as: the number of the state, or -1 where it is found out. */
+    /** The index of the state that a file is read as, or -1 if the corruption is detected. */
     private int readState(byte[] bytes, String how) {
         SimulatedDisk disk = new SimulatedDisk(3);
         disk.put(FILE, bytes);
         try (CoreStore store = CoreStore.open(disk.directory())) {
             assertEquals(42, store.identity(), how);
             int state = states.indexOf(describe(store.load()));
-            assertTrue(state >= 0, "a state that never was, " + how);
+            assertTrue(state >= 0, "a state that was never written, " + how);
             return state;
         } catch (CoreStore.CorruptStoreException e) {
             return -1;
@@ -89,8 +89,8 @@
     void bitFlipsAndZeroedSectorsAreDetectedOrHarmless() throws Exception {
         byte[] whole = writeStore();
         SplittableRandom random = new SplittableRandom(4);
-        int found = 0;
-        int before = 0;
+        int detected = 0;
+        int previousStates = 0;
         for (int round = 0; round < ROUNDS; round++) {
             byte[] bytes = whole.clone();
             int at = random.nextInt(bytes.length);
@@ -103,13 +103,13 @@
             }
             int state = readState(bytes, "round " + round + " at byte " + at);
             assertTrue(state < 0 || state >= WRITES - 1, "round " + round + " at byte " + at + ": state " + state);
-            found += state < 0 ? 1 : 0;
-            before += state == WRITES - 1 ? 1 : 0;
-            // A footer that is gone looks like a write that power cut short.
+            detected += state < 0 ? 1 : 0;
+            previousStates += state == WRITES - 1 ? 1 : 0;
+            // A lost footer cannot be told from a write interrupted by a power loss.
             assertTrue(state != WRITES - 1 || at >= bytes.length - SECTOR_BYTES, "an older state at byte " + at);
         }
-        assertTrue(found > ROUNDS / 50, found + " found out");
-        assertTrue(before > 0, "no round hit the last footer");
+        assertTrue(detected > ROUNDS / 50, detected + " detected");
+        assertTrue(previousStates > 0, "no round hit the last footer");
     }
 
     @Test
@@ -118,11 +118,11 @@
         SplittableRandom random = new SplittableRandom(5);
         for (int round = 0; round < ROUNDS / 3; round++) {
             int length = random.nextInt(whole.length);
-            readState(Arrays.copyOf(whole, length), "cut to " + length);
+            readState(Arrays.copyOf(whole, length), "truncated to " + length);
         }
     }
 
-    /** What a footer is torn into, over zeroes or over what an earlier torn write left, is no damage. */
+    /** A torn footer, over zeroes or over the rest of an earlier torn write, is not corruption. */
     @Test
     void tornFooterIsReadAsTheStateBeforeOrAfter() throws Exception {
         byte[] whole = writeStore();
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Whatever the time of day does, as nothing but the file's header is ever written twice. */
+    /** Independent of the wall clock: only the file's header is ever overwritten. */
     @Test
     void syncedBytesAreNeverOverwritten() throws Exception {
         SimulatedDisk disk = new SimulatedDisk(6);
@@ -168,7 +168,7 @@
         }
     }
 
-    /** Records that were changed behind the store's back, in a file that MVStore has nothing to say against. */
+    /** Records changed outside the store are detected even if the file is valid for MVStore. */
     @Test
     void changedMissingOrStaleRecordIsDetected() throws Exception {
         List<BiConsumer<MVMap<Long, byte[]>, MVMap<String, byte[]>>> changes = List.of(
--- a/src/test/java/tinworks/store/CrashRecoveryTest.java
+++ b/src/test/java/tinworks/store/CrashRecoveryTest.java
@@ -22,21 +22,21 @@
 import tinworks.raft.PersistentState;
 import tinworks.raft.Snapshot;
 
-/** What a store has on its disk after losses of power, kills and refused writes, at every operation of the disk. */
+/** Acknowledged writes survive power losses, process kills and rejected writes at any operation of the disk. */
 class CrashRecoveryTest {
     private static final long ID = 42;
     private static final int WRITES = 14;
-    /** So little that a file is written anew within a few writes. */
+    /** So small that the file is rewritten within a few writes. */
     private static final long REWRITE_SLACK_BYTES = 60_000;
 
     private static final Snapshot INITIAL_SNAPSHOT =
             new Snapshot(0, 0, List.of(new Member(ID, "10.0.0.1:7")), new byte[0]);
 
-    /** A machine's days: what it was told to write, what was acknowledged, and what must be on its disk. */
+    /** A node that issues random writes and tracks which states its disk may hold after a restart. */
     private static final class CrashingNode {
         private final SplittableRandom random;
         private final SimulatedDisk disk;
-        /** What the store holds after each write. */
+        /** The expected state after each write. */
         private final List<PersistentState> states = new ArrayList<>();
 
         private CoreStore store;
@@ -47,7 +47,7 @@
             disk = new SimulatedDisk(seed);
         }
 
-        /** Founds the store and writes; false where the disk refused or stopped. */
+        /** Opens the store and initializes it if it is empty; false if the disk failed. */
         boolean start() throws CoreStore.CorruptStoreException {
             states.clear();
             states.add(new PersistentState(HardState.NONE, INITIAL_SNAPSHOT, List.of()));
@@ -80,12 +80,12 @@
         private Output randomOutput(PersistentState now) {
             List<Entry> entries = now.entries();
             long last = now.snapshot().index() + entries.size();
-            HardState hard =
+            HardState hardState =
                     random.nextInt(3) == 0 ? new HardState(now.hardState().term() + 1, random.nextInt(9)) : null;
             if (entries.size() > 3 && random.nextInt(3) == 0) {
                 Entry upTo = entries.get(random.nextInt(entries.size()));
                 Snapshot snapshot = new Snapshot(upTo.index(), upTo.term(), INITIAL_SNAPSHOT.members(), randomBytes());
-                return new Output(1, hard, snapshot, 0, List.of(), last, List.of(), null, List.of(), List.of());
+                return new Output(1, hardState, snapshot, 0, List.of(), last, List.of(), null, List.of(), List.of());
             }
             long from = entries.isEmpty() || random.nextInt(4) > 0
                     ? last + 1
@@ -94,7 +94,8 @@
             for (int i = 0; i <= random.nextInt(2); i++) {
                 more.add(new Entry(from + i, 1 + states.size(), Entry.Kind.COMMAND, randomBytes()));
             }
-            return new Output(1, hard, null, from, more, from + more.size() - 1, List.of(), null, List.of(), List.of());
+            return new Output(
+                    1, hardState, null, from, more, from + more.size() - 1, List.of(), null, List.of(), List.of());
         }
 
         private byte[] randomBytes() {
@@ -115,7 +116,7 @@
                     output.hardState() == null ? now.hardState() : output.hardState(), snapshot, entries);
         }
 
-        /** Comes back and checks that all that was acknowledged is there, whole and in one piece. */
+        /** Reopens the store and checks that it holds a state no older than the last acknowledged one. */
         void restartAndVerify(String when) throws IOException {
             try {
                 store = CoreStore.open(disk.directory(), REWRITE_SLACK_BYTES);
@@ -133,10 +134,10 @@
                         return;
                     }
                 }
-                fail("what was acknowledged is gone " + when + ", at " + synced + ": " + describe(states.get(synced))
+                fail("acknowledged state lost " + when + ", at " + synced + ": " + describe(states.get(synced))
                         + " but found " + describe(found));
             } catch (CoreStore.CorruptStoreException e) {
-                fail("damaged " + when, e);
+                fail("corrupt " + when, e);
             }
         }
 
@@ -158,113 +159,113 @@
         return stored.hardState() + " snapshot " + stored.snapshot().index() + " " + stored.entries();
     }
 
-    /** A name that was never synced with its folder is lost by itself, and all of a founded store with it. */
+    /** If the directory is not synced after the rename, a power loss drops the whole initialized store. */
     @Test
     void initializedStoreSurvivesTheFirstPowerLoss() throws Exception {
         for (int seed = 0; seed < 20; seed++) {
-            CrashingNode machine = new CrashingNode(seed);
-            assertTrue(machine.start());
-            assertTrue(machine.write(3));
-            machine.disk.powerLoss();
-            machine.restartAndVerify("after the first loss of power, seed " + seed);
+            CrashingNode node = new CrashingNode(seed);
+            assertTrue(node.start());
+            assertTrue(node.write(3));
+            node.disk.powerLoss();
+            node.restartAndVerify("after the first power loss, seed " + seed);
         }
     }
 
-    /** Power goes at every operation of the disk in turn; the machine comes back, goes on and loses it once more. */
+    /** Power is lost at each operation of the disk in turn, and again after the node has restarted and gone on. */
     @Test
     void acknowledgedWritesSurvivePowerLossAtEveryOperation() throws Exception {
         for (int seed = 0; seed < 6; seed++) {
-            boolean cut = true;
-            for (int after = 0; cut; after++) {
-                CrashingNode machine = new CrashingNode(seed);
-                machine.disk.failAfter(after);
-                cut = !(machine.start() && machine.write(WRITES));
-                machine.disk.powerLoss();
+            boolean interrupted = true;
+            for (int after = 0; interrupted; after++) {
+                CrashingNode node = new CrashingNode(seed);
+                node.disk.failAfter(after);
+                interrupted = !(node.start() && node.write(WRITES));
+                node.disk.powerLoss();
                 String when = "after operation " + after + ", seed " + seed;
-                machine.restartAndVerify(when);
-                machine.disk.failAfter(machine.random.nextInt(20));
-                machine.write(4);
-                machine.disk.powerLoss();
-                machine.restartAndVerify("again " + when);
+                node.restartAndVerify(when);
+                node.disk.failAfter(node.random.nextInt(20));
+                node.write(4);
+                node.disk.powerLoss();
+                node.restartAndVerify("again " + when);
             }
         }
     }
 
-    /** What a killed process left unsynced is read by the next one, which acts on it: power may go right then. */
+    /** A new process reads and relies on unsynced data of a killed one; a power loss must not take it away then. */
     @Test
     void stateReadAfterAKillSurvivesPowerLoss() throws Exception {
         for (int seed = 0; seed < 60; seed++) {
-            CrashingNode machine = new CrashingNode(seed);
-            assertTrue(machine.start());
-            machine.disk.failAfter(1 + seed % 40);
-            machine.write(WRITES);
-            machine.disk.crash();
-            machine.restartAndVerify("after a kill, seed " + seed);
-            machine.disk.powerLoss();
-            machine.restartAndVerify("after a kill and a loss of power, seed " + seed);
+            CrashingNode node = new CrashingNode(seed);
+            assertTrue(node.start());
+            node.disk.failAfter(1 + seed % 40);
+            node.write(WRITES);
+            node.disk.crash();
+            node.restartAndVerify("after a kill, seed " + seed);
+            node.disk.powerLoss();
+            node.restartAndVerify("after a kill and a power loss, seed " + seed);
         }
     }
 
-    /** With any kind of sync taken out something is lost or damaged: each is there for a reason. */
+    /** Leaving out any kind of sync loses or corrupts data, which shows that each one is necessary. */
     @ParameterizedTest
     @EnumSource(SimulatedDisk.SyncKind.class)
     void skippingAnyKindOfSyncLosesData(SimulatedDisk.SyncKind kind) {
         assertThrows(AssertionError.class, () -> {
             for (int seed = 0; seed < 4_000; seed++) {
-                CrashingNode machine = new CrashingNode(seed);
-                machine.disk.skipSyncs(Set.of(kind));
-                machine.disk.failAfter(20 + machine.random.nextInt(40));
-                if (machine.start()) {
-                    machine.write(WRITES);
+                CrashingNode node = new CrashingNode(seed);
+                node.disk.skipSyncs(Set.of(kind));
+                node.disk.failAfter(20 + node.random.nextInt(40));
+                if (node.start()) {
+                    node.write(WRITES);
                 }
-                machine.disk.powerLoss();
-                machine.restartAndVerify("without the sync of " + kind + ", seed " + seed);
+                node.disk.powerLoss();
+                node.restartAndVerify("without the sync of " + kind + ", seed " + seed);
             }
         });
     }
 
-    /** The disk is full at every operation in turn; the same write is tried again until it takes it. */
+    /** The disk becomes full at each write in turn; after space is freed, the store goes on and has lost nothing. */
     @Test
     void rejectedWriteLosesNothing() throws Exception {
         for (int seed = 0; seed < 6; seed++) {
             for (int after = 0; after < 60; after++) {
-                CrashingNode machine = new CrashingNode(seed);
-                assertTrue(machine.start());
-                machine.disk.becomeFullAfter(after);
-                boolean all = machine.write(WRITES);
-                if (!all) {
-                    machine.store.reopen();
-                    machine.disk.setFull(false);
-                    machine.store.reopen();
+                CrashingNode node = new CrashingNode(seed);
+                assertTrue(node.start());
+                node.disk.becomeFullAfter(after);
+                boolean accepted = node.write(WRITES);
+                if (!accepted) {
+                    node.store.reopen();
+                    node.disk.setFull(false);
+                    node.store.reopen();
                     String when = "after " + after + " writes, seed " + seed;
-                    machine.restartAndVerify("refused " + when);
-                    assertTrue(machine.write(4), when);
+                    node.restartAndVerify("rejected " + when);
+                    assertTrue(node.write(4), when);
                 }
-                machine.disk.powerLoss();
-                machine.restartAndVerify("after " + after + " writes and a loss of power, seed " + seed);
+                node.disk.powerLoss();
+                node.restartAndVerify("after " + after + " writes and a power loss, seed " + seed);
             }
         }
     }
 
-    /** MVStore wraps what it meets; a full heap is neither a full disk nor a damaged store. */
+    /** MVStore wraps errors in exceptions; an exhausted heap must not pass for a full disk or a corrupt store. */
     @Test
     void errorIsRethrownUnwrappedAndLosesNothing() throws Exception {
         for (int sync = 0; sync < 4; sync++) {
-            CrashingNode machine = new CrashingNode(sync);
-            assertTrue(machine.start());
-            assertTrue(machine.write(3));
+            CrashingNode node = new CrashingNode(sync);
+            assertTrue(node.start());
+            assertTrue(node.write(3));
             int last = sync;
             int[] syncs = {0};
-            machine.disk.onSync(() -> {
+            node.disk.onSync(() -> {
                 if (syncs[0]++ == last) {
-                    throw new OutOfMemoryError("a test's");
+                    throw new OutOfMemoryError("thrown by the test");
                 }
             });
-            assertThrows(OutOfMemoryError.class, () -> machine.write(4));
-            machine.disk.onSync(() -> {});
-            machine.disk.crash();
-            machine.restartAndVerify("after an error at sync " + sync);
-            assertTrue(machine.write(1));
+            assertThrows(OutOfMemoryError.class, () -> node.write(4));
+            node.disk.onSync(() -> {});
+            node.disk.crash();
+            node.restartAndVerify("after an error at sync " + sync);
+            assertTrue(node.write(1));
         }
     }
 }
--- a/src/test/java/tinworks/store/DiskUseTest.java
+++ b/src/test/java/tinworks/store/DiskUseTest.java
@@ -17,60 +17,58 @@
 import tinworks.raft.PersistentState;
 import tinworks.raft.Snapshot;
 
-/**
- * How much of a real disk a store takes, and how long it takes to open, after many changes of a large configuration.
- */
+/** Disk use and opening time of a store on a real disk stay bounded after many changes of a large configuration. */
 class DiskUseTest {
     private static final int WRITES = 200;
     private static final int BODY_BYTES = 204_000;
-    private static final int ENTRIES_PER_SNAPSHOT = 20;
+    private static final int MAX_LOG_ENTRIES = 20;
     private static final long MAX_DISK_BYTES = 40 << 20;
     private static final long MAX_OPEN_MILLIS = 2_000;
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
-    /** What one run came to. */
+    /** The measurements of one run. */
     private record Measurements(
             long maxBytes, long finalBytes, long slowestWriteMillis, long openMillis, PersistentState loaded) {}
 
-    private static Measurements run(Path folder, int writes, int bodyBytes, int kept)
+    private static Measurements run(Path directory, int writes, int bodyBytes, int maxLogEntries)
             throws IOException, CoreStore.CorruptStoreException {
-        CoreStore store = CoreStore.open(folder);
+        CoreStore store = CoreStore.open(directory);
         store.initialize(1, HardState.NONE, Snapshot.NONE);
         List<Entry> entries = new ArrayList<>();
-        long most = 0;
+        long maxBytes = 0;
         long slowest = 0;
         for (int i = 1; i <= writes; i++) {
             byte[] body = new byte[bodyBytes];
             body[i % bodyBytes] = (byte) i;
             Entry entry = new Entry(i, 1, Entry.Kind.COMMAND, body);
             entries.add(entry);
-            long begun = System.nanoTime();
+            long startedNanos = System.nanoTime();
             store.write(output(null, i, List.of(entry)));
-            if (entries.size() > kept) {
+            if (entries.size() > maxLogEntries) {
                 store.write(output(new Snapshot(i, 1, List.of(), body), 0, List.of()));
                 entries.clear();
             }
-            slowest = Math.max(slowest, System.nanoTime() - begun);
-            most = Math.max(most, directoryBytes(folder));
+            slowest = Math.max(slowest, System.nanoTime() - startedNanos);
+            maxBytes = Math.max(maxBytes, directoryBytes(directory));
         }
         store.close();
-        long begun = System.nanoTime();
-        CoreStore again = CoreStore.open(folder);
-        long opening = System.nanoTime() - begun;
-        PersistentState found = again.load();
-        again.close();
-        assertEquals(entries, found.entries());
-        return new Measurements(most, directoryBytes(folder), slowest / 1_000_000, opening / 1_000_000, found);
+        long startedNanos = System.nanoTime();
+        CoreStore reopened = CoreStore.open(directory);
+        long opening = System.nanoTime() - startedNanos;
+        PersistentState loaded = reopened.load();
+        reopened.close();
+        assertEquals(entries, loaded.entries());
+        return new Measurements(maxBytes, directoryBytes(directory), slowest / 1_000_000, opening / 1_000_000, loaded);
     }
 
     private static Output output(Snapshot snapshot, long from, List<Entry> entries) {
         return new Output(1, null, snapshot, from, entries, from, List.of(), null, List.of(), List.of());
     }
 
-    private static long directoryBytes(Path folder) throws IOException {
-        try (Stream<Path> files = Files.list(folder)) {
+    private static long directoryBytes(Path directory) throws IOException {
+        try (Stream<Path> files = Files.list(directory)) {
             long bytes = 0;
             for (Path file : files.toList()) {
                 bytes += Files.size(file);
@@ -81,20 +79,20 @@
 
     @Test
     void diskUseAndOpenTimeStayBounded() throws Exception {
-        Measurements figures = run(folder, WRITES, BODY_BYTES, ENTRIES_PER_SNAPSHOT);
-        assertTrue(figures.maxBytes < MAX_DISK_BYTES, figures.maxBytes + " bytes at most");
-        assertTrue(figures.openMillis < MAX_OPEN_MILLIS, figures.openMillis + " ms to open");
+        Measurements measured = run(directory, WRITES, BODY_BYTES, MAX_LOG_ENTRIES);
+        assertTrue(measured.maxBytes < MAX_DISK_BYTES, measured.maxBytes + " bytes at peak");
+        assertTrue(measured.openMillis < MAX_OPEN_MILLIS, measured.openMillis + " ms to open");
         assertEquals(
-                WRITES / (ENTRIES_PER_SNAPSHOT + 1) * (ENTRIES_PER_SNAPSHOT + 1),
-                figures.loaded.snapshot().index());
+                WRITES / (MAX_LOG_ENTRIES + 1) * (MAX_LOG_ENTRIES + 1),
+                measured.loaded.snapshot().index());
     }
 
-    /** By hand, for figures: folder, writes, bytes of each, entries kept before a snapshot. */
+    /** Measures by hand. Arguments: directory, writes, bytes of each, log entries before a snapshot. */
     public static void main(String[] args) throws Exception {
-        Measurements figures =
+        Measurements measured =
                 run(Path.of(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]), Integer.parseInt(args[3]));
         System.out.printf(
-                "at most %d MB, in the end %d MB, slowest write %d ms, opening %d ms%n",
-                figures.maxBytes >> 20, figures.finalBytes >> 20, figures.slowestWriteMillis, figures.openMillis);
+                "at most %d MB, finally %d MB, slowest write %d ms, opening %d ms%n",
+                measured.maxBytes >> 20, measured.finalBytes >> 20, measured.slowestWriteMillis, measured.openMillis);
     }
 }
--- a/src/test/java/tinworks/store/SimulatedDisk.java
+++ b/src/test/java/tinworks/store/SimulatedDisk.java
@@ -19,16 +19,15 @@
 import org.h2.store.fs.FilePath;
 
 /**
- * The disk of one machine in memory, seeded, which {@link CoreStore} runs on through MVStore. After a loss of power a
- * file holds what its last sync covered; of what was written since, each write is there, missing or torn by itself, and
- * at some losses none is. A file that was made, renamed or removed since the folder's last sync is kept or lost by
- * itself.
+ * A seeded in-memory disk of one machine, on which {@link CoreStore} runs through MVStore. After a power loss a file
+ * holds everything up to its last sync; each later write is kept, lost or torn independently, and at some power losses
+ * all are lost. Files created, renamed or deleted since the directory's last sync are kept or lost independently.
  *
- * <p>What was opened before a {@link #crash}, {@link #powerLoss} or {@link #wipe} is of a process that is gone: all
- * that it still does fails and changes nothing.
+ * <p>Handles opened before a {@link #crash}, {@link #powerLoss} or {@link #wipe} belong to a terminated process: their
+ * operations fail and change nothing.
  */
 public final class SimulatedDisk {
-    /** Where the simulation's own file system hangs in MVStore's. */
+    /** The scheme under which the simulated file system is registered with MVStore. */
     private static final String SCHEME = "simdisk";
 
     private static final int SECTOR_BYTES = 512;
@@ -39,13 +38,13 @@
         FilePath.register(new SimulatedPath());
     }
 
-    /** The kinds of sync that a store asks for. */
+    /** The kinds of sync that a store performs. */
     public enum SyncKind {
-        /** Of the folder. */
-        FOLDER,
-        /** Of a file's contents, which a store asks for before it writes what says that they are whole. */
+        /** Sync of the directory. */
+        DIRECTORY,
+        /** Sync of a file's contents, before the footer is written that marks them as complete. */
         CONTENTS,
-        /** Of a file with its length, which a store asks for at the end of a write. */
+        /** Sync of a file and its length, at the end of a write. */
         FILE
     }
 
@@ -63,19 +62,19 @@
     private long writesLeft = Long.MAX_VALUE;
     private boolean partialWrite;
 
-    /** An empty disk; the seed decides what losses of power leave. */
+    /** An empty disk; the seed determines what survives each power loss. */
     public SimulatedDisk(long seed) {
         random = new SplittableRandom(seed);
         DISKS.values().removeIf(disk -> disk.get() == null);
         DISKS.put(id, new WeakReference<>(this));
     }
 
-    /** What a store is opened in; it holds on to this disk. */
+    /** The directory to open a store in; it keeps a reference to this disk. */
     public StoreDirectory directory() {
         return new SimulatedDirectory();
     }
 
-    /** Power goes, and the process with it. */
+    /** Simulates a power loss, which also terminates the process. */
     public synchronized void powerLoss() {
         crash();
         Map<String, FileContents> kept = entriesAfterPowerLoss();
@@ -88,18 +87,18 @@
 
     private Map<String, FileContents> entriesAfterPowerLoss() {
         Map<String, FileContents> kept = new TreeMap<>();
-        boolean noneKept = random.nextInt(4) == 0;
+        boolean allLost = random.nextInt(4) == 0;
         Map<String, FileContents> all = new TreeMap<>(syncedEntries);
         all.putAll(entries);
         for (String name : all.keySet()) {
             FileContents was = syncedEntries.get(name);
             FileContents is = entries.get(name);
-            FileContents chosen = was == is || (!noneKept && random.nextBoolean()) ? is : was;
+            FileContents chosen = was == is || (!allLost && random.nextBoolean()) ? is : was;
             if (chosen != null) {
                 kept.put(name, chosen);
             }
         }
-        // A renamed file has its old name, its new one or none, but never both.
+        // A renamed file keeps its old name or its new one or is lost; it never has both.
         kept.entrySet()
                 .removeIf(old -> entries.get(old.getKey()) != old.getValue()
                         && kept.entrySet().stream()
@@ -107,82 +106,82 @@
         return kept;
     }
 
-    /** The process is gone, and files stay as they were. */
+    /** Terminates the process; the files stay unchanged. */
     public synchronized void crash() {
         generation++;
         operationsLeft = Long.MAX_VALUE;
     }
 
-    /** The machine comes back with an empty disk. */
+    /** Terminates the process and replaces the disk by an empty one. */
     public synchronized void wipe() {
         crash();
         entries.clear();
         syncedEntries.clear();
     }
 
-    /** A full disk refuses every write, and takes them again later. */
+    /** Makes the disk full, so that it rejects every write, or frees it again. */
     public synchronized void setFull(boolean full) {
         writesLeft = full ? 0 : Long.MAX_VALUE;
         partialWrite = false;
     }
 
-    /** Takes this many more writes and then is full; the first that is refused may have been written in part. */
+    /** Accepts this many more writes and is full afterwards; the first rejected write may be written in part. */
     public synchronized void becomeFullAfter(long writes) {
         writesLeft = writes;
         partialWrite = true;
     }
 
     /**
-     * Lets this many more operations (writes, cuts, syncs and changes of names) through. All later ones fail, as they
-     * come too late for the {@link #powerLoss} that the caller then makes.
+     * Lets this many more operations (writes, truncations, syncs, creations, renames and deletions) succeed. All later
+     * ones fail, as if they came after the {@link #powerLoss} that the caller then simulates.
      */
     public synchronized void failAfter(long more) {
         operationsLeft = more;
         failed = false;
     }
 
-    /** Whether an operation came too late for {@link #failAfter}. */
+    /** Whether an operation has failed because of {@link #failAfter}. */
     public synchronized boolean hasFailed() {
         return failed;
     }
 
-    /** Called at each sync of a file or of the folder before it takes effect, on the thread that syncs. */
+    /** Sets a hook that is called at each sync of a file or of the directory before it takes effect, on its thread. */
     public synchronized void onSync(Runnable hook) {
         onSync = hook;
     }
 
-    /** Syncs of these kinds do nothing from now on, as if the store had never asked for them. */
+    /** Makes syncs of these kinds have no effect from now on, as if the store had left them out. */
     public synchronized void skipSyncs(Set<SyncKind> kinds) {
         skippedSyncs = EnumSet.copyOf(kinds);
     }
 
-    /** How many syncs there were. */
+    /** The number of syncs so far. */
     public synchronized long syncs() {
         return syncs;
     }
 
-    /** How many writes, cuts, syncs and changes of names there were. */
+    /** The number of operations so far, as counted by {@link #failAfter}. */
     public synchronized long operations() {
         return operations;
     }
 
-    /** The length of all files. */
+    /** The total length of all files. */
     public synchronized long bytes() {
         return entries.values().stream().mapToLong(file -> file.length).sum();
     }
 
-    /** The names of its files. */
+    /** The names of all files. */
     public synchronized List<String> files() {
         return List.copyOf(entries.keySet());
     }
 
-    /** What a file holds now. */
+    /** The current contents of a file. */
     public synchronized byte[] read(String file) {
         FileContents contents = entries.get(file);
         return Arrays.copyOf(contents.current, contents.length);
     }
 
-    /** Puts a file there as if it had always been. */
+    /** Adds a file that is already synced. */
     public synchronized void put(String file, byte[] bytes) {
         FileContents contents = new FileContents();
         contents.current = bytes.clone();
@@ -193,7 +192,7 @@
         syncedEntries.put(file, contents);
     }
 
-    /** Counts an operation; false where the power is gone. */
+    /** Counts an operation; returns false if it comes after the power loss. */
     private boolean countOperation() {
         if (operationsLeft == 0) {
             failed = true;
@@ -208,7 +207,7 @@
 
     private void requireOperation() throws IOException {
         if (!countOperation()) {
-            throw new IOException("the power is gone");
+            throw new IOException("power loss");
         }
     }
 
@@ -217,9 +216,9 @@
             throw new IOException("No space left on device");
         }
         requireOperation();
-        FileContents made = new FileContents();
-        entries.put(file, made);
-        return made;
+        FileContents created = new FileContents();
+        entries.put(file, created);
+        return created;
     }
 
     private void beginSync() throws IOException {
@@ -234,7 +233,7 @@
 
     private record PendingWrite(int at, byte[] bytes) {}
 
-    /** A file; a {@link PendingWrite} without bytes cut it to a length. */
+    /** The contents of a file; a {@link PendingWrite} without bytes is a truncation. */
     private static final class FileContents {
         private final List<PendingWrite> unsynced = new ArrayList<>();
         private byte[] current = new byte[0];
@@ -282,13 +281,13 @@
         }
 
         void loseWrites(SplittableRandom random) {
-            boolean noneKept = random.nextInt(4) == 0;
+            boolean allLost = random.nextInt(4) == 0;
             for (PendingWrite write : unsynced) {
-                int fate = random.nextInt(3);
-                if (noneKept || fate == 0) {
+                int outcome = random.nextInt(3);
+                if (allLost || outcome == 0) {
                     continue;
                 }
-                if (fate == 1 || write.bytes == null) {
+                if (outcome == 1 || write.bytes == null) {
                     applyToSynced(write);
                 } else {
                     applyTorn(write, random);
@@ -299,7 +298,7 @@
             length = syncedLength;
         }
 
-        /** Either a first part alone, at any byte, or some of the sectors. */
+        /** Applies part of a write: either a prefix of any length, or some of the sectors. */
         private void applyTorn(PendingWrite write, SplittableRandom random) {
             if (random.nextBoolean()) {
                 applyToSynced(
@@ -337,7 +336,7 @@
             synchronized (SimulatedDisk.this) {
                 requireLiveProcess();
                 if (entries.containsKey(file)) {
-                    throw new IOException("there is " + file + " already");
+                    throw new IOException("file exists: " + file);
                 }
                 newFile(file);
             }
@@ -349,7 +348,7 @@
                 requireLiveProcess();
                 requireOperation();
                 if (!entries.containsKey(file) || entries.containsKey(to)) {
-                    throw new IOException("can't rename " + file + " to " + to);
+                    throw new IOException("cannot rename " + file + " to " + to);
                 }
                 entries.put(to, entries.remove(file));
             }
@@ -361,7 +360,7 @@
                 requireLiveProcess();
                 requireOperation();
                 if (entries.remove(file) == null) {
-                    throw new IOException("there is no " + file);
+                    throw new IOException("no such file: " + file);
                 }
             }
         }
@@ -371,7 +370,7 @@
             requireLiveProcess();
             beginSync();
             synchronized (SimulatedDisk.this) {
-                if (!skippedSyncs.contains(SyncKind.FOLDER)) {
+                if (!skippedSyncs.contains(SyncKind.DIRECTORY)) {
                     syncedEntries.clear();
                     syncedEntries.putAll(entries);
                 }
@@ -381,13 +380,13 @@
         private void requireLiveProcess() throws IOException {
             synchronized (SimulatedDisk.this) {
                 if (createdIn != generation) {
-                    throw new IOException("the process is gone");
+                    throw new IOException("the process has terminated");
                 }
             }
         }
     }
 
-    /** A file opened by a process, until the process is gone. */
+    /** A file handle, valid until its process terminates. */
     private final class OpenFile extends FileBaseDefault {
         private final FileContents contents;
         private final int openedIn = generation;
@@ -398,7 +397,7 @@
 
         private void requireLiveProcess() throws IOException {
             if (openedIn != generation) {
-                throw new IOException("the process is gone");
+                throw new IOException("the process has terminated");
             }
         }
 
@@ -409,7 +408,7 @@
             }
         }
 
-        @SuppressWarnings("UnsynchronizedOverridesSynchronized") // Guarded otherwise: no shared position is moved.
+        @SuppressWarnings("UnsynchronizedOverridesSynchronized") // Safe: no shared position is moved.
         @Override
         public int read(ByteBuffer into, long position) throws IOException {
             synchronized (SimulatedDisk.this) {
@@ -423,7 +422,7 @@
             }
         }
 
-        @SuppressWarnings("UnsynchronizedOverridesSynchronized") // Guarded otherwise: no shared position is moved.
+        @SuppressWarnings("UnsynchronizedOverridesSynchronized") // Safe: no shared position is moved.
         @Override
         public int write(ByteBuffer from, long position) throws IOException {
             synchronized (SimulatedDisk.this) {
@@ -450,7 +449,7 @@
             throw new IOException("No space left on device");
         }
 
-        /** Cuts nothing where the power is gone: MVStore would try it ten times over. */
+        /** Does nothing after the power loss; an exception would make MVStore retry ten times. */
         @Override
         protected void implTruncate(long size) throws IOException {
             synchronized (SimulatedDisk.this) {
@@ -461,14 +460,14 @@
         }
 
         @Override
-        public void force(boolean lengthToo) throws IOException {
+        public void force(boolean withLength) throws IOException {
             synchronized (SimulatedDisk.this) {
                 requireLiveProcess();
             }
             beginSync();
             synchronized (SimulatedDisk.this) {
                 requireLiveProcess();
-                if (!skippedSyncs.contains(lengthToo ? SyncKind.FILE : SyncKind.CONTENTS)) {
+                if (!skippedSyncs.contains(withLength ? SyncKind.FILE : SyncKind.CONTENTS)) {
                     contents.sync();
                 }
             }
@@ -489,12 +488,12 @@
         }
     }
 
-    /** Names of files on simulated disks: the disk's number, a slash and the file. */
+    /** Paths of files on simulated disks: the disk's id, a slash and the file name. */
     private static final class SimulatedPath extends FilePath {
         private static SimulatedPath forName(String path) {
-            SimulatedPath made = new SimulatedPath();
-            made.name = path;
-            return made;
+            SimulatedPath created = new SimulatedPath();
+            created.name = path;
+            return created;
         }
 
         private String[] parts() {
@@ -505,7 +504,7 @@
             WeakReference<SimulatedDisk> found = DISKS.get(Long.valueOf(parts()[0]));
             SimulatedDisk disk = found == null ? null : found.get();
             if (disk == null) {
-                throw new IllegalStateException("no disk: " + name);
+                throw new IllegalStateException("no simulated disk: " + name);
             }
             return disk;
         }
--- a/src/test/java/tinworks/store/SimulatedDiskTest.java
+++ b/src/test/java/tinworks/store/SimulatedDiskTest.java
@@ -18,7 +18,7 @@
 import tinworks.raft.Output;
 import tinworks.raft.Snapshot;
 
-/** The simulated disk keeps and loses what the real one may. */
+/** The simulated disk keeps and loses the data that a real disk may keep and lose. */
 class SimulatedDiskTest {
     private static final int SEEDS = 40;
     private static final int RESTARTS = 6;
@@ -52,10 +52,10 @@
             file.truncate(5);
             disk.powerLoss();
             seen.add(contentsOf(disk, "f"));
-            assertThrows(IOException.class, () -> write(file, 0, "zz"), "a process that is gone writes");
+            assertThrows(IOException.class, () -> write(file, 0, "zz"), "a terminated process writes");
         }
         assertTrue(seen.containsAll(Set.of("ab", "abcd", "abcde", "abcdef", "ab..ef", "abc")), seen.toString());
-        assertTrue(seen.stream().allMatch(left -> left.startsWith("ab")), seen.toString());
+        assertTrue(seen.stream().allMatch(contents -> contents.startsWith("ab")), seen.toString());
     }
 
     @Test
@@ -77,16 +77,16 @@
 
     @Test
     void storeSurvivesRepeatedPowerLoss() throws Exception {
-        for (int day = 0; day < SEEDS; day++) {
-            SimulatedDisk disk = new SimulatedDisk(day);
+        for (int seed = 0; seed < SEEDS; seed++) {
+            SimulatedDisk disk = new SimulatedDisk(seed);
             int index = 0;
-            for (int life = 0; life < RESTARTS; life++) {
+            for (int restart = 0; restart < RESTARTS; restart++) {
                 CoreStore store = CoreStore.open(disk.directory());
-                if (life == 0) {
-                    store.initialize(day + 1, HardState.NONE, Snapshot.NONE);
+                if (restart == 0) {
+                    store.initialize(seed + 1, HardState.NONE, Snapshot.NONE);
                     disk.directory().sync();
                 }
-                assertEquals(day + 1, store.identity());
+                assertEquals(seed + 1, store.identity());
                 assertEquals(index, store.load().entries().size());
                 for (int i = 0; i < WRITES_PER_RESTART; i++) {
                     index++;
