--- a/src/test/java/tinworks/channel/SimulatedNetwork.java
+++ b/src/test/java/tinworks/channel/SimulatedNetwork.java
@@ -16,7 +16,7 @@
 import tinworks.channel.PeerMessage.Hello;
 import tinworks.channel.PeerMessage.Ping;
 import tinworks.simulation.Machine;
-import tinworks.simulation.World;
+import tinworks.simulation.Simulator;
 
 /**
  * A network between simulated machines, with the behaviour of {@link TcpConnectionManager} and
@@ -30,7 +30,7 @@
     private static final int DEFAULT_BYTES_PER_MILLI = 125_000;
     private static final long MAX_RETRANSMIT_MICROS = 400_000;
 
-    private final World world;
+    private final Simulator world;
     private final Map<String, Acceptor> acceptors = new HashMap<>();
     private final Set<List<Machine>> partitions = new HashSet<>();
     private final Set<Machine> throttled = new HashSet<>();
@@ -44,7 +44,7 @@
     private record Acceptor(Machine machine, long life, Hello localHello, PeerConnection.Listener listener) {}
 
     /** A network without connections. */
-    public SimulatedNetwork(World world) {
+    public SimulatedNetwork(Simulator world) {
         this.world = world;
     }
 
@@ -61,7 +61,7 @@
         List.copyOf(blockedPipes).forEach(pipe -> {
             if (pipe.from == from && pipe.to == to) {
                 blockedPipes.remove(pipe);
-                world.later(world.random().nextLong(MAX_RETRANSMIT_MICROS), pipe::deliverDueFrames);
+                world.schedule(world.random().nextLong(MAX_RETRANSMIT_MICROS), pipe::deliverDueFrames);
             }
         });
     }
@@ -109,7 +109,7 @@
 
     /** Accepts connections at the machine's address. */
     public void listen(Machine machine, Hello localHello, PeerConnection.Listener listener) {
-        acceptors.put(machine.address(), new Acceptor(machine, machine.life(), localHello, listener));
+        acceptors.put(machine.address(), new Acceptor(machine, machine.incarnation(), localHello, listener));
     }
 
     /** Creates the connection manager of a process. */
@@ -148,7 +148,7 @@
             frames.add(new Frame(due, frame));
             busyPipes.add(this);
             pendingBytes += frame == null ? 0 : frame.length;
-            world.later(due - world.micros(), this::deliverDueFrames);
+            world.schedule(due - world.micros(), this::deliverDueFrames);
         }
 
         private long transmissionMicros(byte[] frame) {
@@ -167,7 +167,7 @@
                 transmittedMicros += transmissionMicros(frame.bytes);
                 long due = Math.min(frame.dueMicros, transmittedMicros + MIN_LATENCY_MICROS);
                 frames.add(new Frame(due, frame.bytes));
-                world.later(Math.max(0, due - world.micros()), this::deliverDueFrames);
+                world.schedule(Math.max(0, due - world.micros()), this::deliverDueFrames);
             }
         }
 
@@ -190,8 +190,8 @@
             if (receiver == null || connection.wasReset) {
                 return;
             }
-            if (receiver.life == to.life() && to.running()) {
-                to.arrive(receiver.life, () -> receiver.receive(frame));
+            if (receiver.life == to.incarnation() && to.running()) {
+                to.deliver(receiver.life, () -> receiver.receive(frame));
             } else if (to.powered() && frame != null) {
                 // The process that was started since does not know the connection.
                 connection.opposite(this).enqueue(null);
@@ -224,7 +224,7 @@
             for (Pipe pipe : List.of(forward, reverse)) {
                 Endpoint end = pipe.receiver;
                 if (end != null) {
-                    pipe.to.arrive(end.life, end::notifyClosed);
+                    pipe.to.deliver(end.life, end::notifyClosed);
                 }
             }
         }
@@ -265,7 +265,7 @@
                 Connection connection,
                 Runnable onClosed) {
             this.machine = machine;
-            life = machine.life();
+            life = machine.incarnation();
             this.outbound = outbound;
             this.localHello = localHello;
             this.listener = listener;
@@ -434,10 +434,10 @@
                 }
                 endpoint = null;
                 long attempt = ++attempts;
-                long life = machine.life();
+                long life = machine.incarnation();
                 Machine remote = machines.get(address);
                 machine.schedule(TcpConnectionManager.CONNECT_TIMEOUT_MILLIS, () -> connectFailed(attempt));
-                world.later(randomLatencyMicros(), () -> {
+                world.schedule(randomLatencyMicros(), () -> {
                     if (remote == null
                             || !remote.powered()
                             || isPartitioned(machine, remote)
@@ -446,10 +446,11 @@
                     }
                     Acceptor acceptor = acceptors.get(address);
                     if (acceptor == null) {
-                        world.later(randomLatencyMicros(), () -> machine.arrive(life, () -> connectFailed(attempt)));
+                        world.schedule(
+                                randomLatencyMicros(), () -> machine.deliver(life, () -> connectFailed(attempt)));
                         return;
                     }
-                    if (machine.life() != life) {
+                    if (machine.incarnation() != life) {
                         return;
                     }
                     Connection connection = new Connection(machine, remote);
@@ -460,8 +461,8 @@
                     long replyLatency = randomLatencyMicros();
                     // The acceptor's first message arrives after its acceptance of the connection.
                     connection.reverse.transmittedMicros = world.micros() + replyLatency;
-                    remote.arrive(acceptor.life, accepted::start);
-                    world.later(replyLatency, () -> machine.arrive(life, () -> connected(attempt, initiated)));
+                    remote.deliver(acceptor.life, accepted::start);
+                    world.schedule(replyLatency, () -> machine.deliver(life, () -> connected(attempt, initiated)));
                 });
             }
 
