--- a/src/main/java/tinworks/channel/TcpConnectionManager.java
+++ b/src/main/java/tinworks/channel/TcpConnectionManager.java
@@ -136,7 +136,7 @@
             }
             InetSocketAddress target;
             try {
-                target = Address.read(address);
+                target = Address.parse(address);
             } catch (IllegalArgumentException e) {
                 listener.log("cannot connect: " + e.getMessage());
                 return;
--- a/src/main/java/tinworks/channel/TcpPeerConnection.java
+++ b/src/main/java/tinworks/channel/TcpPeerConnection.java
@@ -188,7 +188,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        Fatal.pass(cause);
+        Fatal.reportIfFatal(cause);
         listener.log("connection to " + peerName() + " failed: " + cause);
         ctx.close();
     }
