--- a/src/main/java/tinworks/net/AttemptList.java
+++ b/src/main/java/tinworks/net/AttemptList.java
@@ -23,7 +23,7 @@
         return attempts.get(number);
     }
 
-    int numberOf(HostPool.Attempt attempt) {
+    int indexOf(HostPool.Attempt attempt) {
         return attempts.indexOf(attempt);
     }
 
@@ -33,7 +33,7 @@
     }
 
     /** Whether each has ended, and proves that the request didn't run. */
-    boolean proveItNeverRan() {
+    boolean allProvenNotExecuted() {
         for (HostPool.Attempt attempt : attempts) {
             if (attempt.outcome() == null || !attempt.outcome().provesNotExecuted()) {
                 return false;
@@ -47,7 +47,7 @@
         List<AttemptSummary> summaries = new ArrayList<>(attempts.size());
         for (int i = 0; i < attempts.size(); i++) {
             HostPool.Attempt attempt = attempts.get(i);
-            summaries.add(new AttemptSummary(hosts.get(i), attempt.outcome(), attempt.nanos(now)));
+            summaries.add(new AttemptSummary(hosts.get(i), attempt.outcome(), attempt.durationNanos(now)));
         }
         return summaries;
     }
--- a/src/main/java/tinworks/net/Discovery.java
+++ b/src/main/java/tinworks/net/Discovery.java
@@ -31,30 +31,30 @@
 import tinworks.json.Json;
 
 /**
- * The watch on the list of hosts. Each {@link #watch} ends as one {@link Listener#failed}, sooner or later; when to
+ * The watch on the list of hosts. Each {@link #watch} ends as one {@link Listener#onFailure}, sooner or later; when to
  * watch again is the module's decision.
  */
 final class Discovery {
     /** Told on the event loop, never from within {@link #watch}. */
     interface Listener {
-        void listed(EndpointList list);
+        void onList(EndpointList list);
 
-        void failed();
+        void onFailure();
     }
 
     /**
      * An empty line comes every two seconds. Guards against a watch whose far side vanished: nothing ends such a
      * connection, and what it would have told counts as told after six seconds.
      */
-    static final long SILENCE_MILLIS = 5_000;
+    static final long READ_TIMEOUT_MILLIS = 5_000;
 
-    private static final int DIAL_MILLIS = 2_000;
-    private static final int LONGEST_LINE = 1 << 20;
+    private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
+    private static final int MAX_LINE_BYTES = 1 << 20;
 
     private final EventLoop loop;
     private final Transport transport;
     private final Listener listener;
-    private final long silenceMillis;
+    private final long readTimeoutMillis;
     private SocketAddress address;
     private long index;
     private Channel watch;
@@ -71,7 +71,7 @@
         this.transport = transport;
         this.address = address;
         this.index = index;
-        this.silenceMillis = silenceMillis;
+        this.readTimeoutMillis = silenceMillis;
         this.listener = listener;
     }
 
@@ -79,7 +79,7 @@
      * Goes over to another address at once, without a word to the listener: the list that it has still holds, and what
      * the new address tells comes on top. Its version may be lower, as that of any answer.
      */
-    void moveTo(SocketAddress next) {
+    void switchTo(SocketAddress next) {
         address = next;
         close();
         watch();
@@ -93,24 +93,24 @@
         ChannelFuture dial = new Bootstrap()
                 .group(loop)
                 .channel(transport.client())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
                                 .addLast(
-                                        new ReadTimeoutHandler(silenceMillis, TimeUnit.MILLISECONDS),
+                                        new ReadTimeoutHandler(readTimeoutMillis, TimeUnit.MILLISECONDS),
                                         new HttpClientCodec(),
-                                        new BodyBytes(),
-                                        new LineBasedFrameDecoder(LONGEST_LINE),
-                                        new Lines());
+                                        new BodyExtractor(),
+                                        new LineBasedFrameDecoder(MAX_LINE_BYTES),
+                                        new LineHandler());
                     }
                 })
                 .connect(address);
         watch = dial.channel();
         Channel dialled = watch;
         // The close future, unlike the end of a handler, is also told of a dial that failed.
-        dialled.closeFuture().addListener(closed -> loop.execute(() -> ended(dialled)));
+        dialled.closeFuture().addListener(closed -> loop.execute(() -> onClosed(dialled)));
     }
 
     /** Ends the watch without a word to the listener. */
@@ -122,15 +122,15 @@
         }
     }
 
-    private void ended(Channel channel) {
+    private void onClosed(Channel channel) {
         if (channel == watch) {
             watch = null;
-            listener.failed();
+            listener.onFailure();
         }
     }
 
     /** Lets through the bytes of a 200 answer, and ends the connection on any other and after the last. */
-    private static final class BodyBytes extends SimpleChannelInboundHandler<HttpObject> {
+    private static final class BodyExtractor extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
             if (part.decoderResult().isFailure()
@@ -148,7 +148,7 @@
     }
 
     /** Asks, and reads the answer line by line. */
-    private final class Lines extends ChannelInboundHandlerAdapter {
+    private final class LineHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             DefaultFullHttpRequest ask = new DefaultFullHttpRequest(
@@ -168,7 +168,7 @@
                 if (!line.isBlank() && ctx.channel() == watch) {
                     EndpointList list = EndpointList.read(Json.read(line));
                     index = list.index();
-                    listener.listed(list);
+                    listener.onList(list);
                 }
             } catch (IOException | IllegalArgumentException e) {
                 // A change that can't be read leaves a gap: the next watch brings it again.
--- a/src/main/java/tinworks/net/EndpointList.java
+++ b/src/main/java/tinworks/net/EndpointList.java
@@ -13,7 +13,7 @@
 
     /** A host: what the module is told of it, and where this gateway reaches it. */
     record Endpoint(ServerInfo info, SocketAddress address) {
-        boolean gone() {
+        boolean isRemoved() {
             return info.readiness() == Readiness.REMOVED;
         }
     }
@@ -39,14 +39,14 @@
     }
 
     /** The same for the pool of connections. */
-    List<HostPool.HostEntry> places() {
+    List<HostPool.HostEntry> hostEntries() {
         return endpoints.stream()
                 .map(e -> new HostPool.HostEntry(
                         e.info().id(),
                         e.address(),
                         e.info().startedAtNanos(),
                         e.info().readiness() == Readiness.READY,
-                        e.gone()))
+                        e.isRemoved()))
                 .toList();
     }
 
@@ -59,7 +59,7 @@
                 entry.field("group").number(0).intValue(),
                 readiness,
                 entry.field("weight").number(1).doubleValue(),
-                MonotonicClock.ofUnixMillis(entry.field("since_ms").number(0).longValue()));
+                MonotonicClock.fromUnixMillis(entry.field("since_ms").number(0).longValue()));
         // One that is removed may come without an address: nothing goes there any more.
         SocketAddress address = readiness == Readiness.REMOVED
                 ? null
--- a/src/main/java/tinworks/net/Forwarding.java
+++ b/src/main/java/tinworks/net/Forwarding.java
@@ -54,25 +54,25 @@
     }
 
     /** Scheduled work comes late on a busy machine; a request without an answer for longer than this was forgotten. */
-    static final long FORGOTTEN_NANOS = TimeUnit.SECONDS.toNanos(1);
+    static final long OVERDUE_GRACE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final HostPool hosts;
-    private final ForwardingProtocol style;
-    private final Callbacks owner;
-    private final LoadBalancer choice;
-    private final Map<String, OpenRequest> open = new HashMap<>();
-    private final ArrayDeque<Stamped> events = new ArrayDeque<>();
-    private final ForwardingCounters tally = new ForwardingCounters();
-    private long last = Long.MIN_VALUE;
-    private boolean deciding;
+    private final ForwardingProtocol protocol;
+    private final Callbacks callbacks;
+    private final LoadBalancer loadBalancer;
+    private final Map<String, OpenRequest> openRequests = new HashMap<>();
+    private final ArrayDeque<TimestampedEvent> events = new ArrayDeque<>();
+    private final ForwardingCounters counters = new ForwardingCounters();
+    private long lastEventNanos = Long.MIN_VALUE;
+    private boolean processingEvents;
     /** The request that the module last acted on in the decision under way, or null. */
-    private String acting;
+    private String currentRequestId;
 
     private boolean closed;
 
-    private record Stamped(long at, Event event) {}
+    private record TimestampedEvent(long timestampNanos, Event event) {}
 
     /** A module with these settings; the hosts are the caller's to keep in step with the lists that it tells. */
     public Forwarding(
@@ -86,28 +86,28 @@
         this.loop = loop;
         this.clock = clock;
         this.hosts = hosts;
-        this.style = style;
-        this.owner = owner;
-        choice = new LoadBalancer(settings, seed, this);
+        this.protocol = style;
+        this.callbacks = owner;
+        loadBalancer = new LoadBalancer(settings, seed, this);
     }
 
     /** Takes on a request, which from here on gets one answer; the limit is only checked, not decided by. */
     public void begin(long at, RequestArrived arrived, AttemptLimit limit, FullHttpRequest request, Reply reply)
             throws BadRequest {
-        if (open.containsKey(arrived.id())) {
+        if (openRequests.containsKey(arrived.id())) {
             throw new BadRequest(HttpResponseStatus.CONFLICT, "a request with this id is open");
         }
         OpenRequest r = new OpenRequest(at, arrived, limit, request, reply);
         reply.retainRequest(request);
-        open.put(r.id, r);
-        tally.began();
-        reply.onClientDisconnect(r::clientLeft);
+        openRequests.put(r.id, r);
+        counters.requestAccepted();
+        reply.onClientDisconnect(r::clientDisconnected);
         dispatch(at, arrived);
     }
 
     /** What became of requests so far; it goes on counting. */
     public ForwardingCounters counters() {
-        return tally;
+        return counters;
     }
 
     /** From now on no timer goes off. */
@@ -121,13 +121,13 @@
      * before the work that is due.
      */
     public void failOverdue() {
-        long before = clock.nanos() - FORGOTTEN_NANOS;
-        for (OpenRequest r : List.copyOf(open.values())) {
-            if (r.reply.isDone() || r.expiresAt > before) {
+        long before = clock.nanos() - OVERDUE_GRACE_NANOS;
+        for (OpenRequest r : List.copyOf(openRequests.values())) {
+            if (r.reply.isDone() || r.deadlineNanos > before) {
                 continue;
             }
-            if (!r.overdue) {
-                r.overdue = true;
+            if (!r.seenOverdue) {
+                r.seenOverdue = true;
                 continue;
             }
             Invariant.ANSWERED_IN_TIME.violated(r.id + " of " + r.requestClass + " has no answer");
@@ -138,7 +138,7 @@
 
     /** How many requests are open. */
     public int open() {
-        return open.size();
+        return openRequests.size();
     }
 
     /** Tells the module of something now. */
@@ -148,39 +148,39 @@
 
     /** The one way into the module. Its times never go back, even where events are stamped earlier. */
     private void dispatch(long at, Event event) {
-        events.add(new Stamped(at, event));
-        if (deciding) {
+        events.add(new TimestampedEvent(at, event));
+        if (processingEvents) {
             return;
         }
-        deciding = true;
+        processingEvents = true;
         try {
-            for (Stamped next = events.poll(); next != null; next = events.poll()) {
-                last = Math.max(last, next.at);
-                decide(next.event);
+            for (TimestampedEvent next = events.poll(); next != null; next = events.poll()) {
+                lastEventNanos = Math.max(lastEventNanos, next.timestampNanos);
+                process(next.event);
             }
         } finally {
-            deciding = false;
+            processingEvents = false;
         }
     }
 
     /** Guards against one request's fault ending the process, or leaving its client to wait. */
-    private void decide(Event event) {
-        acting = null;
+    private void process(Event event) {
+        currentRequestId = null;
         try {
-            choice.onEvent(last, event);
+            loadBalancer.onEvent(lastEventNanos, event);
         } catch (RuntimeException e) {
             Invariant.NO_FAULT.violatedBy(
                     e, "the decision on " + event.getClass().getSimpleName());
-            String faulty = acting;
-            failFaulty(event instanceof RequestArrived arrived ? arrived.id() : null);
-            failFaulty(event instanceof AttemptEnded ended ? ended.id() : null);
-            failFaulty(faulty);
+            String faulty = currentRequestId;
+            failAfterFault(event instanceof RequestArrived arrived ? arrived.id() : null);
+            failAfterFault(event instanceof AttemptEnded ended ? ended.id() : null);
+            failAfterFault(faulty);
         }
     }
 
     /** Fails a request whose decision broke off, and has the module let go of it. */
-    private void failFaulty(String id) {
-        OpenRequest r = open.get(id);
+    private void failAfterFault(String id) {
+        OpenRequest r = openRequests.get(id);
         if (r != null && !r.reply.isDone()) {
             fail(id, Reason.FAULT);
             dispatch(new ClientDisconnected(id));
@@ -189,8 +189,8 @@
 
     @Override
     public void send(String request, String server, long timeoutNanos) {
-        acting = request;
-        open.get(request).send(server, timeoutNanos);
+        currentRequestId = request;
+        openRequests.get(request).send(server, timeoutNanos);
     }
 
     @Override
@@ -200,14 +200,14 @@
 
     @Override
     public void refuse(String request, long pauseNanos, Reason reason) {
-        acting = request;
-        OpenRequest r = open.get(request);
+        currentRequestId = request;
+        OpenRequest r = openRequests.get(request);
         if (r != null) {
-            tally.refused(reason);
-            r.checkPromise();
-            r.ends(Ending.REFUSED, reason);
-            style.refuse(r.reply, pauseNanos);
-            r.forgetIfOver();
+            counters.requestRefused(reason);
+            r.checkRefusal();
+            r.reportEnd(Ending.REFUSED, reason);
+            protocol.refuse(r.reply, pauseNanos);
+            r.removeIfFinished();
         }
     }
 
@@ -218,23 +218,23 @@
 
     @Override
     public void fail(String request, Reason reason) {
-        acting = request;
-        OpenRequest r = open.get(request);
+        currentRequestId = request;
+        OpenRequest r = openRequests.get(request);
         if (r != null) {
-            tally.failed(reason);
-            r.ends(Ending.FAILED, reason);
-            if (r.lastAnswer != null) {
-                r.holdUntilWritten(r.lastAnswer);
+            counters.requestFailed(reason);
+            r.reportEnd(Ending.FAILED, reason);
+            if (r.lastResponse != null) {
+                r.holdReservationUntilWritten(r.lastResponse);
             }
-            style.fail(r.reply, r.lastAnswer);
-            r.forgetIfOver();
+            protocol.fail(r.reply, r.lastResponse);
+            r.removeIfFinished();
         }
     }
 
     @Override
     public void cancel(String request, int attempt) {
-        acting = request;
-        OpenRequest r = open.get(request);
+        currentRequestId = request;
+        OpenRequest r = openRequests.get(request);
         if (r != null) {
             r.attempts.get(attempt).cancel();
         }
@@ -254,43 +254,43 @@
 
     @Override
     public void subscribe() {
-        owner.subscribe();
+        callbacks.subscribe();
     }
 
     @Override
     public void sendToPeers(byte[] body) {
-        owner.broadcast(body);
+        callbacks.broadcast(body);
     }
 
     @Override
     public void log(String line) {
-        owner.log(line);
+        callbacks.log(line);
     }
 
     /** A request that is owed its answer, or whose attempts have not all ended. */
     private final class OpenRequest implements HostPool.AttemptListener {
         private final String id;
         private final String requestClass;
-        private final long beganAt;
-        private final long expiresAt;
+        private final long startedAtNanos;
+        private final long deadlineNanos;
         private final AttemptLimit limit;
-        private final long heldUpNanos;
+        private final long queueingDelayNanos;
         private final FullHttpRequest request;
         private final Reply reply;
         private final AttemptList attempts = new AttemptList();
-        private int outstanding;
+        private int attemptsInFlight;
         /** It was found without an answer after its time once. */
-        private boolean overdue;
+        private boolean seenOverdue;
         /** A whole answer that did not serve, kept in case that none does. */
-        private Response lastAnswer;
+        private Response lastResponse;
 
         OpenRequest(long at, RequestArrived arrived, AttemptLimit limit, FullHttpRequest request, Reply reply) {
-            beganAt = at;
-            expiresAt = at + arrived.expiresInNanos();
+            startedAtNanos = at;
+            deadlineNanos = at + arrived.expiresInNanos();
             this.limit = limit;
             id = arrived.id();
             requestClass = arrived.requestClass();
-            heldUpNanos = arrived.queueingDelayNanos();
+            queueingDelayNanos = arrived.queueingDelayNanos();
             this.request = request;
             this.reply = reply;
         }
@@ -301,48 +301,48 @@
          */
         void send(String server, long timeoutNanos) {
             checkSend(server, timeoutNanos);
-            outstanding++;
-            FullHttpRequest copy = style.forHost(request, server, timeoutNanos - heldUpNanos);
-            long restedNanos = style.maxIdleNanos(requestClass);
+            attemptsInFlight++;
+            FullHttpRequest copy = protocol.forHost(request, server, timeoutNanos - queueingDelayNanos);
+            long restedNanos = protocol.maxIdleNanos(requestClass);
             attempts.add(server, hosts.send(server, id, copy, timeoutNanos, restedNanos, this));
         }
 
         private void checkSend(String server, long timeoutNanos) {
             Invariant.ONE_ANSWER.check(!reply.isDone(), () -> id + " is sent to " + server + " after its end");
             Invariant.RUNS_ONCE.check(
-                    !limit.atMostOnce() || attempts.proveItNeverRan(),
-                    () -> id + " is sent to " + server + " behind " + attemptsSoFar());
+                    !limit.atMostOnce() || attempts.allProvenNotExecuted(),
+                    () -> id + " is sent to " + server + " behind " + attemptSummaries());
             Invariant.TRIES_KEPT.check(
                     attempts.size() < limit.maxAttempts(),
                     () -> id + " of " + limit.maxAttempts() + " tries is sent to " + server + " behind "
-                            + attemptsSoFar());
-            Invariant.NOT_TO_DRAINED.check(owner.isReady(server), () -> id + " is sent to " + server);
+                            + attemptSummaries());
+            Invariant.NOT_TO_DRAINED.check(callbacks.isReady(server), () -> id + " is sent to " + server);
             Invariant.DEADLINE_KEPT.check(
-                    timeoutNanos <= expiresAt - last,
-                    () -> id + " is sent with " + timeoutNanos + " ns of " + (expiresAt - last));
+                    timeoutNanos <= deadlineNanos - lastEventNanos,
+                    () -> id + " is sent with " + timeoutNanos + " ns of " + (deadlineNanos - lastEventNanos));
         }
 
         /** Guards against a promise to a client that what may not run twice has not run, where it may have. */
-        void checkPromise() {
+        void checkRefusal() {
             Invariant.PROMISE_KEPT.check(
-                    !limit.atMostOnce() || attempts.proveItNeverRan(),
-                    () -> id + " is refused behind " + attemptsSoFar());
+                    !limit.atMostOnce() || attempts.allProvenNotExecuted(),
+                    () -> id + " is refused behind " + attemptSummaries());
         }
 
         @Override
         public void ended(HostPool.Attempt attempt, Outcome outcome, long at, LoadReport load, Response answer) {
-            int number = attempts.numberOf(attempt);
-            outstanding--;
-            tally.attempted(outcome, attempt.elapsed(at));
+            int number = attempts.indexOf(attempt);
+            attemptsInFlight--;
+            counters.attemptEnded(outcome, attempt.elapsedNanos(at));
             if (outcome == Outcome.SERVED) {
                 Invariant.OWN_ANSWER.check(
-                        style.provesSuccess(id, answer), () -> id + " is answered by " + answer.head());
-                holdUntilWritten(answer);
-                style.relay(reply, answer);
+                        protocol.provesSuccess(id, answer), () -> id + " is answered by " + answer.head());
+                holdReservationUntilWritten(answer);
+                protocol.relay(reply, answer);
             } else if (outcome == Outcome.ERROR) {
-                keep(answer);
+                retainLastResponse(answer);
             }
-            forgetIfOver();
+            removeIfFinished();
             dispatch(
                     at,
                     new AttemptEnded(
@@ -350,50 +350,50 @@
                             number,
                             attempts.host(number),
                             outcome,
-                            attempt.elapsed(at),
+                            attempt.elapsedNanos(at),
                             reply.isDone(),
                             load,
                             clock.queueingDelayNanos()));
         }
 
-        private void keep(Response answer) {
-            if (lastAnswer != null) {
-                lastAnswer.body().release();
-                lastAnswer.reserved().release();
+        private void retainLastResponse(Response answer) {
+            if (lastResponse != null) {
+                lastResponse.body().release();
+                lastResponse.reserved().release();
             }
             if (answer != null) {
                 answer.body().retain();
                 answer.reserved().retain();
             }
-            lastAnswer = answer;
+            lastResponse = answer;
         }
 
         /** The room of an answer's body is its own until the client has it, or can't have it any more. */
-        private void holdUntilWritten(Response answer) {
+        private void holdReservationUntilWritten(Response answer) {
             reply.onWritten(answer.reserved().retain()::release);
         }
 
         /** Tells the owner of its end without success. */
-        void ends(Ending ending, Reason reason) {
-            long held = clock.nanos() - beganAt + heldUpNanos;
-            owner.requestEnded(new UnservedRequest(id, requestClass, ending, reason, held, attemptsSoFar()));
+        void reportEnd(Ending ending, Reason reason) {
+            long held = clock.nanos() - startedAtNanos + queueingDelayNanos;
+            callbacks.requestEnded(new UnservedRequest(id, requestClass, ending, reason, held, attemptSummaries()));
         }
 
-        private List<AttemptSummary> attemptsSoFar() {
+        private List<AttemptSummary> attemptSummaries() {
             return attempts.summaries(clock.nanos());
         }
 
-        void clientLeft() {
-            tally.clientLeft();
-            ends(Ending.CLIENT_LEFT, null);
-            forgetIfOver();
+        void clientDisconnected() {
+            counters.requestAbandoned();
+            reportEnd(Ending.CLIENT_LEFT, null);
+            removeIfFinished();
             dispatch(new ClientDisconnected(id));
         }
 
-        private void forgetIfOver() {
-            if (reply.isDone() && outstanding == 0 && open.remove(id, this)) {
+        private void removeIfFinished() {
+            if (reply.isDone() && attemptsInFlight == 0 && openRequests.remove(id, this)) {
                 reply.releaseRequest();
-                keep(null);
+                retainLastResponse(null);
             }
         }
     }
--- a/src/main/java/tinworks/net/ForwardingCounters.java
+++ b/src/main/java/tinworks/net/ForwardingCounters.java
@@ -10,36 +10,36 @@
 /** What became of one service's requests since the process started, and of the attempts made for them. One thread's. */
 public final class ForwardingCounters {
     private final long[] attempts = new long[Outcome.values().length];
-    private long requests;
+    private long accepted;
     private final long[] refused = new long[Reason.values().length];
     private final long[] failed = new long[Reason.values().length];
-    private long clientsLeft;
+    private long abandoned;
     private long attemptNanos;
 
-    void began() {
-        requests++;
+    void requestAccepted() {
+        accepted++;
     }
 
-    void refused(Reason reason) {
+    void requestRefused(Reason reason) {
         refused[reason.ordinal()]++;
     }
 
-    void failed(Reason reason) {
+    void requestFailed(Reason reason) {
         failed[reason.ordinal()]++;
     }
 
-    void clientLeft() {
-        clientsLeft++;
+    void requestAbandoned() {
+        abandoned++;
     }
 
-    void attempted(Outcome outcome, long nanos) {
+    void attemptEnded(Outcome outcome, long nanos) {
         attempts[outcome.ordinal()]++;
         attemptNanos += nanos;
     }
 
     /** Requests taken on. */
     public long requestsAccepted() {
-        return requests;
+        return accepted;
     }
 
     /** Requests given up without having run, by why; reasons without any are left out. */
@@ -54,7 +54,7 @@
 
     /** Requests whose clients left before their answer. */
     public long requestsAbandoned() {
-        return clientsLeft;
+        return abandoned;
     }
 
     /** Attempts by how they ended, without the ways in which none did. */
--- a/src/main/java/tinworks/net/Gateway.java
+++ b/src/main/java/tinworks/net/Gateway.java
@@ -26,21 +26,21 @@
  */
 final class Gateway implements Forwarding.Callbacks {
     /** The platform kills no sooner than the longest deadline and so much more after it asked for an end. */
-    private static final long KILLED_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+    private static final long KILL_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
     /** Of that time, what is left for a signal that comes late and for this process's own stalls. */
-    private static final long END_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+    private static final long SHUTDOWN_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-    private static final long LONGEST_TAKING_NANOS = TimeUnit.SECONDS.toNanos(1);
-    private static final long END_CHECK_MILLIS = 10;
+    private static final long MAX_ACCEPTING_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long SHUTDOWN_POLL_MILLIS = 10;
     /** Descriptors for the listener, the watch, the selector, the jar files and the standard streams. */
-    private static final int OTHER_DESCRIPTORS = 64;
+    private static final int RESERVED_DESCRIPTORS = 64;
 
     private final EventLoop loop;
     private final Consumer<String> log;
     private final MonotonicClock clock;
     private final GatewayConfig config;
     private final Map<String, RequestClass> classes = new HashMap<>();
-    private final CompletableFuture<Void> ended = new CompletableFuture<>();
+    private final CompletableFuture<Void> terminated = new CompletableFuture<>();
     private final Forwarding forwarding;
     private final HostPool hosts;
     private final Discovery discovery;
@@ -48,8 +48,8 @@
     /** Null where the configuration names no other gateways. */
     private final Peers peers;
 
-    private boolean askedForList;
-    private boolean ending;
+    private boolean discoveryResponded;
+    private boolean shuttingDown;
 
     private Gateway(GatewayLoop gatewayLoop, GatewayConfig config, Transport transport, Consumer<String> log) {
         loop = gatewayLoop.loop();
@@ -57,21 +57,26 @@
         this.log = log;
         this.config = config;
         config.settings().classes().forEach(c -> classes.put(c.name(), c));
-        int connections = Math.max(2, config.sockets() - OTHER_DESCRIPTORS);
+        int connections = Math.max(2, config.maxDescriptors() - RESERVED_DESCRIPTORS);
         hosts = new HostPool(
                 loop,
                 transport,
                 clock,
                 new HostPool.Bounds(
-                        config.dialTimeoutNanos(),
-                        config.idleNanos(),
+                        config.connectTimeoutNanos(),
+                        config.hostIdleTimeoutNanos(),
                         connections / 2,
                         ResponseReader.DEFAULT_MAX_BODY_BYTES),
                 BalancerProtocol.INSTANCE);
         discovery = new Discovery(
-                loop, transport, config.discovery(), config.known().index(), Discovery.SILENCE_MILLIS, new Watcher());
-        clients =
-                new ClientServer(loop, transport, clock, ClientServer.Bounds.defaults(connections / 2), new Requests());
+                loop,
+                transport,
+                config.discovery(),
+                config.knownHosts().index(),
+                Discovery.READ_TIMEOUT_MILLIS,
+                new DiscoveryListener());
+        clients = new ClientServer(
+                loop, transport, clock, ClientServer.Bounds.defaults(connections / 2), new RequestListener());
         forwarding =
                 new Forwarding(loop, clock, config.settings(), config.seed(), hosts, BalancerProtocol.INSTANCE, this);
         peers = config.peers() == null
@@ -80,7 +85,7 @@
                         loop,
                         config.peers(),
                         config.settings().gatewayIndex(),
-                        (gateway, body) -> tell(new PeerMessageReceived(gateway, body)),
+                        (gateway, body) -> dispatch(new PeerMessageReceived(gateway, body)),
                         log);
     }
 
@@ -99,9 +104,10 @@
         CompletableFuture<Gateway> opened = new CompletableFuture<>();
         loop.loop().execute(() -> {
             Gateway gateway = new Gateway(loop, config, transport, log);
-            gateway.hosts.update(config.known().places(), config.known().snapshot());
-            gateway.tell(
-                    new ServerListReceived(ServerListKind.CACHED, config.known().servers()));
+            gateway.hosts.update(
+                    config.knownHosts().hostEntries(), config.knownHosts().snapshot());
+            gateway.dispatch(new ServerListReceived(
+                    ServerListKind.CACHED, config.knownHosts().servers()));
             opened.complete(gateway);
         });
         return opened;
@@ -132,53 +138,53 @@
      * others are full, or die. It could do harm where a successor has to wait for this process's end, so the time is
      * bounded. May be called from any thread.
      */
-    CompletableFuture<Void> end() {
+    CompletableFuture<Void> shutDown() {
         loop.execute(() -> {
-            if (!ending) {
-                ending = true;
-                long within = longest(RequestClass::deadlineNanos) + KILLED_AFTER_NANOS - END_MARGIN_NANOS;
-                tell(new ShutdownStarted(within));
+            if (!shuttingDown) {
+                shuttingDown = true;
+                long within = max(RequestClass::deadlineNanos) + KILL_GRACE_NANOS - SHUTDOWN_MARGIN_NANOS;
+                dispatch(new ShutdownStarted(within));
                 loop.schedule(
                         this::stopAccepting,
-                        Math.min(LONGEST_TAKING_NANOS, within - longest(RequestClass::targetNanos)),
+                        Math.min(MAX_ACCEPTING_NANOS, within - max(RequestClass::targetNanos)),
                         TimeUnit.NANOSECONDS);
             }
         });
-        return ended;
+        return terminated;
     }
 
-    private long longest(ToLongFunction<RequestClass> time) {
+    private long max(ToLongFunction<RequestClass> time) {
         return classes.values().stream().mapToLong(time).max().orElseThrow();
     }
 
     /** Follows discovery at this address from now on; the list and the open requests stay. From any thread. */
-    void moveDiscovery(SocketAddress address) {
+    void setDiscoveryAddress(SocketAddress address) {
         loop.execute(() -> {
             // Guards against a watch that nothing closes any more.
-            if (!ended.isDone()) {
-                discovery.moveTo(address);
+            if (!terminated.isDone()) {
+                discovery.switchTo(address);
             }
         });
     }
 
     private void stopAccepting() {
         clients.stopAccepting();
-        endWhenIdle();
+        closeWhenIdle();
     }
 
-    private void endWhenIdle() {
+    private void closeWhenIdle() {
         if (clients.hasConnections()) {
-            loop.schedule(this::endWhenIdle, END_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::closeWhenIdle, SHUTDOWN_POLL_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             discovery.close();
             if (peers != null) {
                 peers.close();
             }
-            ended.complete(null);
+            terminated.complete(null);
         }
     }
 
-    private void tell(Event event) {
+    private void dispatch(Event event) {
         forwarding.dispatch(event);
     }
 
@@ -190,7 +196,7 @@
     @Override
     public void broadcast(byte[] body) {
         if (peers != null) {
-            peers.tellAll(body);
+            peers.broadcast(body);
         }
     }
 
@@ -199,30 +205,30 @@
         log.accept(line);
     }
 
-    private final class Watcher implements Discovery.Listener {
+    private final class DiscoveryListener implements Discovery.Listener {
         @Override
-        public void listed(EndpointList list) {
-            askedForList = true;
-            hosts.update(list.places(), list.snapshot());
-            tell(new ServerListReceived(
+        public void onList(EndpointList list) {
+            discoveryResponded = true;
+            hosts.update(list.hostEntries(), list.snapshot());
+            dispatch(new ServerListReceived(
                     list.snapshot() ? ServerListKind.FULL : ServerListKind.CHANGES, list.servers()));
         }
 
         @Override
-        public void failed() {
-            askedForList = true;
-            tell(new ServerListReceived(ServerListKind.FAILED, List.of()));
+        public void onFailure() {
+            discoveryResponded = true;
+            dispatch(new ServerListReceived(ServerListKind.FAILED, List.of()));
         }
     }
 
-    private final class Requests implements ClientServer.Listener {
+    private final class RequestListener implements ClientServer.Listener {
         /**
          * Guards against a release that keeps its gateways out for as long as discovery takes to answer all of them in
          * turn: with the list that it last had, a gateway serves meanwhile. One without a list waits.
          */
         @Override
         public boolean ready() {
-            return (askedForList || !config.known().endpoints().isEmpty()) && !ending;
+            return (discoveryResponded || !config.knownHosts().endpoints().isEmpty()) && !shuttingDown;
         }
 
         @Override
--- a/src/main/java/tinworks/net/GatewayConfig.java
+++ b/src/main/java/tinworks/net/GatewayConfig.java
@@ -15,41 +15,41 @@
 /**
  * What the platform tells a gateway at its start: the environment, and the JSON file that it names.
  *
- * @param sockets the descriptors that the process may hold
- * @param dialTimeoutNanos how long a connection to a host may take to come up
- * @param idleNanos when at the latest a host closes a connection that stands idle
+ * @param maxDescriptors the descriptors that the process may hold
+ * @param connectTimeoutNanos how long a connection to a host may take to come up
+ * @param hostIdleTimeoutNanos when at the latest a host closes a connection that stands idle
  * @param peers the other gateways' addresses, or null where there are none
  */
 record GatewayConfig(
         SocketAddress listen,
         SocketAddress discovery,
         long seed,
-        int sockets,
-        long dialTimeoutNanos,
-        long idleNanos,
+        int maxDescriptors,
+        long connectTimeoutNanos,
+        long hostIdleTimeoutNanos,
         Settings settings,
-        EndpointList known,
+        EndpointList knownHosts,
         Peers.Addresses peers) {
-    private static final int USUAL_SOCKETS = 1024;
+    private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
 
     /** Reads both; whatever is wrong ends as an {@link IllegalArgumentException} with one plain line. */
     static GatewayConfig read(Map<String, String> environment) {
         return read(
-                file(environment),
+                readFile(environment),
                 Address.resolve(variable(environment, "LB_LISTEN")),
                 Address.resolve(variable(environment, "LB_DISCOVERY")));
     }
 
     /** What may change while a gateway runs: discovery's address, which the file has and not the environment. */
     static SocketAddress readDiscovery(Map<String, String> environment) {
-        Json address = file(environment).field("discovery");
+        Json address = readFile(environment).field("discovery");
         if (!address.isText()) {
             throw new IllegalArgumentException("the configuration lacks discovery");
         }
         return Address.resolve(address.text());
     }
 
-    private static Json file(Map<String, String> environment) {
+    private static Json readFile(Map<String, String> environment) {
         String file = variable(environment, "LB_CONFIG");
         try {
             return Json.read(Files.readString(Path.of(file)));
@@ -69,7 +69,10 @@
                 listen,
                 discovery,
                 seed(json.field("seed").text()),
-                json.field("limits").field("sockets").number(USUAL_SOCKETS).intValue(),
+                json.field("limits")
+                        .field("sockets")
+                        .number(DEFAULT_MAX_DESCRIPTORS)
+                        .intValue(),
                 settings.number("allowed.dial_timeout_ns"),
                 settings.number("allowed.conn_idle_ns"),
                 settings.read(),
--- a/src/main/java/tinworks/net/GatewayProcess.java
+++ b/src/main/java/tinworks/net/GatewayProcess.java
@@ -15,9 +15,9 @@
 /** The process round a {@link Gateway}: its thread, its start, its signals and its end. */
 public final class GatewayProcess {
     /** The platform kills no sooner than 3.7 s after it asked for an end, where a deadline is 3 s. */
-    private static final long LONGEST_END_MILLIS = 3_600;
+    private static final long SHUTDOWN_TIMEOUT_MILLIS = 3_600;
 
-    private static final long LOOP_END_MILLIS = 100;
+    private static final long LOOP_SHUTDOWN_TIMEOUT_MILLIS = 100;
 
     /** Guards against a reader of the output who has stopped: it would hold up the event loop. */
     private static final LogWriter OUTPUT =
@@ -39,15 +39,15 @@
         CompletableFuture<Gateway> started = new CompletableFuture<>();
         onHangUp(() -> started.thenAccept(gateway -> reload(gateway, environment)));
         GatewayConfig config = GatewayConfig.read(environment);
-        GatewayLoop loop = GatewayLoop.watched();
+        GatewayLoop loop = GatewayLoop.dedicated();
         Gateway gateway =
                 Gateway.open(loop, config, Transport.TCP, GatewayProcess::log).join();
         started.complete(gateway);
         // While discovery thinks about its first answer.
-        WarmUp.run(config, WarmUp.LONGEST_MILLIS);
+        WarmUp.run(config, WarmUp.MAX_DURATION_MILLIS);
         try {
             gateway.listen().join();
-            Runtime.getRuntime().addShutdownHook(new Thread(() -> end(gateway, loop.loop())));
+            Runtime.getRuntime().addShutdownHook(new Thread(() -> shutDown(gateway, loop.loop())));
         } catch (CompletionException e) {
             loop.loop().shutdownGracefully();
             throw new IllegalArgumentException(
@@ -66,17 +66,18 @@
     /** Reads the configuration anew, off the event loop; with one that can't be read all stays as it is. */
     static void reload(Gateway gateway, Map<String, String> environment) {
         try {
-            gateway.moveDiscovery(GatewayConfig.readDiscovery(environment));
+            gateway.setDiscoveryAddress(GatewayConfig.readDiscovery(environment));
         } catch (IllegalArgumentException e) {
             System.err.println("tinworks: kept the old configuration: " + e.getMessage());
         }
     }
 
-    private static void end(Gateway gateway, EventLoop loop) {
+    private static void shutDown(Gateway gateway, EventLoop loop) {
         try {
-            gateway.end().get(LONGEST_END_MILLIS, TimeUnit.MILLISECONDS);
+            gateway.shutDown().get(SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             // The Java runtime waits 0.3 s at its exit for a thread that stands in a system call.
-            loop.shutdownGracefully(0, LOOP_END_MILLIS, TimeUnit.MILLISECONDS).await(LOOP_END_MILLIS);
+            loop.shutdownGracefully(0, LOOP_SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                    .await(LOOP_SHUTDOWN_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
--- a/src/main/java/tinworks/net/HostPool.java
+++ b/src/main/java/tinworks/net/HostPool.java
@@ -69,28 +69,29 @@
     /**
      * What connections may cost.
      *
-     * @param idleNanos when at the latest a host closes a connection that stands idle
-     * @param connections the most to all hosts
-     * @param answerBytes the longest body of an answer
+     * @param hostIdleTimeoutNanos when at the latest a host closes a connection that stands idle
+     * @param maxConnections the most to all hosts
+     * @param maxResponseBytes the longest body of an answer
      */
-    public record Bounds(long dialTimeoutNanos, long idleNanos, int connections, int answerBytes) {}
+    public record Bounds(
+            long connectTimeoutNanos, long hostIdleTimeoutNanos, int maxConnections, int maxResponseBytes) {}
 
     /** Guards against a request that crosses the host's own closing of an idle connection. */
-    private static final double IDLE_PART = 2.0 / 3;
+    private static final double IDLE_TIMEOUT_FRACTION = 2.0 / 3;
 
-    private static final long SWEEP_MILLIS = 500;
+    private static final long IDLE_SWEEP_INTERVAL_MILLIS = 500;
     private static final AsciiString KEEP_ALIVE = AsciiString.cached("keep-alive");
-    private static final String TIMEOUT = "timeout=";
-    private static final int MOST_DIGITS = 6;
+    private static final String TIMEOUT_PARAMETER = "timeout=";
+    private static final int MAX_TIMEOUT_DIGITS = 6;
 
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final Bounds bounds;
-    private final ByteBudget answers;
-    private final ResponseClassifier dialect;
+    private final ByteBudget responseBudget;
+    private final ResponseClassifier classifier;
     private final Bootstrap bootstrap;
     private final Map<String, Host> hosts = new HashMap<>();
-    private final Future<?> sweeper;
+    private final Future<?> idleSweep;
     private int connections;
 
     /** A pool that knows no host yet, with room for all answers. */
@@ -110,17 +111,18 @@
             Bounds bounds,
             ByteBudget answers,
             ResponseClassifier dialect) {
-        this.answers = answers;
+        this.responseBudget = answers;
         this.loop = loop;
         this.clock = clock;
         this.bounds = bounds;
-        this.dialect = dialect;
+        this.classifier = dialect;
         bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(transport.client())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
-                        Math.max(1, TimeUnit.NANOSECONDS.toMillis(bounds.dialTimeoutNanos())));
-        sweeper = loop.scheduleWithFixedDelay(this::retireIdle, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+                        Math.max(1, TimeUnit.NANOSECONDS.toMillis(bounds.connectTimeoutNanos())));
+        idleSweep = loop.scheduleWithFixedDelay(
+                this::closeExpired, IDLE_SWEEP_INTERVAL_MILLIS, IDLE_SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -136,7 +138,7 @@
         if (whole) {
             for (String name : List.copyOf(hosts.keySet())) {
                 if (!named.contains(name)) {
-                    hosts.remove(name).keepConnections(false);
+                    hosts.remove(name).setReuseConnections(false);
                 }
             }
         }
@@ -147,16 +149,16 @@
         Host old = hosts.get(name);
         if (place.removed()) {
             hosts.remove(name);
-        } else if (old == null || !old.is(place)) {
+        } else if (old == null || !old.isSameInstance(place)) {
             hosts.put(name, new Host(place));
         } else {
-            old.keepConnections(place.ready());
+            old.setReuseConnections(place.ready());
             return;
         }
         if (old != null) {
-            old.keepConnections(false);
+            old.setReuseConnections(false);
             if (!place.removed()) {
-                old.breakBefore(place.startedAtNanos());
+                old.closeOpenedBefore(place.startedAtNanos());
             }
         }
     }
@@ -179,9 +181,9 @@
         Host target = hosts.get(host);
         Connection idle = target == null ? null : target.takeIdle(restedNanos);
         if (idle != null) {
-            idle.carry(attempt);
-        } else if (target != null && (connections < bounds.connections() || closeOneIdle())) {
-            target.dial(attempt);
+            idle.send(attempt);
+        } else if (target != null && (connections < bounds.maxConnections() || closeOneIdle())) {
+            target.connect(attempt);
         } else {
             loop.execute(() -> attempt.end(Outcome.CONNECT_FAILED, null, null));
         }
@@ -190,8 +192,9 @@
 
     /** Closes all connections, those with a request on them too, and is of no further use. */
     public void close() {
-        sweeper.cancel(false);
-        hosts.values().forEach(host -> List.copyOf(host.all).forEach(connection -> connection.channel.close()));
+        idleSweep.cancel(false);
+        hosts.values()
+                .forEach(host -> List.copyOf(host.openConnections).forEach(connection -> connection.channel.close()));
         hosts.clear();
     }
 
@@ -200,13 +203,13 @@
         return connections;
     }
 
-    private void retireIdle() {
-        hosts.values().forEach(host -> host.closeIdle(clock.nanos() - host.idleNanos));
+    private void closeExpired() {
+        hosts.values().forEach(host -> host.closeIdle(clock.nanos() - host.idleTimeoutNanos));
     }
 
     private boolean closeOneIdle() {
         for (Host host : hosts.values()) {
-            Connection longest = host.idle.pollFirst();
+            Connection longest = host.idleConnections.pollFirst();
             if (longest != null) {
                 longest.channel.close();
                 return true;
@@ -218,76 +221,81 @@
     /** One host since its last start, at one address. */
     private final class Host {
         private final SocketAddress address;
-        private final long startedAt;
+        private final long startedAtNanos;
         /** The latest used last. */
-        private final ArrayDeque<Connection> idle = new ArrayDeque<>();
+        private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
 
-        private final Set<Connection> all = new HashSet<>();
-        private boolean keeps;
+        private final Set<Connection> openConnections = new HashSet<>();
+        private boolean reuseConnections;
         /** Shorter than the usual where the host itself has told a shorter time. */
-        private long idleNanos = (long) (bounds.idleNanos() * IDLE_PART);
+        private long idleTimeoutNanos = (long) (bounds.hostIdleTimeoutNanos() * IDLE_TIMEOUT_FRACTION);
 
         Host(HostEntry place) {
             address = place.address();
-            startedAt = place.startedAtNanos();
-            keeps = place.ready();
+            startedAtNanos = place.startedAtNanos();
+            reuseConnections = place.ready();
         }
 
-        boolean is(HostEntry place) {
-            return address.equals(place.address()) && startedAt == place.startedAtNanos();
+        boolean isSameInstance(HostEntry place) {
+            return address.equals(place.address()) && startedAtNanos == place.startedAtNanos();
         }
 
         /** The latest used, so that the others come of age; one that the host has closed is passed over. */
         Connection takeIdle(long restedNanos) {
-            Connection connection = idle.peekLast();
+            Connection connection = idleConnections.peekLast();
             while (connection != null
-                    && (!connection.channel.isActive() || clock.nanos() - connection.idleSince > idleNanos)) {
-                idle.pollLast().channel.close();
-                connection = idle.peekLast();
+                    && (!connection.channel.isActive()
+                            || clock.nanos() - connection.idleSinceNanos > idleTimeoutNanos)) {
+                idleConnections.pollLast().channel.close();
+                connection = idleConnections.peekLast();
             }
-            return connection != null && clock.nanos() - connection.idleSince <= restedNanos ? idle.pollLast() : null;
+            return connection != null && clock.nanos() - connection.idleSinceNanos <= restedNanos
+                    ? idleConnections.pollLast()
+                    : null;
         }
 
         /** Guards against a request that crosses the closing that this host has announced. */
-        void told(String keepAlive) {
-            int at = keepAlive == null ? -1 : keepAlive.indexOf(TIMEOUT);
+        void onKeepAliveHeader(String keepAlive) {
+            int at = keepAlive == null ? -1 : keepAlive.indexOf(TIMEOUT_PARAMETER);
             if (at >= 0) {
-                int end = at + TIMEOUT.length();
+                int end = at + TIMEOUT_PARAMETER.length();
                 long seconds = 0;
                 for (int digits = 0;
                         end < keepAlive.length()
                                 && Character.digit(keepAlive.charAt(end), 10) >= 0
-                                && digits < MOST_DIGITS;
+                                && digits < MAX_TIMEOUT_DIGITS;
                         digits++) {
                     seconds = seconds * 10 + Character.digit(keepAlive.charAt(end++), 10);
                 }
-                idleNanos = (long) (Math.min(bounds.idleNanos(), TimeUnit.SECONDS.toNanos(seconds)) * IDLE_PART);
+                idleTimeoutNanos = (long) (Math.min(bounds.hostIdleTimeoutNanos(), TimeUnit.SECONDS.toNanos(seconds))
+                        * IDLE_TIMEOUT_FRACTION);
             }
         }
 
-        void dial(Attempt attempt) {
+        void connect(Attempt attempt) {
             connections++;
             Connection connection = new Connection(this, attempt);
-            all.add(connection);
+            openConnections.add(connection);
             attempt.connection = connection;
             ChannelFuture dial = bootstrap
                     .clone()
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            ResponseReader reader = new ResponseReader(connection, bounds.answerBytes(), answers);
+                            ResponseReader reader =
+                                    new ResponseReader(connection, bounds.maxResponseBytes(), responseBudget);
                             channel.pipeline().addLast(reader.decoder(), new HttpRequestEncoder(), reader);
                         }
                     })
                     .connect(address);
             connection.channel = dial.channel();
-            dial.channel().closeFuture().addListener(closed -> loop.execute(connection::closed));
-            dial.addListener(connection::dialled);
+            dial.channel().closeFuture().addListener(closed -> loop.execute(connection::onClosed));
+            dial.addListener(connection::onConnectComplete);
         }
 
         void closeIdle(long before) {
-            while (!idle.isEmpty() && idle.peekFirst().idleSince <= before) {
-                idle.pollFirst().channel.close();
+            while (!idleConnections.isEmpty() && idleConnections.peekFirst().idleSinceNanos <= before) {
+                idleConnections.pollFirst().channel.close();
             }
         }
 
@@ -295,17 +303,17 @@
          * Guards against holding connections, of which a host has few, to one that drains or is gone. What is in work
          * there may still be answered.
          */
-        void keepConnections(boolean keep) {
-            keeps = keep;
+        void setReuseConnections(boolean keep) {
+            reuseConnections = keep;
             if (!keep) {
                 closeIdle(Long.MAX_VALUE);
             }
         }
 
         /** Guards against waiting on a process that is no more: its machine may never say so. */
-        void breakBefore(long startOfNext) {
-            for (Connection connection : List.copyOf(all)) {
-                if (connection.openedAt < startOfNext) {
+        void closeOpenedBefore(long startOfNext) {
+            for (Connection connection : List.copyOf(openConnections)) {
+                if (connection.openedAtNanos < startOfNext) {
                     connection.channel.close();
                 }
             }
@@ -314,37 +322,37 @@
 
     private final class Connection implements ResponseReader.Listener {
         private final Host host;
-        private final long openedAt = clock.nanos();
+        private final long openedAtNanos = clock.nanos();
         private Channel channel;
         private Attempt attempt;
-        private long idleSince;
+        private long idleSinceNanos;
 
         Connection(Host host, Attempt first) {
             this.host = host;
             attempt = first;
         }
 
-        void dialled(Future<?> done) {
+        void onConnectComplete(Future<?> done) {
             if (!done.isSuccess()) {
                 channel.close();
                 return;
             }
             if (attempt == null) {
-                release(true);
+                reuseOrClose(true);
             } else {
-                carry(attempt);
+                send(attempt);
             }
         }
 
-        void carry(Attempt next) {
+        void send(Attempt next) {
             attempt = next;
             next.connection = this;
             FullHttpRequest request = next.request;
             next.request = null;
-            next.writing = true;
+            next.writeStarted = true;
             channel.writeAndFlush(request).addListener(write -> {
-                next.written = write.isSuccess();
-                if (!next.written) {
+                next.writeCompleted = write.isSuccess();
+                if (!next.writeCompleted) {
                     channel.close();
                 }
             });
@@ -352,18 +360,18 @@
 
         @Override
         public boolean isAwaitingResponse() {
-            return attempt != null && attempt.writing;
+            return attempt != null && attempt.writeStarted;
         }
 
         @Override
         public boolean isHeadRequest() {
-            return attempt != null && attempt.asksForHead;
+            return attempt != null && attempt.headRequest;
         }
 
         @Override
         public ResponseMatch ownerOf(HttpResponse head) {
             // An attempt that was called off within this very read is over, and its connection closed.
-            return attempt == null ? ResponseMatch.THIS_REQUEST : dialect.match(attempt.id, head.headers());
+            return attempt == null ? ResponseMatch.THIS_REQUEST : classifier.match(attempt.id, head.headers());
         }
 
         @Override
@@ -373,12 +381,12 @@
                 return; // called off within this very read, and closed
             }
             attempt = null;
-            host.told(head.headers().get(KEEP_ALIVE));
+            host.onKeepAliveHeader(head.headers().get(KEEP_ALIVE));
             // A free connection first: the module may send again at once.
-            release(clean && framed && HttpUtil.isKeepAlive(head) && answered.written);
+            reuseOrClose(clean && framed && HttpUtil.isKeepAlive(head) && answered.writeCompleted);
             answered.end(
-                    dialect.outcome(answered.id, head, framed),
-                    dialect.load(head.headers()),
+                    classifier.outcome(answered.id, head, framed),
+                    classifier.load(head.headers()),
                     framed ? new Response(head, body, reserved) : null);
         }
 
@@ -392,24 +400,24 @@
             }
         }
 
-        private void release(boolean reusable) {
-            if (reusable && host.keeps && channel.isActive()) {
-                idleSince = clock.nanos();
-                host.idle.addLast(this);
+        private void reuseOrClose(boolean reusable) {
+            if (reusable && host.reuseConnections && channel.isActive()) {
+                idleSinceNanos = clock.nanos();
+                host.idleConnections.addLast(this);
             } else {
                 channel.close();
             }
         }
 
         /** After the write's own end, so that it is known by now whether the last byte went out. */
-        private void closed() {
+        private void onClosed() {
             connections--;
-            host.all.remove(this);
-            host.idle.remove(this);
+            host.openConnections.remove(this);
+            host.idleConnections.remove(this);
             Attempt broken = attempt;
             attempt = null;
             if (broken != null) {
-                broken.end(broken.written ? Outcome.RESET : Outcome.CONNECT_FAILED, null, null);
+                broken.end(broken.writeCompleted ? Outcome.RESET : Outcome.CONNECT_FAILED, null, null);
             }
         }
     }
@@ -418,27 +426,27 @@
     public final class Attempt {
         private final String id;
         private final AttemptListener listener;
-        private final long sentAt;
-        private final boolean asksForHead;
+        private final long sentAtNanos;
+        private final boolean headRequest;
         private FullHttpRequest request;
         private Connection connection;
         private Future<?> timer;
-        private boolean writing;
-        private boolean written;
+        private boolean writeStarted;
+        private boolean writeCompleted;
         private Outcome outcome;
-        private long endedAt;
+        private long endedAtNanos;
 
         private Attempt(String id, FullHttpRequest request, long sentAt, AttemptListener listener) {
             this.id = id;
             this.request = request;
-            this.sentAt = sentAt;
-            asksForHead = request.method().equals(HttpMethod.HEAD);
+            this.sentAtNanos = sentAt;
+            headRequest = request.method().equals(HttpMethod.HEAD);
             this.listener = listener;
         }
 
         /** How long it had been out at a time. */
-        public long elapsed(long at) {
-            return Math.max(0, at - sentAt);
+        public long elapsedNanos(long at) {
+            return Math.max(0, at - sentAtNanos);
         }
 
         /** How it ended, or null while it is out. */
@@ -447,8 +455,8 @@
         }
 
         /** How long it took, or has been out at a time. */
-        long nanos(long now) {
-            return elapsed(outcome == null ? now : endedAt);
+        long durationNanos(long now) {
+            return elapsedNanos(outcome == null ? now : endedAtNanos);
         }
 
         /** Stops waiting. */
@@ -462,14 +470,14 @@
         private void timedOut() {
             abandon();
             // What was never on its way to the host is proved not to have run.
-            end(writing ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED, null, null);
+            end(writeStarted ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED, null, null);
         }
 
         /** A connection with a request on it is closed; one that is still coming up is kept for others. */
         private void abandon() {
             if (outcome == null && connection != null) {
                 connection.attempt = null;
-                if (writing) {
+                if (writeStarted) {
                     connection.channel.close();
                 }
             }
@@ -480,13 +488,13 @@
                 return;
             }
             outcome = itsOutcome;
-            endedAt = clock.nanos();
+            endedAtNanos = clock.nanos();
             timer.cancel(false);
             if (request != null) {
                 request.release();
                 request = null;
             }
-            listener.ended(this, outcome, endedAt, load, answer);
+            listener.ended(this, outcome, endedAtNanos, load, answer);
         }
     }
 }
--- a/src/main/java/tinworks/net/LoadReportParser.java
+++ b/src/main/java/tinworks/net/LoadReportParser.java
@@ -6,7 +6,7 @@
 /** Reads a host's account of its load, as {@code tps=140,load_share=0.62,err_ps=0.5}. */
 final class LoadReportParser {
     /** No host does more of anything in a second, nor holds more. */
-    private static final double MOST = 1e9;
+    private static final double MAX_VALUE = 1e9;
 
     private LoadReportParser() {}
 
@@ -25,9 +25,9 @@
             if (equals < 0) {
                 return null;
             }
-            int at = position(part.substring(0, equals).trim());
-            double value = number(part.substring(equals + 1).trim());
-            if (!(value >= 0 && value <= MOST)) {
+            int at = fieldIndex(part.substring(0, equals).trim());
+            double value = parseNumber(part.substring(equals + 1).trim());
+            if (!(value >= 0 && value <= MAX_VALUE)) {
                 return null;
             }
             if (at >= 0) {
@@ -37,7 +37,7 @@
         return new LoadReport(values[0], values[1], values[2], values[3], values[4], values[5]);
     }
 
-    private static double number(String text) {
+    private static double parseNumber(String text) {
         try {
             return Double.parseDouble(text);
         } catch (NumberFormatException e) {
@@ -46,7 +46,7 @@
     }
 
     /** By the names on the sockets and by those that settings may use. */
-    private static int position(String name) {
+    private static int fieldIndex(String name) {
         return switch (name) {
             case "qps", "tps" -> 0;
             case "util", "load_share" -> 1;
--- a/src/main/java/tinworks/net/MonotonicClock.java
+++ b/src/main/java/tinworks/net/MonotonicClock.java
@@ -9,8 +9,8 @@
  * clocks at each list would not grant.
  */
 public final class MonotonicClock {
-    private final LongSupplier lag;
-    private final long offset = TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis()) - System.nanoTime();
+    private final LongSupplier queueingDelay;
+    private final long unixOffsetNanos = TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis()) - System.nanoTime();
 
     /** A clock beside an event loop that nobody watches. */
     public MonotonicClock() {
@@ -21,21 +21,21 @@
      * A clock beside an event loop; {@code lag} tells how long what is told now may have waited there, in nanoseconds.
      */
     public MonotonicClock(LongSupplier lag) {
-        this.lag = lag;
+        this.queueingDelay = lag;
     }
 
     /** The most that what the network brings now can have lain unread; asked on the event loop. */
     public long queueingDelayNanos() {
-        return lag.getAsLong();
+        return queueingDelay.getAsLong();
     }
 
     /** Nanoseconds, never going back. */
     public long nanos() {
-        return System.nanoTime() + offset;
+        return System.nanoTime() + unixOffsetNanos;
     }
 
     /** The clock's time for discovery's, where 0 stands for long ago. */
-    static long ofUnixMillis(long millis) {
+    static long fromUnixMillis(long millis) {
         return TimeUnit.MILLISECONDS.toNanos(millis);
     }
 }
--- a/src/main/java/tinworks/net/Peers.java
+++ b/src/main/java/tinworks/net/Peers.java
@@ -23,7 +23,7 @@
 final class Peers {
     /** Told on the event loop. */
     interface Listener {
-        void said(int gateway, byte[] body);
+        void onMessage(int gateway, byte[] body);
     }
 
     /** Where messages come in, each gateway's address by its number, and the one that reaches all of them. */
@@ -50,22 +50,22 @@
     }
 
     /** A longer one is not allowed. */
-    static final int LONGEST = 256;
+    static final int MAX_MESSAGE_BYTES = 256;
 
     private final Addresses addresses;
-    private final int ownNumber;
+    private final int ownIndex;
     private final Listener listener;
     private final Channel channel;
 
     /** Listens at once; where the address can't be had it says so and stays silent, as if all were lost. */
     Peers(EventLoop loop, Addresses addresses, int ownNumber, Listener listener, Consumer<String> log) {
         this.addresses = addresses;
-        this.ownNumber = ownNumber;
+        this.ownIndex = ownNumber;
         this.listener = listener;
         channel = new Bootstrap()
                 .group(loop)
                 .channel(NioDatagramChannel.class)
-                .handler(new Reader())
+                .handler(new DatagramReader())
                 .bind(addresses.listen())
                 .addListener(bound -> {
                     if (!bound.isSuccess()) {
@@ -82,8 +82,8 @@
     }
 
     /** Sends a message to all others; nobody is told whether it came. */
-    void tellAll(byte[] body) {
-        if (channel.isActive() && body.length <= LONGEST) {
+    void broadcast(byte[] body) {
+        if (channel.isActive() && body.length <= MAX_MESSAGE_BYTES) {
             channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(body), addresses.all()));
         }
     }
@@ -92,12 +92,12 @@
         channel.close();
     }
 
-    private final class Reader extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class DatagramReader extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             int sender = addresses.gateways().indexOf(packet.sender());
-            if (sender >= 0 && sender != ownNumber && packet.content().readableBytes() <= LONGEST) {
-                listener.said(sender, ByteBufUtil.getBytes(packet.content()));
+            if (sender >= 0 && sender != ownIndex && packet.content().readableBytes() <= MAX_MESSAGE_BYTES) {
+                listener.onMessage(sender, ByteBufUtil.getBytes(packet.content()));
             }
         }
 
--- a/src/main/java/tinworks/net/UnservedRequest.java
+++ b/src/main/java/tinworks/net/UnservedRequest.java
@@ -36,12 +36,13 @@
      * One attempt at a host.
      *
      * @param outcome how it ended, or null while it is out
-     * @param nanos how long it took, or has taken so far
+     * @param durationNanos how long it took, or has taken so far
      */
-    public record AttemptSummary(String host, Outcome outcome, long nanos) {
+    public record AttemptSummary(String host, Outcome outcome, long durationNanos) {
         @Override
         public String toString() {
-            return host + ":" + (outcome == null ? "OUT" : outcome) + ":" + TimeUnit.NANOSECONDS.toMillis(nanos) + "ms";
+            return host + ":" + (outcome == null ? "OUT" : outcome) + ":" + TimeUnit.NANOSECONDS.toMillis(durationNanos)
+                    + "ms";
         }
     }
 
--- a/src/main/java/tinworks/net/WarmUp.java
+++ b/src/main/java/tinworks/net/WarmUp.java
@@ -46,21 +46,21 @@
     private static final int CLIENTS = 8;
     private static final int HOSTS = 4;
     /** A gateway is wanted soon after its start: what isn't warm by then has to do. */
-    static final long LONGEST_MILLIS = 4_000;
+    static final long MAX_DURATION_MILLIS = 4_000;
 
-    private static final long END_MILLIS = 500;
-    private static final long QUIET_MILLIS = 20;
+    private static final long LOOP_SHUTDOWN_TIMEOUT_MILLIS = 500;
+    private static final long SHUTDOWN_QUIET_PERIOD_MILLIS = 20;
 
     private final EventLoop loop;
-    private final EventLoop farSides;
+    private final EventLoop peerLoop;
     private final GatewayConfig config;
     private final Transport transport;
     private final int requests;
-    private final SocketAddress stage;
-    private final SocketAddress hosts;
+    private final SocketAddress gatewayAddress;
+    private final SocketAddress hostAddress;
     private final CompletableFuture<Void> done = new CompletableFuture<>();
-    private int asked;
-    private int answered;
+    private int sent;
+    private int received;
 
     private WarmUp(
             EventLoop loop,
@@ -70,12 +70,12 @@
             SocketAddress stage,
             SocketAddress hosts) {
         this.loop = loop;
-        this.farSides = farSides;
+        this.peerLoop = farSides;
         this.config = config;
         this.transport = transport;
         requests = transport.equals(Transport.IN_MEMORY) ? REQUESTS_IN_MEMORY : REQUESTS;
-        this.stage = stage;
-        this.hosts = hosts;
+        this.gatewayAddress = stage;
+        this.hostAddress = hosts;
     }
 
     /**
@@ -84,7 +84,9 @@
      */
     static boolean run(GatewayConfig config, long longestMillis) {
         try {
-            return hasFileSockets() ? inFiles(config, longestMillis) : inMemory(config, longestMillis);
+            return supportsUnixDomainSockets()
+                    ? runOverUnixDomainSockets(config, longestMillis)
+                    : runInMemory(config, longestMillis);
         } catch (TimeoutException e) {
             System.err.println("tinworks: the rehearsal was cut short");
         } catch (InterruptedException e) {
@@ -96,7 +98,7 @@
     }
 
     /** Some platforms grant a process sockets of the internet protocol and no others. */
-    private static boolean hasFileSockets() {
+    private static boolean supportsUnixDomainSockets() {
         try (SocketChannel probe = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             return probe.isOpen();
         } catch (IOException | UnsupportedOperationException e) {
@@ -104,14 +106,14 @@
         }
     }
 
-    private static boolean inFiles(GatewayConfig config, long longestMillis)
+    private static boolean runOverUnixDomainSockets(GatewayConfig config, long longestMillis)
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
         // Of its own making: the library's names for such folders come out of a slow source of chance.
         Path folder = Files.createDirectory(Path.of(
                 System.getProperty("java.io.tmpdir"),
                 "rehearsal-" + ProcessHandle.current().pid() + "-" + System.nanoTime()));
         try {
-            return play(
+            return execute(
                     config,
                     longestMillis,
                     NioIoHandler.newFactory(),
@@ -126,9 +128,9 @@
     }
 
     /** Leaves the sockets themselves cold, and warms all that stands on them. */
-    static boolean inMemory(GatewayConfig config, long longestMillis)
+    static boolean runInMemory(GatewayConfig config, long longestMillis)
             throws InterruptedException, ExecutionException, TimeoutException {
-        return play(
+        return execute(
                 config,
                 longestMillis,
                 LocalIoHandler.newFactory(),
@@ -137,7 +139,7 @@
                 new LocalAddress("rehearsal-hosts"));
     }
 
-    private static boolean play(
+    private static boolean execute(
             GatewayConfig config,
             long longestMillis,
             IoHandlerFactory io,
@@ -151,32 +153,35 @@
         ClosingEventLoopGroup group = new ClosingEventLoopGroup(twoLoops ? 2 : 1, io);
         try {
             new WarmUp(group.next(), group.next(), config, transport, stage, hosts)
-                    .play()
+                    .execute()
                     .get(longestMillis, TimeUnit.MILLISECONDS);
             return true;
         } finally {
-            group.shutdownGracefully(twoLoops ? QUIET_MILLIS : 0, QUIET_MILLIS, TimeUnit.MILLISECONDS)
-                    .await(END_MILLIS);
+            group.shutdownGracefully(
+                            twoLoops ? SHUTDOWN_QUIET_PERIOD_MILLIS : 0,
+                            SHUTDOWN_QUIET_PERIOD_MILLIS,
+                            TimeUnit.MILLISECONDS)
+                    .await(LOOP_SHUTDOWN_TIMEOUT_MILLIS);
         }
     }
 
-    private CompletableFuture<Void> play() {
+    private CompletableFuture<Void> execute() {
         // Guards against compiling for one kind of sockets alone, which the first of the other kind would undo.
         new NioSocketChannel().unsafe().closeForcibly();
-        ServerBootstrap listener = new ServerBootstrap().group(farSides).channel(transport.server());
+        ServerBootstrap listener = new ServerBootstrap().group(peerLoop).channel(transport.server());
         listener.childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new Host());
                     }
                 })
-                .bind(hosts)
+                .bind(hostAddress)
                 .addListener(bound -> {
                     if (bound.isSuccess()) {
-                        Gateway.start(GatewayLoop.unwatched(loop), setting(), transport, line -> {})
+                        Gateway.start(GatewayLoop.shared(loop), warmUpConfig(), transport, line -> {})
                                 .whenComplete((gateway, fault) -> {
                                     if (fault == null) {
-                                        farSides.execute(this::clients);
+                                        peerLoop.execute(this::connectClients);
                                     } else {
                                         done.completeExceptionally(fault);
                                     }
@@ -189,27 +194,28 @@
     }
 
     /** The real settings, with hosts that are all this rehearsal's own. */
-    private GatewayConfig setting() {
+    private GatewayConfig warmUpConfig() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
             endpoints.add(new Endpoint(
-                    new ServerInfo("host-" + i, config.settings().zone(), "any", 0, Readiness.READY, 1, 0), hosts));
+                    new ServerInfo("host-" + i, config.settings().zone(), "any", 0, Readiness.READY, 1, 0),
+                    hostAddress));
         }
         return new GatewayConfig(
-                stage,
-                hosts,
+                gatewayAddress,
+                hostAddress,
                 config.seed(),
-                config.sockets(),
-                config.dialTimeoutNanos(),
-                config.idleNanos(),
+                config.maxDescriptors(),
+                config.connectTimeoutNanos(),
+                config.hostIdleTimeoutNanos(),
                 config.settings(),
                 new EndpointList(0, true, endpoints),
                 null);
     }
 
-    private void clients() {
+    private void connectClients() {
         Bootstrap dial = new Bootstrap()
-                .group(farSides)
+                .group(peerLoop)
                 .channel(transport.client())
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
@@ -218,28 +224,28 @@
                     }
                 });
         for (int i = 0; i < CLIENTS; i++) {
-            dial.connect(stage);
+            dial.connect(gatewayAddress);
         }
     }
 
     private final class Client extends WarmUpPeer {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ask(ctx);
+            sendRequest(ctx);
         }
 
-        private void ask(ChannelHandlerContext ctx) {
+        private void sendRequest(ChannelHandlerContext ctx) {
             List<RequestClass> classes = config.settings().classes();
-            RequestClass c = classes.get(asked++ % classes.size());
+            RequestClass c = classes.get(sent++ % classes.size());
             boolean safe = c.idempotency() == Idempotency.SAFE;
-            String head = (safe ? "GET /" : "POST /") + c.name() + "/" + asked + " HTTP/1.1\r\nHost: localhost\r\n"
-                    + "X-Request-ID: rehearsal-" + asked + "\r\nX-Timeout: "
+            String head = (safe ? "GET /" : "POST /") + c.name() + "/" + sent + " HTTP/1.1\r\nHost: localhost\r\n"
+                    + "X-Request-ID: rehearsal-" + sent + "\r\nX-Timeout: "
                     + TimeUnit.NANOSECONDS.toMillis(c.deadlineNanos()) + "m\r\n";
             if (!config.settings().tenants().isEmpty()) {
                 head += "X-Tenant-Id: " + config.settings().tenants().get(0).name() + "\r\n";
             }
             if (c.idempotency() == Idempotency.KEYED) {
-                head += "Idempotency-Key: rehearsal-" + asked + "\r\n";
+                head += "Idempotency-Key: rehearsal-" + sent + "\r\n";
             }
             write(ctx, safe ? head : head + "Content-Length: " + BODY.length + "\r\n", safe ? EMPTY_BODY : BODY);
         }
@@ -251,8 +257,8 @@
 
         @Override
         protected void messageReceived(ChannelHandlerContext ctx) {
-            if (++answered < requests) {
-                ask(ctx);
+            if (++received < requests) {
+                sendRequest(ctx);
             } else {
                 done.complete(null);
             }
@@ -263,7 +269,7 @@
     private static final class Host extends WarmUpPeer {
         private static final int FULL_EVERY = 37;
         private static final int ERROR_EVERY = 53;
-        private static final String REST = "Content-Length: " + BODY.length + "\r\nX-Server-Load: tps=";
+        private static final String RESPONSE_HEADERS = "Content-Length: " + BODY.length + "\r\nX-Server-Load: tps=";
 
         private int requests;
 
@@ -279,7 +285,7 @@
             String status = full
                     ? "503 Full\r\nX-Not-Processed: 1\r\n"
                     : requests % ERROR_EVERY == 0 ? "500 Error\r\n" : "200 OK\r\n";
-            write(ctx, "HTTP/1.1 " + status + REST + requests + ".5,load_share=0.25,err_ps=0\r\n", BODY);
+            write(ctx, "HTTP/1.1 " + status + RESPONSE_HEADERS + requests + ".5,load_share=0.25,err_ps=0\r\n", BODY);
         }
     }
 }
--- a/src/main/java/tinworks/net/WarmUpPeer.java
+++ b/src/main/java/tinworks/net/WarmUpPeer.java
@@ -18,19 +18,19 @@
     /** No body. */
     protected static final byte[] EMPTY_BODY = {};
 
-    private static final int NONE = -1;
+    private static final int NO_BYTE = -1;
 
-    private int first = NONE;
+    private int first = NO_BYTE;
 
     @Override
     protected final void channelRead0(ChannelHandlerContext ctx, ByteBuf bytes) {
         if (!bytes.isReadable()) {
             return; // where there are no sockets between, a write of nothing arrives as such
         }
-        first = first == NONE ? bytes.getByte(bytes.readerIndex()) : first;
+        first = first == NO_BYTE ? bytes.getByte(bytes.readerIndex()) : first;
         int last = bytes.getByte(bytes.writerIndex() - 1);
         if (isComplete(first, last, bytes)) {
-            first = NONE;
+            first = NO_BYTE;
             messageReceived(ctx);
         }
     }
--- a/src/test/java/tinworks/net/DiscoveryTest.java
+++ b/src/test/java/tinworks/net/DiscoveryTest.java
@@ -16,9 +16,9 @@
 
 /** How a watch ends: each is told once, whatever the far side does. */
 class DiscoveryTest {
-    private final GatewayLoop watched = GatewayLoop.watched();
-    private final EventLoop loop = watched.loop();
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final GatewayLoop gatewayLoop = GatewayLoop.dedicated();
+    private final EventLoop loop = gatewayLoop.loop();
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     @AfterEach
     void stop() throws InterruptedException {
@@ -28,58 +28,58 @@
     private Discovery watch(ScriptedHost server) {
         Discovery discovery = new Discovery(loop, Transport.TCP, server.address(), 7, 2000, new Discovery.Listener() {
             @Override
-            public void listed(EndpointList list) {
-                told.add("listed " + list.index());
+            public void onList(EndpointList list) {
+                events.add("listed " + list.index());
             }
 
             @Override
-            public void failed() {
-                told.add("failed");
+            public void onFailure() {
+                events.add("failed");
             }
         });
         loop.execute(discovery::watch);
         return discovery;
     }
 
-    private String next() throws InterruptedException {
-        return told.poll(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+    private String nextEvent() throws InterruptedException {
+        return events.poll(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** A machine that vanished leaves its connections open and says nothing. */
     @Test
-    void aSilentWatchIsBroken() throws Exception {
+    void closesUnresponsiveWatch() throws Exception {
         try (ScriptedHost server = new ScriptedHost((socket, request) -> {
             GatewayFixture.startWatch(socket);
             GatewayFixture.line(socket, GatewayFixture.list(8, false, List.of()));
         })) {
             watch(server);
-            assertEquals("listed 8", next());
-            assertEquals("failed", next());
-            assertTrue(told.isEmpty());
+            assertEquals("listed 8", nextEvent());
+            assertEquals("failed", nextEvent());
+            assertTrue(events.isEmpty());
         }
     }
 
     @Test
-    void anAnswerOtherThan200AFailedDialAndALineThatCannotBeReadAreFailures() throws Exception {
+    void reportsErrorStatusFailedConnectAndMalformedLineAsFailures() throws Exception {
         try (ScriptedHost server = new ScriptedHost(ScriptedHost.reply("503 Service Unavailable", "busy"))) {
             watch(server);
-            assertEquals("failed", next());
+            assertEquals("failed", nextEvent());
             server.script((socket, request) -> {
                 GatewayFixture.startWatch(socket);
                 GatewayFixture.line(socket, "{\"index\":9,\"endpoints\":[{\"name\":\"s\"}]}");
             });
             watch(server);
-            assertEquals("failed", next());
+            assertEquals("failed", nextEvent());
             server.stop();
             watch(server);
-            assertEquals("failed", next());
-            assertTrue(told.isEmpty());
+            assertEquals("failed", nextEvent());
+            assertTrue(events.isEmpty());
         }
     }
 
     /** After a move the module may still ask, on account of a failure that came before it. */
     @Test
-    void askingAgainWhileAWatchIsOnItsWayOpensNoSecondOne() throws Exception {
+    void opensNoSecondWatchWhileOneIsConnecting() throws Exception {
         try (ScriptedHost server = new ScriptedHost((socket, request) -> {
                     GatewayFixture.startWatch(socket);
                     GatewayFixture.line(socket, GatewayFixture.list(8, false, List.of()));
@@ -89,12 +89,12 @@
                     GatewayFixture.line(socket, GatewayFixture.list(3, false, List.of()));
                 })) {
             Discovery discovery = watch(server);
-            assertEquals("listed 8", next());
+            assertEquals("listed 8", nextEvent());
             loop.execute(() -> {
-                discovery.moveTo(next.address());
+                discovery.switchTo(next.address());
                 discovery.watch();
             });
-            assertEquals("listed 3", next());
+            assertEquals("listed 3", nextEvent());
             // Connections are accepted in turn: a second watch would have come before this one.
             try (Socket last =
                     new Socket(next.address().getAddress(), next.address().getPort())) {
@@ -108,13 +108,16 @@
 
     /** Guards a start's time: discovery is asked first, and what else there is to do is done meanwhile. */
     @Test
-    void aGatewayAsksBeforeItListens() throws Exception {
+    void startsWatchBeforeListening() throws Exception {
         InetSocketAddress anywhere = new InetSocketAddress("127.0.0.1", 0);
         Json config = Json.read(
                 "{\"seed\":\"2a\",\"settings\":" + GatewayFixture.SETTINGS.replace("IDLE", "15000000000") + "}");
         try (ScriptedHost server = GatewayFixture.quietDiscovery()) {
             Gateway gateway = Gateway.open(
-                            watched, GatewayConfig.read(config, anywhere, server.address()), Transport.TCP, line -> {})
+                            gatewayLoop,
+                            GatewayConfig.read(config, anywhere, server.address()),
+                            Transport.TCP,
+                            line -> {})
                     .get(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             GatewayFixture.await("the watch", () -> server.requests.size() == 1);
             gateway.listen().get(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
@@ -134,7 +137,10 @@
                 + GatewayFixture.SETTINGS.replace("IDLE", "15000000000") + "}");
         try (ScriptedHost silent = new ScriptedHost((socket, request) -> {})) {
             Gateway gateway = Gateway.start(
-                            watched, GatewayConfig.read(config, anywhere, silent.address()), Transport.TCP, line -> {})
+                            gatewayLoop,
+                            GatewayConfig.read(config, anywhere, silent.address()),
+                            Transport.TCP,
+                            line -> {})
                     .get(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             try (Socket client = new Socket("127.0.0.1", gateway.address().getPort())) {
                 ScriptedHost.write(client, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -144,7 +150,7 @@
     }
 
     @Test
-    void aGatewayThatKnowsHostsIsReadyBeforeDiscoveryAnswers() throws Exception {
+    void isReadyBeforeDiscoveryRespondsWhenHostsAreKnown() throws Exception {
         try (ScriptedHost host = new ScriptedHost((socket, request) -> {})) {
             String entry = GatewayFixture.entry("s-0", host, "up", 0);
             assertTrue(
--- a/src/test/java/tinworks/net/GatewayConfigTest.java
+++ b/src/test/java/tinworks/net/GatewayConfigTest.java
@@ -23,12 +23,12 @@
                 Map.of("LB_LISTEN", "127.0.0.1:8080", "LB_DISCOVERY", "127.0.0.1:8500", "LB_CONFIG", file.toString()));
     }
 
-    private static String good() {
+    private static String validConfig() {
         return "{\"seed\":\"f00000000000002a\",\"limits\":{\"sockets\":256},\"settings\":"
                 + GatewayFixture.SETTINGS.replace("IDLE", "15000000000") + "}";
     }
 
-    private static void refuses(Map<String, String> environment, String part) {
+    private static void assertRejected(Map<String, String> environment, String part) {
         String line = assertThrows(IllegalArgumentException.class, () -> GatewayConfig.read(environment))
                 .getMessage();
         assertTrue(line.contains(part), line);
@@ -36,30 +36,30 @@
     }
 
     @Test
-    void readsSettingsUnderTheSimulatorsNames() throws IOException {
-        GatewayConfig config = GatewayConfig.read(environment(good()));
-        assertEquals(256, config.sockets());
-        assertEquals(15_000_000_000L, config.idleNanos());
+    void readsSettingsUnderSimulatorNames() throws IOException {
+        GatewayConfig config = GatewayConfig.read(environment(validConfig()));
+        assertEquals(256, config.maxDescriptors());
+        assertEquals(15_000_000_000L, config.hostIdleTimeoutNanos());
         assertEquals("submit", config.settings().classes().get(1).name());
         assertEquals("acme", config.settings().tenants().get(0).name());
         assertEquals(0xf00000000000002aL, config.seed());
-        assertEquals(0, config.known().endpoints().size(), "no list was known");
+        assertEquals(0, config.knownHosts().endpoints().size(), "no list was known");
     }
 
     @Test
-    void saysInOneLineWhatIsWrong() throws IOException {
-        Map<String, String> incomplete = environment(good());
+    void reportsInvalidConfigurationInOneLine() throws IOException {
+        Map<String, String> incomplete = environment(validConfig());
         incomplete.remove("LB_DISCOVERY");
-        refuses(incomplete, "LB_DISCOVERY");
-        Map<String, String> noPort = environment(good());
+        assertRejected(incomplete, "LB_DISCOVERY");
+        Map<String, String> noPort = environment(validConfig());
         noPort.put("LB_LISTEN", "127.0.0.1");
-        refuses(noPort, "127.0.0.1");
-        Map<String, String> noFile = environment(good());
+        assertRejected(noPort, "127.0.0.1");
+        Map<String, String> noFile = environment(validConfig());
         noFile.put("LB_CONFIG", folder.resolve("none").toString());
-        refuses(noFile, "none");
-        refuses(environment("{"), "can't read");
-        refuses(environment(good().replace("f00000000000002a", "xyz")), "seed");
-        refuses(environment(good().replace("\"dial_timeout_ns\":2000000000,", "")), "dial_timeout_ns");
-        refuses(environment(good().replace("unsafe", "odd")), "odd");
+        assertRejected(noFile, "none");
+        assertRejected(environment("{"), "can't read");
+        assertRejected(environment(validConfig().replace("f00000000000002a", "xyz")), "seed");
+        assertRejected(environment(validConfig().replace("\"dial_timeout_ns\":2000000000,", "")), "dial_timeout_ns");
+        assertRejected(environment(validConfig().replace("unsafe", "odd")), "odd");
     }
 }
--- a/src/test/java/tinworks/net/GatewayFixture.java
+++ b/src/test/java/tinworks/net/GatewayFixture.java
@@ -32,7 +32,7 @@
              "obligations":{"drain_grace_ns":1000000000,"ask_within_ns":10000000000,"cold_from":0.5,
                             "warm_up_ns":1000000000,"overload_factor":2.5,"overload_for_ns":1500000000}}""";
 
-    private final GatewayLoop loop = GatewayLoop.watched();
+    private final GatewayLoop loop = GatewayLoop.dedicated();
     private final List<Socket> clients = new ArrayList<>();
     private final ScriptedHost ownDiscovery;
     final Gateway gateway;
--- a/src/test/java/tinworks/net/GatewayTest.java
+++ b/src/test/java/tinworks/net/GatewayTest.java
@@ -32,7 +32,7 @@
     private static final Script SILENT = (socket, request) -> {};
 
     @Test
-    void passesRequestAndAnswerUnchangedOnOneConnection() throws Exception {
+    void forwardsRequestAndResponseUnchangedOverOneConnection() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void turnsAwayAnIdThatIsOpenAndServesTheFirst() throws Exception {
+    void rejectsDuplicateIdOfOpenRequest() throws Exception {
         CompletableFuture<Socket> asked = new CompletableFuture<>();
         try (ScriptedHost host = new ScriptedHost((socket, request) -> asked.complete(socket));
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
@@ -94,7 +94,7 @@
 
     /** Sent ahead in one go, more of them than are held: each is answered, in order. */
     @Test
-    void answersRequestsThatWereSentAheadInTheirOrder() throws Exception {
+    void answersPipelinedRequestsInOrder() throws Exception {
         Script echoes = (socket, request) ->
                 ScriptedHost.reply("200 OK", request.header("X-Request-ID")).answer(socket, request);
         try (ScriptedHost host = new ScriptedHost(echoes);
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void neverResendsAnUnsafeRequestThatMayHaveRun() throws Exception {
+    void neverRetriesUnsafeRequestThatMayHaveExecuted() throws Exception {
         Script resets = (socket, request) -> ScriptedHost.reset(socket);
         try (ScriptedHost a = new ScriptedHost(resets);
                 ScriptedHost b = new ScriptedHost(resets);
@@ -127,7 +127,7 @@
 
     /** The first exchange leaves a kept connection; the host then breaks it under the second request. */
     @Test
-    void neverReplaysOnAStaleKeptConnection() throws Exception {
+    void neverReplaysWhenKeepAliveConnectionBreaks() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void leavesAHostThatRefusesConnectionsForAnother() throws Exception {
+    void failsOverFromHostThatRefusesConnections() throws Exception {
         try (ScriptedHost dead = new ScriptedHost(SERVES);
                 ScriptedHost host = new ScriptedHost(SERVES)) {
             try (GatewayFixture f = GatewayFixture.withHosts(dead, host)) {
@@ -161,7 +161,7 @@
     }
 
     @Test
-    void sendsElsewhereOnlyWhatAHostSaysItNeverProcessed() throws Exception {
+    void retriesOnlyWhatHostMarksNotProcessed() throws Exception {
         Script full = ScriptedHost.reply("503 Service Unavailable", "", "X-Not-Processed: 1");
         try (ScriptedHost a = new ScriptedHost(full);
                 ScriptedHost b = new ScriptedHost(full);
@@ -182,7 +182,7 @@
     }
 
     @Test
-    void doesNotServeABodyThatEndsWithItsConnectionOnly() throws Exception {
+    void doesNotServeBodyDelimitedByConnectionClose() throws Exception {
         try (ScriptedHost host = new ScriptedHost((socket, request) -> {
                     ScriptedHost.write(socket, "HTTP/1.1 200 OK\r\n\r\nhalf of it");
                     socket.close();
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void answersWithinTheClientsTimeAndClosesTheAttempt() throws Exception {
+    void answersWithinDeadlineAndClosesAttempt() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SILENT);
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             assertTrue(f.client().exchange(submit("r", 1500, "x")).firstLine().contains(" 502 "));
@@ -206,7 +206,7 @@
     }
 
     @Test
-    void callsOffTheAttemptOfAClientThatLeft() throws Exception {
+    void cancelsAttemptWhenClientDisconnects() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SILENT);
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
@@ -225,7 +225,7 @@
     }
 
     @Test
-    void retiresAnIdleConnectionBeforeTheHostWould() throws Exception {
+    void closesIdleConnectionBeforeHostDoes() throws Exception {
         ScriptedHost host = new ScriptedHost(SERVES);
         try (host;
                 GatewayFixture f = new GatewayFixture(
@@ -242,7 +242,7 @@
     }
 
     @Test
-    void sendsNothingNewToADrainingHostAndFinishesWhatItHas() throws Exception {
+    void finishesOpenRequestsOfDrainingHostAndSendsNoNewOnes() throws Exception {
         List<Socket> watches = new CopyOnWriteArrayList<>();
         CompletableFuture<Socket> held = new CompletableFuture<>();
         ScriptedHost discovery = new ScriptedHost((socket, request) -> {
@@ -288,7 +288,7 @@
     }
 
     @Test
-    void breaksWhatIsOpenAtAProcessThatStartedAnew() throws Exception {
+    void failsOpenRequestsOfRestartedHost() throws Exception {
         List<Socket> watches = new CopyOnWriteArrayList<>();
         ScriptedHost discovery = new ScriptedHost((socket, request) -> {
             GatewayFixture.startWatch(socket);
@@ -309,7 +309,7 @@
     }
 
     @Test
-    void answersAllThatItTookBeforeItEnds() throws Exception {
+    void answersAcceptedRequestsBeforeShutdownCompletes() throws Exception {
         CompletableFuture<Socket> held = new CompletableFuture<>();
         try (ScriptedHost host = new ScriptedHost((socket, request) -> held.complete(socket));
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
@@ -317,7 +317,7 @@
             Client open = f.client();
             open.write(submit("r", LONG_TIMEOUT_MILLIS, "x"));
             Socket socket = held.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-            CompletableFuture<Void> ended = f.gateway.end();
+            CompletableFuture<Void> ended = f.gateway.shutDown();
             assertNull(idle.read(), "an idle connection is closed");
             assertFalse(ended.isDone(), "a request is still held");
             SERVES.answer(socket, null);
@@ -330,12 +330,12 @@
 
     /** Clients may have nobody else to go to: what they have goes on being served, on the same connection. */
     @Test
-    void servesOnKeptConnectionsForATimeAfterItWasAskedToEnd() throws Exception {
+    void servesKeepAliveConnectionsDuringShutdown() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
             client.exchange(status("before", LONG_TIMEOUT_MILLIS));
-            CompletableFuture<Void> ended = f.gateway.end();
+            CompletableFuture<Void> ended = f.gateway.shutDown();
             await("the end's begin", () -> f.get("/ready").firstLine().contains(" 503 "));
             Message answer = client.exchange(status("after", LONG_TIMEOUT_MILLIS));
             assertTrue(answer.firstLine().contains(" 200 "));
@@ -349,7 +349,7 @@
     }
 
     @Test
-    void makesRoomForNewClientsByClosingTheLongestIdle() throws Exception {
+    void closesLongestIdleClientConnectionAtLimit() throws Exception {
         ScriptedHost host = new ScriptedHost(SERVES);
         // 64 descriptors are kept for other uses; half of the other 16 are for clients.
         try (host;
@@ -370,7 +370,7 @@
     }
 
     @Test
-    void asksAgainAfterABrokenWatchFromWhereItWas() throws Exception {
+    void resumesBrokenWatchFromLastIndex() throws Exception {
         List<String> asked = new CopyOnWriteArrayList<>();
         ScriptedHost discovery = new ScriptedHost((socket, request) -> {
             asked.add(request.firstLine());
@@ -392,7 +392,7 @@
 
     /** Most hosts fail one class and serve the other well: this class goes to the one that serves it. */
     @Test
-    void aClassGoesRoundTheHostsThatFailIt() throws Exception {
+    void routesClassAroundHostsThatFailIt() throws Exception {
         Script failsPosts = (socket, request) -> ScriptedHost.reply(
                         request.firstLine().startsWith("POST") ? "500 Broken" : "200 OK", "x")
                 .answer(socket, request);
@@ -422,7 +422,7 @@
 
     /** An answer that never comes must not wait for its time-out, once the host has answered what came later. */
     @Test
-    void anOvertakenRequestIsTriedElsewhere() throws Exception {
+    void retriesOvertakenRequestOnAnotherHost() throws Exception {
         List<Socket> watches = new CopyOnWriteArrayList<>();
         ScriptedHost discovery = new ScriptedHost((socket, request) -> {
             GatewayFixture.startWatch(socket);
--- a/src/test/java/tinworks/net/PeersTest.java
+++ b/src/test/java/tinworks/net/PeersTest.java
@@ -21,10 +21,10 @@
 /** Reports between gateways of the earlier protocol. */
 class PeersTest {
     private final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
-    private final BlockingQueue<String> said = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
 
     @AfterEach
-    void end() {
+    void shutDownLoop() {
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
                 .awaitUninterruptibly(GatewayFixture.AWAIT_TIMEOUT_MILLIS);
     }
@@ -46,8 +46,8 @@
                 new Peers.Addresses(local(0), List.of(local(1), others), others),
                 0,
                 (gateway, body) ->
-                        said.add(gateway + " " + new String(body, java.nio.charset.StandardCharsets.US_ASCII)),
-                line -> said.add(line));
+                        received.add(gateway + " " + new String(body, java.nio.charset.StandardCharsets.US_ASCII)),
+                line -> received.add(line));
         GatewayFixture.await("the address", () -> peers.address() != null);
         return peers;
     }
@@ -58,11 +58,11 @@
     }
 
     @Test
-    void tellsAllOthersAndNothingTooLong() throws Exception {
+    void broadcastsOnlyMessagesWithinMaximumLength() throws Exception {
         try (DatagramSocket other = socket()) {
             Peers peers = peers(other);
-            peers.tellAll(new byte[Peers.LONGEST + 1]);
-            peers.tellAll(new byte[] {1, 2, 3});
+            peers.broadcast(new byte[Peers.MAX_MESSAGE_BYTES + 1]);
+            peers.broadcast(new byte[] {1, 2, 3});
             DatagramPacket packet = new DatagramPacket(new byte[1024], 1024);
             other.receive(packet);
             assertArrayEquals(new byte[] {1, 2, 3}, java.util.Arrays.copyOf(packet.getData(), packet.getLength()));
@@ -71,33 +71,37 @@
     }
 
     @Test
-    void hearsOtherGatewaysByTheirNumbersAndNobodyElse() throws Exception {
+    void receivesMessagesOfKnownGatewaysOnly() throws Exception {
         try (DatagramSocket other = socket();
                 DatagramSocket stranger = socket()) {
             Peers peers = peers(other);
             send(stranger, peers, 3);
-            send(other, peers, Peers.LONGEST + 1);
+            send(other, peers, Peers.MAX_MESSAGE_BYTES + 1);
             send(other, peers, 0);
             send(other, peers, 2);
-            assertEquals("1 ", said.poll(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
-            assertEquals("1 ..", said.poll(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+            assertEquals("1 ", received.poll(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+            assertEquals("1 ..", received.poll(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
         }
     }
 
     @Test
-    void staysSilentWhereItsAddressIsTaken() throws Exception {
+    void logsAndDropsMessagesWhenAddressIsInUse() throws Exception {
         try (DatagramSocket other = socket()) {
             InetSocketAddress taken = local(other.getLocalPort());
             Peers peers = new Peers(
-                    group.next(), new Peers.Addresses(taken, List.of(), taken), 0, (gateway, body) -> {}, said::add);
-            String line = said.poll(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+                    group.next(),
+                    new Peers.Addresses(taken, List.of(), taken),
+                    0,
+                    (gateway, body) -> {},
+                    received::add);
+            String line = received.poll(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             assertEquals("no messages between gateways", line.substring(0, line.indexOf(':')));
-            peers.tellAll(new byte[] {1});
+            peers.broadcast(new byte[] {1});
         }
     }
 
     @Test
-    void theConfigurationTellsOfOthersOrOfNone() throws Exception {
+    void readsPeerAddressesFromConfiguration() throws Exception {
         assertNull(Peers.Addresses.read(Json.read("{}")));
         Peers.Addresses read = Peers.Addresses.read(Json.read("{\"peer_listen\":\"127.0.0.1:7946\","
                 + "\"peers\":[\"127.0.0.2:7946\",\"127.0.0.3:7946\"],\"peers_all\":\"127.0.0.9:7946\"}"));
--- a/src/test/java/tinworks/net/ReloadTest.java
+++ b/src/test/java/tinworks/net/ReloadTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void goesOverAtOnceAndKeepsTheListAndWhatIsOpen() throws Exception {
+    void switchesDiscoveryAndKeepsHostsAndOpenRequests() throws Exception {
         List<Socket> before = new CopyOnWriteArrayList<>();
         List<Socket> after = new CopyOnWriteArrayList<>();
         CompletableFuture<Socket> held = new CompletableFuture<>();
@@ -66,11 +66,11 @@
             assertEquals("old", open.read().body(), "the host and the open request are kept");
             // The new address counts on its own: what it tells holds, although its version is lower.
             line(after.get(0), list(8, false, List.of(entry("s", host, "removed", 0), entry("n", newcomer, "up", 0))));
-            await("the newcomer's request", () -> served(f, "new"));
+            await("the newcomer's request", () -> isServed(f, "new"));
         }
     }
 
-    private static boolean served(GatewayFixture f, String body) {
+    private static boolean isServed(GatewayFixture f, String body) {
         try {
             return f.client()
                     .exchange(status("r" + System.nanoTime(), 200))
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void keepsTheOldConfigurationWhereTheNewOneCannotBeRead() throws Exception {
+    void keepsOldConfigurationWhenNewOneIsUnreadable() throws Exception {
         List<Socket> watches = new CopyOnWriteArrayList<>();
         ScriptedHost discovery = discovery(1, watches);
         try (ScriptedHost host = new ScriptedHost(ScriptedHost.reply("200 OK", "fine"));
@@ -96,7 +96,7 @@
             Files.delete(folder.resolve("config.json"));
             GatewayProcess.reload(f.gateway, environment);
             line(watches.get(0), list(2, false, List.of(entry("s", host, "up", 0))));
-            await("what the old watch tells", () -> served(f, "fine"));
+            await("what the old watch tells", () -> isServed(f, "fine"));
             assertEquals(1, discovery.connections.size(), "the old watch was never replaced");
         }
     }
@@ -107,7 +107,7 @@
      * takes no handler for it.
      */
     @Test
-    void aProcessLivesThroughHangUpsAndFollowsTheNewFile() throws Exception {
+    void processSurvivesHangUpAndFollowsNewFile() throws Exception {
         List<Socket> watches = new CopyOnWriteArrayList<>();
         try (ScriptedHost first = discovery(1, watches);
                 ScriptedHost second = discovery(1, watches)) {
@@ -126,10 +126,10 @@
             try {
                 await("the first watch", () -> first.requests.size() == 1);
                 environment(second.addressText());
-                hangUp(process);
+                sendHangUp(process);
                 await("the watch after the first signal", () -> second.requests.size() == 1);
                 environment(first.addressText());
-                hangUp(process);
+                sendHangUp(process);
                 await("the watch after the second signal", () -> first.requests.size() == 2);
                 assertTrue(process.isAlive());
             } finally {
@@ -139,7 +139,7 @@
         }
     }
 
-    private static void hangUp(Process process) throws Exception {
+    private static void sendHangUp(Process process) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("/bin/sh", "-c", "kill -HUP " + process.pid())
--- a/src/test/java/tinworks/net/StallTest.java
+++ b/src/test/java/tinworks/net/StallTest.java
@@ -19,7 +19,7 @@
             .replace("\"aim_ns\":10000000000", "\"aim_ns\":1000000000");
 
     /** After a whole second the gateway knows its rate; one of little traffic sheds nobody. */
-    private static final long USUAL_NANOS = TimeUnit.MILLISECONDS.toNanos(1_200);
+    private static final long NORMAL_TRAFFIC_NANOS = TimeUnit.MILLISECONDS.toNanos(1_200);
 
     private static final long STALL_MILLIS = 1_500;
     /** On a busy machine the way to the hosts alone may take half a second, which is not the gateway's stall. */
@@ -27,15 +27,15 @@
 
     private static final String ANSWER = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-    private volatile CountDownLatch answering = new CountDownLatch(0);
-    private int asked;
+    private volatile CountDownLatch responsesReleased = new CountDownLatch(0);
+    private int sent;
 
     @Test
-    void aStallOfItsOwnIsNotTheHostsAndRefusesNobody() throws Exception {
+    void ownStallIsNotBlamedOnHostsAndRefusesNoRequest() throws Exception {
         List<String> refused = List.of();
         for (int round = 0; round < ROUNDS && (round == 0 || !refused.isEmpty()); round++) {
             try (ScriptedHost host = new ScriptedHost((socket, request) -> {
-                        await(answering);
+                        await(responsesReleased);
                         ScriptedHost.write(socket, ANSWER);
                     });
                     GatewayFixture fixture = new GatewayFixture(
@@ -55,28 +55,28 @@
         for (int i = 0; i < CLIENTS; i++) {
             clients.add(fixture.client());
         }
-        for (long end = System.nanoTime() + USUAL_NANOS; System.nanoTime() < end; ) {
-            ask(clients);
-            refusals(clients);
+        for (long end = System.nanoTime() + NORMAL_TRAFFIC_NANOS; System.nanoTime() < end; ) {
+            sendRequests(clients);
+            readRefusals(clients);
         }
-        answering = new CountDownLatch(1);
+        responsesReleased = new CountDownLatch(1);
         int before = host.requests.size();
-        ask(clients);
+        sendRequests(clients);
         GatewayFixture.await("all at the hosts", () -> host.requests.size() == before + CLIENTS);
         fixture.stall(STALL_MILLIS);
-        answering.countDown();
-        refusals(clients);
-        ask(clients);
-        return refusals(clients);
+        responsesReleased.countDown();
+        readRefusals(clients);
+        sendRequests(clients);
+        return readRefusals(clients);
     }
 
-    private void ask(List<Client> clients) throws IOException {
+    private void sendRequests(List<Client> clients) throws IOException {
         for (Client client : clients) {
-            client.write(GatewayFixture.status("request-" + asked++, GatewayFixture.LONG_TIMEOUT_MILLIS));
+            client.write(GatewayFixture.status("request-" + sent++, GatewayFixture.LONG_TIMEOUT_MILLIS));
         }
     }
 
-    private static List<String> refusals(List<Client> clients) throws IOException {
+    private static List<String> readRefusals(List<Client> clients) throws IOException {
         List<String> refusals = new ArrayList<>();
         for (Client client : clients) {
             String told = client.read().firstLine();
--- a/src/test/java/tinworks/net/WarmUpTest.java
+++ b/src/test/java/tinworks/net/WarmUpTest.java
@@ -21,7 +21,7 @@
     }
 
     /** The folders of this process's rehearsals: those of other processes come and go meanwhile. */
-    private static List<Path> folders() throws IOException {
+    private static List<Path> warmUpFolders() throws IOException {
         String own = "rehearsal-" + ProcessHandle.current().pid() + "-";
         try (var files = Files.list(Path.of(System.getProperty("java.io.tmpdir")))) {
             return files.filter(f -> f.getFileName().toString().startsWith(own)).toList();
@@ -29,21 +29,21 @@
     }
 
     @Test
-    void isPlayedToItsEndAndLeavesNothing() throws Exception {
-        List<Path> before = folders();
+    void completesAndLeavesNoFiles() throws Exception {
+        List<Path> before = warmUpFolders();
         assertTrue(WarmUp.run(config(), GatewayFixture.AWAIT_TIMEOUT_MILLIS * 6));
-        assertEquals(before, folders());
+        assertEquals(before, warmUpFolders());
     }
 
     @Test
-    void isPlayedInMemoryWhereAProcessHasNoFileSockets() throws Exception {
-        assertTrue(WarmUp.inMemory(config(), GatewayFixture.AWAIT_TIMEOUT_MILLIS * 6));
+    void completesInMemoryWithoutUnixDomainSockets() throws Exception {
+        assertTrue(WarmUp.runInMemory(config(), GatewayFixture.AWAIT_TIMEOUT_MILLIS * 6));
     }
 
     @Test
-    void isCutShortWhereItTakesTooLong() throws Exception {
-        List<Path> before = folders();
+    void stopsAtTimeLimit() throws Exception {
+        List<Path> before = warmUpFolders();
         assertFalse(WarmUp.run(config(), 1));
-        assertEquals(before, folders());
+        assertEquals(before, warmUpFolders());
     }
 }
