--- a/src/main/java/tinworks/net/AttemptLimit.java
+++ b/src/main/java/tinworks/net/AttemptLimit.java
@@ -1,13 +1,13 @@
 package tinworks.net;
 
 /**
- * How often a request may run, by the route that it came on. Kept beside the decision module, so that what the module
- * decides is checked against something else than its own books.
+ * How often a request may be sent, by its route. The load balancer does not use this record, so that its decisions are
+ * checked against data other than its own.
  *
- * @param atMostOnce whether it must not run twice
- * @param maxAttempts the most hosts that it may go to, 1 or more
+ * @param atMostOnce whether the request must not be executed twice
+ * @param maxAttempts the maximum number of attempts, at least 1
  */
 public record AttemptLimit(boolean atMostOnce, int maxAttempts) {
-    /** For requests of which nothing is known. */
+    /** No limit, for requests without a route. */
     static final AttemptLimit NONE = new AttemptLimit(false, Integer.MAX_VALUE);
 }
--- a/src/main/java/tinworks/net/AttemptList.java
+++ b/src/main/java/tinworks/net/AttemptList.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import tinworks.net.UnservedRequest.AttemptSummary;
 
-/** The attempts of one request at hosts, in their order. */
+/** The attempts of one request, in the order in which they were sent. */
 final class AttemptList {
     private final List<HostPool.Attempt> attempts = new ArrayList<>(1);
     private final List<String> hosts = new ArrayList<>(1);
 
-    /** Adds an attempt that was begun. */
+    /** Adds an attempt that was started. */
     void add(String host, HostPool.Attempt attempt) {
         hosts.add(host);
         attempts.add(attempt);
@@ -27,12 +27,12 @@
         return attempts.indexOf(attempt);
     }
 
-    /** The host of an attempt. */
+    /** The host of the attempt with this number. */
     String host(int number) {
         return hosts.get(number);
     }
 
-    /** Whether each has ended, and proves that the request didn't run. */
+    /** Whether all attempts have ended with outcomes that prove that the request was not executed. */
     boolean allProvenNotExecuted() {
         for (HostPool.Attempt attempt : attempts) {
             if (attempt.outcome() == null || !attempt.outcome().provesNotExecuted()) {
@@ -42,12 +42,12 @@
         return true;
     }
 
-    /** What became of each by a time. */
-    List<AttemptSummary> summaries(long now) {
+    /** The state of each attempt at the given time. */
+    List<AttemptSummary> summaries(long nowNanos) {
         List<AttemptSummary> summaries = new ArrayList<>(attempts.size());
         for (int i = 0; i < attempts.size(); i++) {
             HostPool.Attempt attempt = attempts.get(i);
-            summaries.add(new AttemptSummary(hosts.get(i), attempt.outcome(), attempt.durationNanos(now)));
+            summaries.add(new AttemptSummary(hosts.get(i), attempt.outcome(), attempt.durationNanos(nowNanos)));
         }
         return summaries;
     }
--- a/src/main/java/tinworks/net/BalancerProtocol.java
+++ b/src/main/java/tinworks/net/BalancerProtocol.java
@@ -9,7 +9,7 @@
 import tinworks.policy.LoadBalancerApi.LoadReport;
 import tinworks.policy.LoadBalancerApi.Outcome;
 
-/** How requests and answers look in the earlier protocol. */
+/** Requests, responses and load reports in the form of the earlier protocol. */
 final class BalancerProtocol implements ForwardingProtocol, HostPool.ResponseClassifier {
     static final BalancerProtocol INSTANCE = new BalancerProtocol();
 
@@ -26,8 +26,8 @@
     }
 
     @Override
-    public void relay(Reply reply, Response answer) {
-        reply.ok(answer.body());
+    public void relay(Reply reply, Response response) {
+        reply.ok(response.body());
     }
 
     @Override
@@ -40,16 +40,16 @@
         reply.text(HttpResponseStatus.BAD_GATEWAY, "failed: it may have run", 0);
     }
 
-    /** Guards against a break that passes for the end of a body: only a framed 200 is a whole one. */
+    /** Accepts a 200 only if its body is framed, since a broken connection otherwise looks like the end of the body. */
     @Override
     public Outcome outcome(String request, HttpResponse head, boolean framed) {
         HttpResponseStatus status = head.status();
         if (status.equals(HttpResponseStatus.OK)) {
             return framed ? Outcome.SERVED : Outcome.ERROR;
         }
-        boolean turnedAway = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
+        boolean rejected = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
                 || status.equals(HttpResponseStatus.GATEWAY_TIMEOUT);
-        return turnedAway && "1".equals(head.headers().get("X-Not-Processed")) ? Outcome.FULL : Outcome.ERROR;
+        return rejected && "1".equals(head.headers().get("X-Not-Processed")) ? Outcome.FULL : Outcome.ERROR;
     }
 
     @Override
--- a/src/main/java/tinworks/net/Forwarding.java
+++ b/src/main/java/tinworks/net/Forwarding.java
@@ -27,33 +27,33 @@
 import tinworks.policy.Reason;
 
 /**
- * A decision module at work: owns it, its timers and the requests that it decides about, and carries out what it
- * decides. Everything runs on one event loop thread.
+ * Forwards requests to hosts: owns a load balancer, its timers and its open requests, and carries out its actions. It
+ * makes no decisions itself, and checks some of those made. Everything runs on one event loop thread.
  *
- * <p>Events wait in a queue while the module is at work, so that nothing an action causes re-enters it.
+ * <p>Events that arise while the load balancer processes another one are queued, so that it is not re-entered.
  */
 public final class Forwarding implements Actions {
-    /** What of the module's actions isn't about requests. */
+    /** Receives the load balancer's actions that do not concern a single request, and reports on requests. */
     public interface Callbacks {
-        /** The module wants the list of hosts, and changes to it. */
+        /** The load balancer subscribes to the list of hosts and its changes. */
         void subscribe();
 
-        /** The module has a message for all other gateways. */
+        /** Sends a message to all other gateways. */
         void broadcast(byte[] body);
 
-        /** A line for the operators. */
+        /** Logs a line for the operators. */
         void log(String line);
 
-        /** A request ended without a host's success. */
+        /** A request ended without a successful response. */
         default void requestEnded(UnservedRequest request) {}
 
-        /** Whether a host may get new requests by the newest list; only checked, not decided by. */
+        /** Whether the newest list lets a host receive new requests. Used to check decisions, not to make them. */
         default boolean isReady(String host) {
             return true;
         }
     }
 
-    /** Scheduled work comes late on a busy machine; a request without an answer for longer than this was forgotten. */
+    /** Timers fire late on a busy machine; a request is overdue if it is open for longer past its deadline. */
     static final long OVERDUE_GRACE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final EventLoop loop;
@@ -67,88 +67,88 @@
     private final ForwardingCounters counters = new ForwardingCounters();
     private long lastEventNanos = Long.MIN_VALUE;
     private boolean processingEvents;
-    /** The request that the module last acted on in the decision under way, or null. */
+    /** The request of the latest action in the event being processed, or null. */
     private String currentRequestId;
 
     private boolean closed;
 
     private record TimestampedEvent(long timestampNanos, Event event) {}
 
-    /** A module with these settings; the hosts are the caller's to keep in step with the lists that it tells. */
+    /** Creates a load balancer with these settings; the caller updates {@code hosts} with each host list. */
     public Forwarding(
             EventLoop loop,
             MonotonicClock clock,
             Settings settings,
             long seed,
             HostPool hosts,
-            ForwardingProtocol style,
-            Callbacks owner) {
+            ForwardingProtocol protocol,
+            Callbacks callbacks) {
         this.loop = loop;
         this.clock = clock;
         this.hosts = hosts;
-        this.protocol = style;
-        this.callbacks = owner;
+        this.protocol = protocol;
+        this.callbacks = callbacks;
         loadBalancer = new LoadBalancer(settings, seed, this);
     }
 
-    /** Takes on a request, which from here on gets one answer; the limit is only checked, not decided by. */
-    public void begin(long at, RequestArrived arrived, AttemptLimit limit, FullHttpRequest request, Reply reply)
+    /** Accepts a request, which then gets exactly one response. The limit is used to check decisions only. */
+    public void begin(long atNanos, RequestArrived arrived, AttemptLimit limit, FullHttpRequest request, Reply reply)
             throws BadRequest {
         if (openRequests.containsKey(arrived.id())) {
             throw new BadRequest(HttpResponseStatus.CONFLICT, "a request with this id is open");
         }
-        OpenRequest r = new OpenRequest(at, arrived, limit, request, reply);
+        OpenRequest r = new OpenRequest(atNanos, arrived, limit, request, reply);
         reply.retainRequest(request);
         openRequests.put(r.id, r);
         counters.requestAccepted();
         reply.onClientDisconnect(r::clientDisconnected);
-        dispatch(at, arrived);
+        dispatch(atNanos, arrived);
     }
 
-    /** What became of requests so far; it goes on counting. */
+    /** Live counters of requests and attempts. */
     public ForwardingCounters counters() {
         return counters;
     }
 
-    /** From now on no timer goes off. */
+    /** Stops all timers from firing. */
     public void close() {
         closed = true;
     }
 
     /**
-     * Finds requests that have no answer though their time has long been over, and fails them: nobody else would. To be
-     * called about once a second; only what is found twice counts, since after a stall of the event loop this may come
-     * before the work that is due.
+     * Fails requests that are still open long after their deadline, since nothing else would end them. To be called
+     * about once a second. A request is failed the second time that it is found, because after a stall of the event
+     * loop this check may run before work that is due.
      */
     public void failOverdue() {
-        long before = clock.nanos() - OVERDUE_GRACE_NANOS;
+        long overdueBefore = clock.nanos() - OVERDUE_GRACE_NANOS;
         for (OpenRequest r : List.copyOf(openRequests.values())) {
-            if (r.reply.isDone() || r.deadlineNanos > before) {
+            if (r.reply.isDone() || r.deadlineNanos > overdueBefore) {
                 continue;
             }
             if (!r.seenOverdue) {
                 r.seenOverdue = true;
                 continue;
             }
-            Invariant.ANSWERED_IN_TIME.violated(r.id + " of " + r.requestClass + " has no answer");
+            Invariant.ANSWERED_IN_TIME.violated(r.id + " of " + r.requestClass + " has no response after its deadline");
             fail(r.id, Reason.FAULT);
             dispatch(new ClientDisconnected(r.id));
         }
     }
 
-    /** How many requests are open. */
+    /** The number of open requests. */
     public int open() {
         return openRequests.size();
     }
 
-    /** Tells the module of something now. */
+    /** Passes an event to the load balancer, at the current time. */
     public void dispatch(Event event) {
         dispatch(clock.nanos(), event);
     }
 
-    /** The one way into the module. Its times never go back, even where events are stamped earlier. */
-    private void dispatch(long at, Event event) {
-        events.add(new TimestampedEvent(at, event));
+    /** The only entry to the load balancer, whose time never goes back even if an event has an earlier timestamp. */
+    private void dispatch(long atNanos, Event event) {
+        events.add(new TimestampedEvent(atNanos, event));
         if (processingEvents) {
             return;
         }
@@ -163,22 +163,22 @@
         }
     }
 
-    /** Guards against one request's fault ending the process, or leaving its client to wait. */
+    /** An exception fails only the requests concerned: it neither ends the process nor leaves a client waiting. */
     private void process(Event event) {
         currentRequestId = null;
         try {
             loadBalancer.onEvent(lastEventNanos, event);
         } catch (RuntimeException e) {
             Invariant.NO_FAULT.violatedBy(
-                    e, "the decision on " + event.getClass().getSimpleName());
-            String faulty = currentRequestId;
+                    e, "the load balancer failed to process " + event.getClass().getSimpleName());
+            String failedRequestId = currentRequestId;
             failAfterFault(event instanceof RequestArrived arrived ? arrived.id() : null);
             failAfterFault(event instanceof AttemptEnded ended ? ended.id() : null);
-            failAfterFault(faulty);
+            failAfterFault(failedRequestId);
         }
     }
 
-    /** Fails a request whose decision broke off, and has the module let go of it. */
+    /** Fails a request after an exception, and makes the load balancer drop it. */
     private void failAfterFault(String id) {
         OpenRequest r = openRequests.get(id);
         if (r != null && !r.reply.isDone()) {
@@ -267,7 +267,7 @@
         callbacks.log(line);
     }
 
-    /** A request that is owed its answer, or whose attempts have not all ended. */
+    /** A request without a response, or with attempts in flight. */
     private final class OpenRequest implements HostPool.AttemptListener {
         private final String id;
         private final String requestClass;
@@ -279,14 +279,14 @@
         private final Reply reply;
         private final AttemptList attempts = new AttemptList();
         private int attemptsInFlight;
-        /** It was found without an answer after its time once. */
+        /** Whether {@link #failOverdue} has found the request open after its deadline once. */
         private boolean seenOverdue;
-        /** A whole answer that did not serve, kept in case that none does. */
+        /** The latest complete error response, kept in case no attempt succeeds. */
         private Response lastResponse;
 
-        OpenRequest(long at, RequestArrived arrived, AttemptLimit limit, FullHttpRequest request, Reply reply) {
-            startedAtNanos = at;
-            deadlineNanos = at + arrived.expiresInNanos();
+        OpenRequest(long atNanos, RequestArrived arrived, AttemptLimit limit, FullHttpRequest request, Reply reply) {
+            startedAtNanos = atNanos;
+            deadlineNanos = atNanos + arrived.expiresInNanos();
             this.limit = limit;
             id = arrived.id();
             requestClass = arrived.requestClass();
@@ -296,87 +296,88 @@
         }
 
         /**
-         * The host is told a deadline that takes off what may have passed before the request was read, and ends its
-         * work by that itself; the attempt is only broken off once the time-out has passed for certain.
+         * Sends an attempt. The timeout sent to the host excludes the queueing delay before the request was read, and
+         * the host ends its work by it; the attempt itself is cut off only at the full timeout.
          */
         void send(String server, long timeoutNanos) {
             checkSend(server, timeoutNanos);
             attemptsInFlight++;
             FullHttpRequest copy = protocol.forHost(request, server, timeoutNanos - queueingDelayNanos);
-            long restedNanos = protocol.maxIdleNanos(requestClass);
-            attempts.add(server, hosts.send(server, id, copy, timeoutNanos, restedNanos, this));
+            long maxIdleNanos = protocol.maxIdleNanos(requestClass);
+            attempts.add(server, hosts.send(server, id, copy, timeoutNanos, maxIdleNanos, this));
         }
 
         private void checkSend(String server, long timeoutNanos) {
-            Invariant.ONE_ANSWER.check(!reply.isDone(), () -> id + " is sent to " + server + " after its end");
+            Invariant.ONE_ANSWER.check(!reply.isDone(), () -> id + " is sent to " + server + " after its response");
             Invariant.RUNS_ONCE.check(
                     !limit.atMostOnce() || attempts.allProvenNotExecuted(),
-                    () -> id + " is sent to " + server + " behind " + attemptSummaries());
+                    () -> id + " is sent to " + server + " after attempts " + attemptSummaries());
             Invariant.TRIES_KEPT.check(
                     attempts.size() < limit.maxAttempts(),
-                    () -> id + " of " + limit.maxAttempts() + " tries is sent to " + server + " behind "
-                            + attemptSummaries());
-            Invariant.NOT_TO_DRAINED.check(callbacks.isReady(server), () -> id + " is sent to " + server);
+                    () -> id + " exceeds limit " + limit.maxAttempts() + " at " + server + ": " + attemptSummaries());
+            Invariant.NOT_TO_DRAINED.check(callbacks.isReady(server), () -> id + " is sent to unready " + server);
             Invariant.DEADLINE_KEPT.check(
                     timeoutNanos <= deadlineNanos - lastEventNanos,
-                    () -> id + " is sent with " + timeoutNanos + " ns of " + (deadlineNanos - lastEventNanos));
+                    () -> id + " is sent with " + timeoutNanos + " of " + (deadlineNanos - lastEventNanos)
+                            + " ns left");
         }
 
-        /** Guards against a promise to a client that what may not run twice has not run, where it may have. */
+        /** Checks that an at-most-once request that is refused cannot have been executed, as a refusal promises. */
         void checkRefusal() {
             Invariant.PROMISE_KEPT.check(
                     !limit.atMostOnce() || attempts.allProvenNotExecuted(),
-                    () -> id + " is refused behind " + attemptSummaries());
+                    () -> id + " is refused after attempts " + attemptSummaries());
         }
 
         @Override
-        public void ended(HostPool.Attempt attempt, Outcome outcome, long at, LoadReport load, Response answer) {
+        public void ended(HostPool.Attempt attempt, Outcome outcome, long atNanos, LoadReport load, Response response) {
             int number = attempts.indexOf(attempt);
             attemptsInFlight--;
-            counters.attemptEnded(outcome, attempt.elapsedNanos(at));
+            counters.attemptEnded(outcome, attempt.elapsedNanos(atNanos));
             if (outcome == Outcome.SERVED) {
                 Invariant.OWN_ANSWER.check(
-                        protocol.provesSuccess(id, answer), () -> id + " is answered by " + answer.head());
-                holdReservationUntilWritten(answer);
-                protocol.relay(reply, answer);
+                        protocol.provesSuccess(id, response), () -> id + " is served by " + response.head());
+                holdReservationUntilWritten(response);
+                protocol.relay(reply, response);
             } else if (outcome == Outcome.ERROR) {
-                retainLastResponse(answer);
+                retainLastResponse(response);
             }
             removeIfFinished();
             dispatch(
-                    at,
+                    atNanos,
                     new AttemptEnded(
                             id,
                             number,
                             attempts.host(number),
                             outcome,
-                            attempt.elapsedNanos(at),
+                            attempt.elapsedNanos(atNanos),
                             reply.isDone(),
                             load,
                             clock.queueingDelayNanos()));
         }
 
-        private void retainLastResponse(Response answer) {
+        private void retainLastResponse(Response response) {
             if (lastResponse != null) {
                 lastResponse.body().release();
                 lastResponse.reserved().release();
             }
-            if (answer != null) {
-                answer.body().retain();
-                answer.reserved().retain();
+            if (response != null) {
+                response.body().retain();
+                response.reserved().retain();
             }
-            lastResponse = answer;
+            lastResponse = response;
         }
 
-        /** The room of an answer's body is its own until the client has it, or can't have it any more. */
-        private void holdReservationUntilWritten(Response answer) {
-            reply.onWritten(answer.reserved().retain()::release);
+        /** Keeps the memory of a body reserved until the body is written to the client or can no longer be. */
+        private void holdReservationUntilWritten(Response response) {
+            reply.onWritten(response.reserved().retain()::release);
         }
 
-        /** Tells the owner of its end without success. */
+        /** Reports that the request ended without a successful response. */
         void reportEnd(Ending ending, Reason reason) {
-            long held = clock.nanos() - startedAtNanos + queueingDelayNanos;
-            callbacks.requestEnded(new UnservedRequest(id, requestClass, ending, reason, held, attemptSummaries()));
+            long durationNanos = clock.nanos() - startedAtNanos + queueingDelayNanos;
+            callbacks.requestEnded(
+                    new UnservedRequest(id, requestClass, ending, reason, durationNanos, attemptSummaries()));
         }
 
         private List<AttemptSummary> attemptSummaries() {
--- a/src/main/java/tinworks/net/ForwardingCounters.java
+++ b/src/main/java/tinworks/net/ForwardingCounters.java
@@ -7,7 +7,7 @@
 import tinworks.policy.LoadBalancerApi.Outcome;
 import tinworks.policy.Reason;
 
-/** What became of one service's requests since the process started, and of the attempts made for them. One thread's. */
+/** Counters of one service's requests and attempts since the process started. Not thread-safe. */
 public final class ForwardingCounters {
     private final long[] attempts = new long[Outcome.values().length];
     private long accepted;
@@ -37,40 +37,40 @@
         attemptNanos += nanos;
     }
 
-    /** Requests taken on. */
+    /** Requests accepted for forwarding. */
     public long requestsAccepted() {
         return accepted;
     }
 
-    /** Requests given up without having run, by why; reasons without any are left out. */
+    /** Requests refused without having been executed, by reason; reasons without any are left out. */
     public Map<Reason, Long> requestsRefused() {
         return counts(Reason.class, refused);
     }
 
-    /** Requests that failed and may have run, by why; reasons without any are left out. */
+    /** Requests that failed and may have been executed, by reason; reasons without any are left out. */
     public Map<Reason, Long> requestsFailed() {
         return counts(Reason.class, failed);
     }
 
-    /** Requests whose clients left before their answer. */
+    /** Requests whose clients disconnected before the response. */
     public long requestsAbandoned() {
         return abandoned;
     }
 
-    /** Attempts by how they ended, without the ways in which none did. */
+    /** Attempts by outcome; outcomes without any are left out. */
     public Map<Outcome, Long> attemptsByOutcome() {
         return counts(Outcome.class, attempts);
     }
 
-    private static <E extends Enum<E>> Map<E, Long> counts(Class<E> names, long[] counted) {
-        Map<E, Long> counts = new EnumMap<>(names);
-        Arrays.stream(names.getEnumConstants())
-                .filter(name -> counted[name.ordinal()] > 0)
-                .forEach(name -> counts.put(name, counted[name.ordinal()]));
+    private static <E extends Enum<E>> Map<E, Long> counts(Class<E> type, long[] values) {
+        Map<E, Long> counts = new EnumMap<>(type);
+        Arrays.stream(type.getEnumConstants())
+                .filter(constant -> values[constant.ordinal()] > 0)
+                .forEach(constant -> counts.put(constant, values[constant.ordinal()]));
         return counts;
     }
 
-    /** The time of all attempts together, in seconds. */
+    /** The total duration of all attempts, in seconds. */
     public double attemptSeconds() {
         return (double) attemptNanos / TimeUnit.SECONDS.toNanos(1);
     }
--- a/src/main/java/tinworks/net/ForwardingProtocol.java
+++ b/src/main/java/tinworks/net/ForwardingProtocol.java
@@ -4,25 +4,25 @@
 import tinworks.net.ClientServer.Reply;
 import tinworks.net.HostPool.Response;
 
-/** How requests go to hosts, and answers to clients. */
+/** Builds the requests to hosts and the responses to clients in the form of one protocol. */
 public interface ForwardingProtocol {
-    /** A copy of a client's request for a host, with what is left of its time. */
+    /** A copy of a client's request for a host, with the remaining time as its timeout. */
     FullHttpRequest forHost(FullHttpRequest request, String host, long timeoutNanos);
 
-    /** How long a connection may have rested to carry a request of this class. */
+    /** The longest time that a connection may have been idle to carry a request of this class. */
     long maxIdleNanos(String requestClass);
 
-    /** A host's answer goes to the client. */
-    void relay(Reply reply, Response answer);
+    /** Sends a host's response to the client. */
+    void relay(Reply reply, Response response);
 
-    /** The request is given up, and trying again is harmless, best after the pause (0: no advice). */
+    /** Refuses a request that was not executed and that the client may retry after the pause (0: no hint). */
     void refuse(Reply reply, long pauseNanos);
 
-    /** The request failed and may have run; {@code last} is a host's last whole answer, or null. */
+    /** Fails a request that may have been executed; {@code last} is the last complete response, or null. */
     void fail(Reply reply, Response last);
 
-    /** Whether an answer that counts as served shows that it is a host's success for the request of this id. */
-    default boolean provesSuccess(String request, Response answer) {
+    /** Whether a response counted as served proves that a host executed the request with this id successfully. */
+    default boolean provesSuccess(String request, Response response) {
         return true;
     }
 }
--- a/src/main/java/tinworks/net/GatewayProcess.java
+++ b/src/main/java/tinworks/net/GatewayProcess.java
@@ -12,16 +12,18 @@
 import java.util.concurrent.TimeoutException;
 import tinworks.logging.LogWriter;
 
-/** The process round a {@link Gateway}: its thread, its start, its signals and its end. */
+/**
+ * The process of a {@link Gateway}: start, reload on SIGHUP and graceful shutdown. Forwarding is left to the gateway.
+ */
 public final class GatewayProcess {
-    /** The platform kills no sooner than 3.7 s after it asked for an end, where a deadline is 3 s. */
+    /** The platform kills the process no sooner than 3.7 s after SIGTERM, where the longest deadline is 3 s. */
     private static final long SHUTDOWN_TIMEOUT_MILLIS = 3_600;
 
     private static final long LOOP_SHUTDOWN_TIMEOUT_MILLIS = 100;
 
-    /** Guards against a reader of the output who has stopped: it would hold up the event loop. */
-    private static final LogWriter OUTPUT =
-            new LogWriter("output", () -> System.out, lines -> lines + " lines were dropped: nobody read the output\n");
+    /** Writes on a thread of its own: standard output blocks, and with it the event loop, if its reader stops. */
+    private static final LogWriter OUTPUT = new LogWriter(
+            "output", () -> System.out, lines -> lines + " lines dropped: standard output was not read\n");
 
     private GatewayProcess() {}
 
@@ -30,11 +32,13 @@
     }
 
     /**
-     * Starts the gateway that the environment describes and returns when it listens; it runs until the process is asked
-     * to end. A bad environment or configuration is an {@link IllegalArgumentException}.
+     * Starts the gateway that the environment describes, and returns when it listens. It runs until the process
+     * receives SIGTERM.
+     *
+     * @throws IllegalArgumentException if the environment or configuration is invalid
      */
     public static void start(Map<String, String> environment) {
-        // Guards against a search for logging libraries that aren't there, which costs a start as much as a list.
+        // Otherwise Netty looks for absent logging libraries, which takes as long as fetching the host list.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         CompletableFuture<Gateway> started = new CompletableFuture<>();
         onHangUp(() -> started.thenAccept(gateway -> reload(gateway, environment)));
@@ -43,7 +47,7 @@
         Gateway gateway =
                 Gateway.open(loop, config, Transport.TCP, GatewayProcess::log).join();
         started.complete(gateway);
-        // While discovery thinks about its first answer.
+        // Warms up while the discovery service prepares its first response.
         WarmUp.run(config, WarmUp.MAX_DURATION_MILLIS);
         try {
             gateway.listen().join();
@@ -51,37 +55,37 @@
         } catch (CompletionException e) {
             loop.loop().shutdownGracefully();
             throw new IllegalArgumentException(
-                    "can't listen on " + config.listen() + ": " + e.getCause().getMessage(), e);
+                    "cannot listen on " + config.listen() + ": " + e.getCause().getMessage(), e);
         }
     }
 
     /**
-     * Guards against the runtime's own answer to SIGHUP, which is to end. Each signal comes on a thread of its own, so
-     * the work is handed to one thread: an older file must not be applied after a newer one.
+     * Replaces the runtime's default action on SIGHUP, which is to exit. Each signal is delivered on its own thread, so
+     * the action runs on one shared thread: an older file must not be applied after a newer one.
      */
-    private static void onHangUp(Runnable work) {
-        sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> GlobalEventExecutor.INSTANCE.execute(work));
+    private static void onHangUp(Runnable action) {
+        sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> GlobalEventExecutor.INSTANCE.execute(action));
     }
 
-    /** Reads the configuration anew, off the event loop; with one that can't be read all stays as it is. */
+    /** Reloads the configuration, off the event loop. If it cannot be read, the current one is kept. */
     static void reload(Gateway gateway, Map<String, String> environment) {
         try {
             gateway.setDiscoveryAddress(GatewayConfig.readDiscovery(environment));
         } catch (IllegalArgumentException e) {
-            System.err.println("tinworks: kept the old configuration: " + e.getMessage());
+            System.err.println("tinworks: reload failed, keeping the current configuration: " + e.getMessage());
         }
     }
 
     private static void shutDown(Gateway gateway, EventLoop loop) {
         try {
             gateway.shutDown().get(SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-            // The Java runtime waits 0.3 s at its exit for a thread that stands in a system call.
+            // Otherwise the Java runtime waits 0.3 s at exit for a thread that is in a system call.
             loop.shutdownGracefully(0, LOOP_SHUTDOWN_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                     .await(LOOP_SHUTDOWN_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            System.err.println("tinworks: ended with requests open: " + e);
+            System.err.println("tinworks: shut down with requests open: " + e);
         }
     }
 }
--- a/src/main/java/tinworks/net/HostPool.java
+++ b/src/main/java/tinworks/net/HostPool.java
@@ -27,56 +27,58 @@
 import tinworks.policy.LoadBalancerApi.Outcome;
 
 /**
- * Kept-alive connections to the hosts, and the attempts on them. A connection carries one request at a time. Nothing is
- * ever sent a second time here: an attempt whose connection breaks has ended.
+ * A pool of keep-alive connections to the hosts, and the attempts sent on them. Requests are not pipelined: a
+ * connection carries one at a time. The pool does not retry; an attempt whose connection breaks has ended.
  */
 public final class HostPool {
-    /** Told once for each attempt, on the event loop, never from within {@link #send} or a cancel. */
+    /** Called once for each attempt, on the event loop, never from within {@link #send} or {@link Attempt#cancel}. */
     public interface AttemptListener {
-        /** {@code answer} is there where a whole one came, and is the listener's for the call's length. */
-        void ended(Attempt attempt, Outcome outcome, long atNanos, LoadReport load, Response answer);
+        /** An attempt ended; {@code response} is null unless it arrived complete, and is valid during the call only. */
+        void ended(Attempt attempt, Outcome outcome, long atNanos, LoadReport load, Response response);
     }
 
-    /** A host's whole answer, and the room that its body takes of the pool's budget. */
+    /** A host's complete response, and the memory that its body reserves from the pool's budget. */
     public record Response(HttpResponse head, ByteBuf body, Reservation reserved) {}
 
-    /** Whose an answer is: by the id that it repeats, where hosts repeat ids. */
+    /** Which request a response belongs to, by the request id that it echoes. */
     public enum ResponseMatch {
         THIS_REQUEST,
         OTHER_REQUEST,
+        /** The response does not identify its request. */
         UNIDENTIFIED
     }
 
-    /** How hosts say what became of a request. */
+    /** Interprets responses according to the protocol that the hosts use. */
     public interface ResponseClassifier {
         /**
-         * Whether an answer with these headers is the one to the request of this id; so it is where none repeats an id.
+         * Whether a response with these headers belongs to the request with this id. In a protocol whose hosts do not
+         * echo the id, every response does.
          */
         default ResponseMatch match(String request, HttpHeaders headers) {
             return ResponseMatch.THIS_REQUEST;
         }
 
-        /** What a whole answer to the request of this id means; {@code framed} says that its head told its length. */
+        /** The outcome that a complete response means; {@code framed}: its head delimits the body. */
         Outcome outcome(String request, HttpResponse head, boolean framed);
 
-        /** The host's account of its load, or null. */
+        /** The load that the host reports in these headers, or null. */
         LoadReport load(HttpHeaders headers);
     }
 
-    /** One host and where it is; {@code startedAt} in the clock's time, 0 where the start is long ago. */
+    /** A host and its address; {@code startedAtNanos} is in the clock's time, or 0 if it started long ago. */
     public record HostEntry(String id, SocketAddress address, long startedAtNanos, boolean ready, boolean removed) {}
 
     /**
-     * What connections may cost.
+     * Limits of the pool's connections.
      *
-     * @param hostIdleTimeoutNanos when at the latest a host closes a connection that stands idle
-     * @param maxConnections the most to all hosts
-     * @param maxResponseBytes the longest body of an answer
+     * @param hostIdleTimeoutNanos the longest time that a host keeps an idle connection open
+     * @param maxConnections the maximum number of connections to all hosts together
+     * @param maxResponseBytes the maximum length of a response body
      */
     public record Bounds(
             long connectTimeoutNanos, long hostIdleTimeoutNanos, int maxConnections, int maxResponseBytes) {}
 
-    /** Guards against a request that crosses the host's own closing of an idle connection. */
+    /** Connections are closed well before the host does it, so that no request is sent while the host closes. */
     private static final double IDLE_TIMEOUT_FRACTION = 2.0 / 3;
 
     private static final long IDLE_SWEEP_INTERVAL_MILLIS = 500;
@@ -94,28 +96,28 @@
     private final Future<?> idleSweep;
     private int connections;
 
-    /** A pool that knows no host yet, with room for all answers. */
+    /** Creates a pool without hosts and without a memory limit for response bodies. */
     public HostPool(
-            EventLoop loop, Transport transport, MonotonicClock clock, Bounds bounds, ResponseClassifier dialect) {
-        this(loop, transport, clock, bounds, new ByteBudget(Long.MAX_VALUE), dialect);
+            EventLoop loop, Transport transport, MonotonicClock clock, Bounds bounds, ResponseClassifier classifier) {
+        this(loop, transport, clock, bounds, new ByteBudget(Long.MAX_VALUE), classifier);
     }
 
     /**
-     * A pool that knows no host yet. The bodies of long answers come out of a budget: where there is no room for one,
-     * its connection isn't read until there is.
+     * Creates a pool without hosts. Long response bodies reserve memory from the budget. While it is exhausted, the
+     * connection is not read (backpressure).
      */
     public HostPool(
             EventLoop loop,
             Transport transport,
             MonotonicClock clock,
             Bounds bounds,
-            ByteBudget answers,
-            ResponseClassifier dialect) {
-        this.responseBudget = answers;
+            ByteBudget responseBudget,
+            ResponseClassifier classifier) {
+        this.responseBudget = responseBudget;
         this.loop = loop;
         this.clock = clock;
         this.bounds = bounds;
-        this.classifier = dialect;
+        this.classifier = classifier;
         bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(transport.client())
@@ -126,60 +128,60 @@
     }
 
     /**
-     * Takes in a list before the module is told of it, so that each host it names has an address; one that is
-     * {@code whole} names all that there are.
+     * Applies a host list. To be called before the load balancer receives the list, so that every host it may choose
+     * has an address. A {@code full} list also removes the hosts that it does not name.
      */
-    public void update(List<HostEntry> places, boolean whole) {
-        Set<String> named = new HashSet<>();
-        for (HostEntry place : places) {
-            named.add(place.id());
-            update(place);
-        }
-        if (whole) {
-            for (String name : List.copyOf(hosts.keySet())) {
-                if (!named.contains(name)) {
-                    hosts.remove(name).setReuseConnections(false);
+    public void update(List<HostEntry> entries, boolean full) {
+        Set<String> listedIds = new HashSet<>();
+        for (HostEntry entry : entries) {
+            listedIds.add(entry.id());
+            update(entry);
+        }
+        if (full) {
+            for (String id : List.copyOf(hosts.keySet())) {
+                if (!listedIds.contains(id)) {
+                    hosts.remove(id).setReuseConnections(false);
                 }
             }
         }
     }
 
-    private void update(HostEntry place) {
-        String name = place.id();
-        Host old = hosts.get(name);
-        if (place.removed()) {
-            hosts.remove(name);
-        } else if (old == null || !old.isSameInstance(place)) {
-            hosts.put(name, new Host(place));
+    private void update(HostEntry entry) {
+        String id = entry.id();
+        Host old = hosts.get(id);
+        if (entry.removed()) {
+            hosts.remove(id);
+        } else if (old == null || !old.isSameInstance(entry)) {
+            hosts.put(id, new Host(entry));
         } else {
-            old.setReuseConnections(place.ready());
+            old.setReuseConnections(entry.ready());
             return;
         }
         if (old != null) {
             old.setReuseConnections(false);
-            if (!place.removed()) {
-                old.closeOpenedBefore(place.startedAtNanos());
+            if (!entry.removed()) {
+                old.closeOpenedBefore(entry.startedAtNanos());
             }
         }
     }
 
     /**
-     * Starts an attempt. The request is this method's to release.
+     * Starts an attempt and takes over the reference to the request.
      *
      * @param id the request's id, for the {@link ResponseClassifier}
-     * @param restedNanos how long a connection may have rested to be trusted with this request
+     * @param maxIdleNanos the longest time that a connection may have been idle to carry this request
      */
     public Attempt send(
             String host,
             String id,
             FullHttpRequest request,
             long timeoutNanos,
-            long restedNanos,
+            long maxIdleNanos,
             AttemptListener listener) {
         Attempt attempt = new Attempt(id, request, clock.nanos(), listener);
         attempt.timer = loop.schedule(attempt::timedOut, Math.max(0, timeoutNanos), TimeUnit.NANOSECONDS);
         Host target = hosts.get(host);
-        Connection idle = target == null ? null : target.takeIdle(restedNanos);
+        Connection idle = target == null ? null : target.takeIdle(maxIdleNanos);
         if (idle != null) {
             idle.send(attempt);
         } else if (target != null && (connections < bounds.maxConnections() || closeOneIdle())) {
@@ -190,7 +192,7 @@
         return attempt;
     }
 
-    /** Closes all connections, those with a request on them too, and is of no further use. */
+    /** Closes all connections, including those with a request in flight. The pool cannot be used afterwards. */
     public void close() {
         idleSweep.cancel(false);
         hosts.values()
@@ -198,7 +200,7 @@
         hosts.clear();
     }
 
-    /** Connections that are open or on their way. */
+    /** The number of connections that are open or being opened. */
     public int connections() {
         return connections;
     }
@@ -209,39 +211,42 @@
 
     private boolean closeOneIdle() {
         for (Host host : hosts.values()) {
-            Connection longest = host.idleConnections.pollFirst();
-            if (longest != null) {
-                longest.channel.close();
+            Connection longestIdle = host.idleConnections.pollFirst();
+            if (longestIdle != null) {
+                longestIdle.channel.close();
                 return true;
             }
         }
         return false;
     }
 
-    /** One host since its last start, at one address. */
+    /** One instance of a host: a start of its process at one address. */
     private final class Host {
         private final SocketAddress address;
         private final long startedAtNanos;
-        /** The latest used last. */
+        /** Ordered by last use, the most recent last. */
         private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
 
         private final Set<Connection> openConnections = new HashSet<>();
         private boolean reuseConnections;
-        /** Shorter than the usual where the host itself has told a shorter time. */
+        /** Shorter than the default if the host announces a shorter keep-alive timeout. */
         private long idleTimeoutNanos = (long) (bounds.hostIdleTimeoutNanos() * IDLE_TIMEOUT_FRACTION);
 
-        Host(HostEntry place) {
-            address = place.address();
-            startedAtNanos = place.startedAtNanos();
-            reuseConnections = place.ready();
+        Host(HostEntry entry) {
+            address = entry.address();
+            startedAtNanos = entry.startedAtNanos();
+            reuseConnections = entry.ready();
         }
 
-        boolean isSameInstance(HostEntry place) {
-            return address.equals(place.address()) && startedAtNanos == place.startedAtNanos();
+        boolean isSameInstance(HostEntry entry) {
+            return address.equals(entry.address()) && startedAtNanos == entry.startedAtNanos();
         }
 
-        /** The latest used, so that the others come of age; one that the host has closed is passed over. */
-        Connection takeIdle(long restedNanos) {
+        /**
+         * Takes the most recently used idle connection, so that surplus ones expire. Discards those that the host has
+         * closed or that are idle for too long.
+         */
+        Connection takeIdle(long maxIdleNanos) {
             Connection connection = idleConnections.peekLast();
             while (connection != null
                     && (!connection.channel.isActive()
@@ -249,12 +254,12 @@
                 idleConnections.pollLast().channel.close();
                 connection = idleConnections.peekLast();
             }
-            return connection != null && clock.nanos() - connection.idleSinceNanos <= restedNanos
+            return connection != null && clock.nanos() - connection.idleSinceNanos <= maxIdleNanos
                     ? idleConnections.pollLast()
                     : null;
         }
 
-        /** Guards against a request that crosses the closing that this host has announced. */
+        /** Adopts the timeout that the host announces, so that no request is sent while the host closes. */
         void onKeepAliveHeader(String keepAlive) {
             int at = keepAlive == null ? -1 : keepAlive.indexOf(TIMEOUT_PARAMETER);
             if (at >= 0) {
@@ -277,7 +282,7 @@
             Connection connection = new Connection(this, attempt);
             openConnections.add(connection);
             attempt.connection = connection;
-            ChannelFuture dial = bootstrap
+            ChannelFuture connected = bootstrap
                     .clone()
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
@@ -288,9 +293,9 @@
                         }
                     })
                     .connect(address);
-            connection.channel = dial.channel();
-            dial.channel().closeFuture().addListener(closed -> loop.execute(connection::onClosed));
-            dial.addListener(connection::onConnectComplete);
+            connection.channel = connected.channel();
+            connected.channel().closeFuture().addListener(closed -> loop.execute(connection::onClosed));
+            connected.addListener(connection::onConnectComplete);
         }
 
         void closeIdle(long before) {
@@ -300,20 +305,20 @@
         }
 
         /**
-         * Guards against holding connections, of which a host has few, to one that drains or is gone. What is in work
-         * there may still be answered.
+         * Closes idle connections to a host that drains or was removed, because a host accepts few connections.
+         * Requests in flight may still be answered.
          */
-        void setReuseConnections(boolean keep) {
-            reuseConnections = keep;
-            if (!keep) {
+        void setReuseConnections(boolean reuse) {
+            reuseConnections = reuse;
+            if (!reuse) {
                 closeIdle(Long.MAX_VALUE);
             }
         }
 
-        /** Guards against waiting on a process that is no more: its machine may never say so. */
-        void closeOpenedBefore(long startOfNext) {
+        /** Ends attempts at a previous instance: if its machine vanished, nothing else closes the connection. */
+        void closeOpenedBefore(long nextStartNanos) {
             for (Connection connection : List.copyOf(openConnections)) {
-                if (connection.openedAtNanos < startOfNext) {
+                if (connection.openedAtNanos < nextStartNanos) {
                     connection.channel.close();
                 }
             }
@@ -370,7 +375,7 @@
 
         @Override
         public ResponseMatch ownerOf(HttpResponse head) {
-            // An attempt that was called off within this very read is over, and its connection closed.
+            // The attempt may have been cancelled during this read; its connection is closed then.
             return attempt == null ? ResponseMatch.THIS_REQUEST : classifier.match(attempt.id, head.headers());
         }
 
@@ -378,11 +383,11 @@
         public void onResponse(HttpResponse head, ByteBuf body, Reservation reserved, boolean framed, boolean clean) {
             Attempt answered = attempt;
             if (answered == null) {
-                return; // called off within this very read, and closed
+                return; // cancelled during this read, and the connection closed
             }
             attempt = null;
             host.onKeepAliveHeader(head.headers().get(KEEP_ALIVE));
-            // A free connection first: the module may send again at once.
+            // Before the listener is called: it may send the next request at once.
             reuseOrClose(clean && framed && HttpUtil.isKeepAlive(head) && answered.writeCompleted);
             answered.end(
                     classifier.outcome(answered.id, head, framed),
@@ -409,7 +414,7 @@
             }
         }
 
-        /** After the write's own end, so that it is known by now whether the last byte went out. */
+        /** Runs after the write future completes, so that it is known whether the request was written completely. */
         private void onClosed() {
             connections--;
             host.openConnections.remove(this);
@@ -422,7 +427,7 @@
         }
     }
 
-    /** One send of a request to a host. */
+    /** One transmission of a request to a host. */
     public final class Attempt {
         private final String id;
         private final AttemptListener listener;
@@ -436,30 +441,30 @@
         private Outcome outcome;
         private long endedAtNanos;
 
-        private Attempt(String id, FullHttpRequest request, long sentAt, AttemptListener listener) {
+        private Attempt(String id, FullHttpRequest request, long sentAtNanos, AttemptListener listener) {
             this.id = id;
             this.request = request;
-            this.sentAtNanos = sentAt;
+            this.sentAtNanos = sentAtNanos;
             headRequest = request.method().equals(HttpMethod.HEAD);
             this.listener = listener;
         }
 
-        /** How long it had been out at a time. */
-        public long elapsedNanos(long at) {
-            return Math.max(0, at - sentAtNanos);
+        /** The time from the start of the attempt to the given time. */
+        public long elapsedNanos(long atNanos) {
+            return Math.max(0, atNanos - sentAtNanos);
         }
 
-        /** How it ended, or null while it is out. */
+        /** How the attempt ended, or null while it is in flight. */
         public Outcome outcome() {
             return outcome;
         }
 
-        /** How long it took, or has been out at a time. */
-        long durationNanos(long now) {
-            return elapsedNanos(outcome == null ? now : endedAtNanos);
+        /** The duration of the attempt, or its duration so far if it is in flight. */
+        long durationNanos(long nowNanos) {
+            return elapsedNanos(outcome == null ? nowNanos : endedAtNanos);
         }
 
-        /** Stops waiting. */
+        /** Ends the attempt as cancelled, unless it has ended before. */
         public void cancel() {
             loop.execute(() -> {
                 abandon();
@@ -469,11 +474,11 @@
 
         private void timedOut() {
             abandon();
-            // What was never on its way to the host is proved not to have run.
+            // A request that was never written cannot have been executed.
             end(writeStarted ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED, null, null);
         }
 
-        /** A connection with a request on it is closed; one that is still coming up is kept for others. */
+        /** Closes a connection that carries the request; one that is still connecting stays for later requests. */
         private void abandon() {
             if (outcome == null && connection != null) {
                 connection.attempt = null;
@@ -483,18 +488,18 @@
             }
         }
 
-        private void end(Outcome itsOutcome, LoadReport load, Response answer) {
+        private void end(Outcome finalOutcome, LoadReport load, Response response) {
             if (outcome != null) {
                 return;
             }
-            outcome = itsOutcome;
+            outcome = finalOutcome;
             endedAtNanos = clock.nanos();
             timer.cancel(false);
             if (request != null) {
                 request.release();
                 request = null;
             }
-            listener.ended(this, outcome, endedAtNanos, load, answer);
+            listener.ended(this, outcome, endedAtNanos, load, response);
         }
     }
 }
--- a/src/main/java/tinworks/net/Transport.java
+++ b/src/main/java/tinworks/net/Transport.java
@@ -9,15 +9,15 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.channel.socket.nio.NioSocketChannel;
 
-/** The kind of sockets that a gateway uses on all its sides. */
+/** The channel types that a gateway uses for all its connections. */
 public record Transport(Class<? extends ServerChannel> server, Class<? extends Channel> client) {
-    /** TCP. */
+    /** TCP sockets. */
     public static final Transport TCP = new Transport(NioServerSocketChannel.class, NioSocketChannel.class);
 
-    /** Sockets in the file system, which nothing outside this machine can reach. */
+    /** Unix domain sockets, which cannot be reached from other machines. */
     static final Transport UNIX_DOMAIN =
             new Transport(NioServerDomainSocketChannel.class, NioDomainSocketChannel.class);
 
-    /** No sockets at all: both ends lie in this process, and its event loop has to be of the same kind. */
+    /** Channels within this process, without sockets; they need an event loop for local channels. */
     static final Transport IN_MEMORY = new Transport(LocalServerChannel.class, LocalChannel.class);
 }
--- a/src/main/java/tinworks/net/UnservedRequest.java
+++ b/src/main/java/tinworks/net/UnservedRequest.java
@@ -6,14 +6,15 @@
 import tinworks.policy.Reason;
 
 /**
- * A request that ended without a host's success, with all that explains it afterwards.
+ * A request that ended without a successful response, with the details that explain why. Recorded in the request
+ * journal.
  *
- * @param id the id that its client gave it
- * @param requestClass the decision module's name for its route
- * @param ending what its client was told
- * @param reason why, or null where the client left
- * @param durationNanos from its arrival to its end
- * @param attempts its attempts at hosts, in their order
+ * @param id the request id that the client sent
+ * @param requestClass the load balancer's name for the route
+ * @param ending what the client received
+ * @param reason the reason, or null if the client disconnected
+ * @param durationNanos the time from arrival to end
+ * @param attempts the attempts, in the order in which they were sent
  */
 public record UnservedRequest(
         String id,
@@ -22,21 +23,21 @@
         Reason reason,
         long durationNanos,
         List<AttemptSummary> attempts) {
-    /** What the client of such a request was told. */
+    /** What the client of an unserved request received. Constants are written to the log under their own names. */
     public enum Ending {
-        /** That it has not run. */
+        /** A response saying that the request was not executed. */
         REFUSED,
-        /** That it failed and may have run. */
+        /** A response saying that the request failed and may have been executed. */
         FAILED,
-        /** Nothing: the client had left. */
+        /** Nothing, as the client had disconnected. */
         CLIENT_LEFT
     }
 
     /**
-     * One attempt at a host.
+     * One attempt.
      *
-     * @param outcome how it ended, or null while it is out
-     * @param durationNanos how long it took, or has taken so far
+     * @param outcome how the attempt ended, or null if it is in flight
+     * @param durationNanos its duration, or its duration so far
      */
     public record AttemptSummary(String host, Outcome outcome, long durationNanos) {
         @Override
@@ -46,12 +47,12 @@
         }
     }
 
-    /** Keeps its own list. */
+    /** Copies the list of attempts. */
     public UnservedRequest {
         attempts = List.copyOf(attempts);
     }
 
-    /** One line of names and values for a log. */
+    /** The request as one log line of {@code name=value} pairs. */
     public String line() {
         StringBuilder line = new StringBuilder(160)
                 .append("request=")
--- a/src/main/java/tinworks/net/package-info.java
+++ b/src/main/java/tinworks/net/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The real gateway: sockets around the decision module. Nothing here decides where a request goes, or whether it is
- * tried again, refused or failed; it turns what happens on sockets into the module's events and the module's actions
- * into bytes. One event loop thread runs all of it.
+ * The network side of the gateway: client connections, host connections and forwarding. The load balancer decides where
+ * a request goes and whether it is retried, refused or failed. This package turns network activity into the load
+ * balancer's events and carries out its actions, all on one event loop thread.
  */
 package tinworks.net;
