--- a/src/main/java/tinworks/net/Discovery.java
+++ b/src/main/java/tinworks/net/Discovery.java
@@ -31,11 +31,11 @@
 import tinworks.json.Json;
 
 /**
- * The watch on the list of hosts. Each {@link #watch} ends as one {@link Listener#onFailure}, sooner or later; when to
- * watch again is the module's decision.
+ * Service discovery: watches the list of hosts. Each {@link #watch} eventually ends with one
+ * {@link Listener#onFailure}; this class does not reconnect, as the load balancer decides when to watch again.
  */
 final class Discovery {
-    /** Told on the event loop, never from within {@link #watch}. */
+    /** Called on the event loop, never from within {@link #watch}. */
     interface Listener {
         void onList(EndpointList list);
 
@@ -43,8 +43,8 @@
     }
 
     /**
-     * An empty line comes every two seconds. Guards against a watch whose far side vanished: nothing ends such a
-     * connection, and what it would have told counts as told after six seconds.
+     * The service sends an empty line every two seconds as a heartbeat. Without this timeout nothing would end a
+     * connection whose remote end vanished, and a change counts as known to the gateway after six seconds.
      */
     static final long READ_TIMEOUT_MILLIS = 5_000;
 
@@ -59,38 +59,38 @@
     private long index;
     private Channel watch;
 
-    /** Follows what changes after the version {@code index}; a watch that is silent for so long is broken. */
+    /** Watches for changes after the version {@code index}; closes a watch that receives nothing for the timeout. */
     Discovery(
             EventLoop loop,
             Transport transport,
             SocketAddress address,
             long index,
-            long silenceMillis,
+            long readTimeoutMillis,
             Listener listener) {
         this.loop = loop;
         this.transport = transport;
         this.address = address;
         this.index = index;
-        this.readTimeoutMillis = silenceMillis;
+        this.readTimeoutMillis = readTimeoutMillis;
         this.listener = listener;
     }
 
     /**
-     * Goes over to another address at once, without a word to the listener: the list that it has still holds, and what
-     * the new address tells comes on top. Its version may be lower, as that of any answer.
+     * Switches to another address at once, without calling the listener: the current list stays valid, and updates from
+     * the new address are applied to it. The version of any update may be lower than the current one.
      */
-    void switchTo(SocketAddress next) {
-        address = next;
+    void switchTo(SocketAddress newAddress) {
+        address = newAddress;
         close();
         watch();
     }
 
-    /** Opens the watch; one that is open, or on its way, stays the only one. */
+    /** Opens the watch, unless one is open or being opened. */
     void watch() {
         if (watch != null) {
             return;
         }
-        ChannelFuture dial = new Bootstrap()
+        ChannelFuture connected = new Bootstrap()
                 .group(loop)
                 .channel(transport.client())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
@@ -107,13 +107,13 @@
                     }
                 })
                 .connect(address);
-        watch = dial.channel();
-        Channel dialled = watch;
-        // The close future, unlike the end of a handler, is also told of a dial that failed.
-        dialled.closeFuture().addListener(closed -> loop.execute(() -> onClosed(dialled)));
+        watch = connected.channel();
+        Channel opened = watch;
+        // The close future, unlike a handler's channelInactive, also completes if the connect fails.
+        opened.closeFuture().addListener(closed -> loop.execute(() -> onClosed(opened)));
     }
 
-    /** Ends the watch without a word to the listener. */
+    /** Closes the watch without calling the listener. */
     void close() {
         Channel old = watch;
         watch = null;
@@ -129,7 +129,7 @@
         }
     }
 
-    /** Lets through the bytes of a 200 answer, and ends the connection on any other and after the last. */
+    /** Passes on the body of a 200 response; closes the connection after it, and on any other response. */
     private static final class BodyExtractor extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
@@ -147,14 +147,14 @@
         }
     }
 
-    /** Asks, and reads the answer line by line. */
+    /** Sends the request, and reads the response line by line. */
     private final class LineHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            DefaultFullHttpRequest ask = new DefaultFullHttpRequest(
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1, HttpMethod.GET, "/v1/endpoints?follow=1&since=" + index);
-            ask.headers().set(HttpHeaderNames.HOST, host());
-            ctx.writeAndFlush(ask);
+            request.headers().set(HttpHeaderNames.HOST, host());
+            ctx.writeAndFlush(request);
         }
 
         private String host() {
@@ -171,7 +171,7 @@
                     listener.onList(list);
                 }
             } catch (IOException | IllegalArgumentException e) {
-                // A change that can't be read leaves a gap: the next watch brings it again.
+                // An unreadable change would leave a gap; the next watch receives it again.
                 ctx.close();
             } finally {
                 ReferenceCountUtil.release(message);
--- a/src/main/java/tinworks/net/EndpointList.java
+++ b/src/main/java/tinworks/net/EndpointList.java
@@ -8,10 +8,10 @@
 import tinworks.policy.LoadBalancerApi.Readiness;
 import tinworks.policy.LoadBalancerApi.ServerInfo;
 
-/** The list of hosts, or changes to it, in discovery's form. */
+/** The list of hosts ({@code snapshot}), or changes to it, as discovery sends it. */
 record EndpointList(long index, boolean snapshot, List<Endpoint> endpoints) {
 
-    /** A host: what the module is told of it, and where this gateway reaches it. */
+    /** A host: its description for the load balancer, and its address. */
     record Endpoint(ServerInfo info, SocketAddress address) {
         boolean isRemoved() {
             return info.readiness() == Readiness.REMOVED;
@@ -22,7 +22,11 @@
         endpoints = List.copyOf(endpoints);
     }
 
-    /** Reads a list; what can't be read ends as an {@link IllegalArgumentException}. */
+    /**
+     * Reads a list.
+     *
+     * @throws IllegalArgumentException if it is malformed
+     */
     static EndpointList read(Json json) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (Json entry : json.required("endpoints").entries()) {
@@ -38,7 +42,7 @@
         return endpoints.stream().map(Endpoint::info).toList();
     }
 
-    /** The same for the pool of connections. */
+    /** The entries for the host pool. */
     List<HostPool.HostEntry> hostEntries() {
         return endpoints.stream()
                 .map(e -> new HostPool.HostEntry(
@@ -60,7 +64,7 @@
                 readiness,
                 entry.field("weight").number(1).doubleValue(),
                 MonotonicClock.fromUnixMillis(entry.field("since_ms").number(0).longValue()));
-        // One that is removed may come without an address: nothing goes there any more.
+        // A removed host may lack an address, as nothing is sent to it.
         SocketAddress address = readiness == Readiness.REMOVED
                 ? null
                 : Address.read(entry.required("address").text());
@@ -72,7 +76,7 @@
             case "up" -> Readiness.READY;
             case "draining" -> Readiness.DRAINING;
             case "removed" -> Readiness.REMOVED;
-            default -> throw new IllegalArgumentException("unknown status '" + status + "'");
+            default -> throw new IllegalArgumentException("unknown host status '" + status + "'");
         };
     }
 }
--- a/src/main/java/tinworks/net/Forwarding.java
+++ b/src/main/java/tinworks/net/Forwarding.java
@@ -116,9 +116,8 @@
     }
 
     /**
-     * Fails requests that are still open long after their deadline, since nothing else would end them. To be called
-     * about once a second. A request is failed the second time that it is found, because after a stall of the event
-     * loop this check may run before work that is due.
+     * Fails requests still open long after their deadline, which nothing else would end. Called about once a second. A
+     * request fails when found twice, because after a stall of the event loop this check may run before due work.
      */
     public void failOverdue() {
         long overdueBefore = clock.nanos() - OVERDUE_GRACE_NANOS;
--- a/src/main/java/tinworks/net/Gateway.java
+++ b/src/main/java/tinworks/net/Gateway.java
@@ -21,18 +21,18 @@
 import tinworks.policy.LoadBalancerApi.ShutdownStarted;
 
 /**
- * One real gateway of the earlier protocol: clients, hosts, the watch on the list and messages to other gateways round
- * one {@link Forwarding}. Everything runs on one event loop thread.
+ * One gateway of the earlier protocol. Connects clients, hosts, discovery and peer messages to one {@link Forwarding},
+ * on one event loop thread. Process start and signals are handled by {@link GatewayProcess}.
  */
 final class Gateway implements Forwarding.Callbacks {
-    /** The platform kills no sooner than the longest deadline and so much more after it asked for an end. */
+    /** After SIGTERM, the platform waits at least the longest deadline and this time before it kills the process. */
     private static final long KILL_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
-    /** Of that time, what is left for a signal that comes late and for this process's own stalls. */
+    /** The part of that time that is reserved for late delivery of the signal and for stalls of this process. */
     private static final long SHUTDOWN_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
     private static final long MAX_ACCEPTING_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final long SHUTDOWN_POLL_MILLIS = 10;
-    /** Descriptors for the listener, the watch, the selector, the jar files and the standard streams. */
+    /** File descriptors for the listener, the discovery watch, the selector, jar files and standard streams. */
     private static final int RESERVED_DESCRIPTORS = 64;
 
     private final EventLoop loop;
@@ -45,7 +45,7 @@
     private final HostPool hosts;
     private final Discovery discovery;
     private final ClientServer clients;
-    /** Null where the configuration names no other gateways. */
+    /** Null if the configuration names no other gateways. */
     private final Peers peers;
 
     private boolean discoveryResponded;
@@ -89,15 +89,15 @@
                         log);
     }
 
-    /** Starts a gateway; the future ends when it listens, or tells why it can't. */
+    /** Starts a gateway; the future completes when it listens, or exceptionally if it cannot. */
     static CompletableFuture<Gateway> start(
             GatewayLoop loop, GatewayConfig config, Transport transport, Consumer<String> log) {
         return open(loop, config, transport, log).thenCompose(Gateway::listen);
     }
 
     /**
-     * A gateway that follows discovery and takes no clients yet. Guards against a gateway that listens and isn't ready:
-     * discovery's first answer may take its time, in which other work can be done.
+     * Creates a gateway that watches discovery but does not listen yet. The first list may take long, so the caller can
+     * do other work before the gateway listens, rather than listen without being ready.
      */
     static CompletableFuture<Gateway> open(
             GatewayLoop loop, GatewayConfig config, Transport transport, Consumer<String> log) {
@@ -113,7 +113,7 @@
         return opened;
     }
 
-    /** Starts to take clients; the future ends with this gateway, or tells why it can't. From any thread. */
+    /** Starts listening; the future completes with this gateway, or exceptionally. Thread-safe. */
     CompletableFuture<Gateway> listen() {
         CompletableFuture<Gateway> started = new CompletableFuture<>();
         loop.execute(() -> clients.listen(config.listen()).addListener(bound -> {
@@ -126,41 +126,41 @@
         return started;
     }
 
-    /** Where clients connect. */
+    /** The address that clients connect to. */
     InetSocketAddress address() {
         return clients.address();
     }
 
     /**
-     * Ends in good order: serves on the connections that clients have for as long as a request can still be answered
-     * within its aim, answers all that was taken, and then completes the future. Guards against sending clients away
-     * while no other gateway may be there for them, as in a rolling restart whose starts take long; equally where the
-     * others are full, or die. It could do harm where a successor has to wait for this process's end, so the time is
-     * bounded. May be called from any thread.
+     * Starts a graceful shutdown: keeps serving on open client connections while a request can still be answered within
+     * its latency target, answers all accepted requests, and then completes the future. Otherwise clients would be sent
+     * away while no other gateway may be available, for example in a rolling restart with slow starts, or if the other
+     * gateways are full or crash. The time is bounded, since a successor may have to wait for this process to exit.
+     * Thread-safe.
      */
     CompletableFuture<Void> shutDown() {
         loop.execute(() -> {
             if (!shuttingDown) {
                 shuttingDown = true;
-                long within = max(RequestClass::deadlineNanos) + KILL_GRACE_NANOS - SHUTDOWN_MARGIN_NANOS;
-                dispatch(new ShutdownStarted(within));
+                long withinNanos = max(RequestClass::deadlineNanos) + KILL_GRACE_NANOS - SHUTDOWN_MARGIN_NANOS;
+                dispatch(new ShutdownStarted(withinNanos));
                 loop.schedule(
                         this::stopAccepting,
-                        Math.min(MAX_ACCEPTING_NANOS, within - max(RequestClass::targetNanos)),
+                        Math.min(MAX_ACCEPTING_NANOS, withinNanos - max(RequestClass::targetNanos)),
                         TimeUnit.NANOSECONDS);
             }
         });
         return terminated;
     }
 
-    private long max(ToLongFunction<RequestClass> time) {
-        return classes.values().stream().mapToLong(time).max().orElseThrow();
+    private long max(ToLongFunction<RequestClass> duration) {
+        return classes.values().stream().mapToLong(duration).max().orElseThrow();
     }
 
-    /** Follows discovery at this address from now on; the list and the open requests stay. From any thread. */
+    /** Moves the discovery watch to this address; the host list and open requests are kept. Thread-safe. */
     void setDiscoveryAddress(SocketAddress address) {
         loop.execute(() -> {
-            // Guards against a watch that nothing closes any more.
+            // After termination nothing would close the watch.
             if (!terminated.isDone()) {
                 discovery.switchTo(address);
             }
@@ -223,8 +223,8 @@
 
     private final class RequestListener implements ClientServer.Listener {
         /**
-         * Guards against a release that keeps its gateways out for as long as discovery takes to answer all of them in
-         * turn: with the list that it last had, a gateway serves meanwhile. One without a list waits.
+         * A gateway with a known host list is ready before discovery responds. Otherwise a rollout would keep gateways
+         * unready for as long as discovery takes to respond to all of them in turn. One without a list waits.
          */
         @Override
         public boolean ready() {
@@ -232,10 +232,14 @@
         }
 
         @Override
-        public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
-            long at = clock.nanos();
+        public void onRequest(FullHttpRequest request, long arrivedAtNanos, Reply reply) throws BadRequest {
+            long nowNanos = clock.nanos();
             forwarding.begin(
-                    at, RequestReader.read(request, classes, at - arrivedAt), AttemptLimit.NONE, request, reply);
+                    nowNanos,
+                    RequestReader.read(request, classes, nowNanos - arrivedAtNanos),
+                    AttemptLimit.NONE,
+                    request,
+                    reply);
         }
     }
 }
--- a/src/main/java/tinworks/net/GatewayConfig.java
+++ b/src/main/java/tinworks/net/GatewayConfig.java
@@ -13,12 +13,13 @@
 import tinworks.policy.SettingsReader;
 
 /**
- * What the platform tells a gateway at its start: the environment, and the JSON file that it names.
+ * The configuration of a gateway at its start, from the environment and the JSON file that it names.
  *
- * @param maxDescriptors the descriptors that the process may hold
- * @param connectTimeoutNanos how long a connection to a host may take to come up
- * @param hostIdleTimeoutNanos when at the latest a host closes a connection that stands idle
- * @param peers the other gateways' addresses, or null where there are none
+ * @param maxDescriptors the maximum number of file descriptors of the process
+ * @param connectTimeoutNanos the connect timeout to hosts
+ * @param hostIdleTimeoutNanos the longest time that a host keeps an idle connection open
+ * @param knownHosts the host list to use until discovery responds
+ * @param peers the addresses of the other gateways, or null if there are none
  */
 record GatewayConfig(
         SocketAddress listen,
@@ -32,7 +33,11 @@
         Peers.Addresses peers) {
     private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
 
-    /** Reads both; whatever is wrong ends as an {@link IllegalArgumentException} with one plain line. */
+    /**
+     * Reads the environment and the file.
+     *
+     * @throws IllegalArgumentException if either is invalid, with a message of one line
+     */
     static GatewayConfig read(Map<String, String> environment) {
         return read(
                 readFile(environment),
@@ -40,22 +45,22 @@
                 Address.resolve(variable(environment, "LB_DISCOVERY")));
     }
 
-    /** What may change while a gateway runs: discovery's address, which the file has and not the environment. */
+    /** Reads the discovery address from the file, not the environment: the one setting that a reload may change. */
     static SocketAddress readDiscovery(Map<String, String> environment) {
         Json address = readFile(environment).field("discovery");
         if (!address.isText()) {
-            throw new IllegalArgumentException("the configuration lacks discovery");
+            throw new IllegalArgumentException("the configuration has no discovery address");
         }
         return Address.resolve(address.text());
     }
 
     private static Json readFile(Map<String, String> environment) {
-        String file = variable(environment, "LB_CONFIG");
+        String path = variable(environment, "LB_CONFIG");
         try {
-            return Json.read(Files.readString(Path.of(file)));
+            return Json.read(Files.readString(Path.of(path)));
         } catch (IOException e) {
             throw new IllegalArgumentException(
-                    "can't read LB_CONFIG " + file + ": "
+                    "cannot read LB_CONFIG " + path + ": "
                             + e.getMessage().lines().findFirst().orElse(""),
                     e);
         }
@@ -68,7 +73,7 @@
         return new GatewayConfig(
                 listen,
                 discovery,
-                seed(json.field("seed").text()),
+                parseSeed(json.field("seed").text()),
                 json.field("limits")
                         .field("sockets")
                         .number(DEFAULT_MAX_DESCRIPTORS)
@@ -76,16 +81,16 @@
                 settings.number("allowed.dial_timeout_ns"),
                 settings.number("allowed.conn_idle_ns"),
                 settings.read(),
-                known(json.field("known")),
+                readKnownHosts(json.field("known")),
                 Peers.Addresses.read(json));
     }
 
-    /** A gateway that never had a list starts with an empty one. */
-    private static EndpointList known(Json json) {
+    /** A gateway that has never received a list starts with an empty one. */
+    private static EndpointList readKnownHosts(Json json) {
         return json.value() == null ? new EndpointList(0, true, List.of()) : EndpointList.read(json);
     }
 
-    private static long seed(String hex) {
+    private static long parseSeed(String hex) {
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
@@ -93,7 +98,7 @@
         }
     }
 
-    /** Writes nested settings as the simulator's pairs of path and value. */
+    /** Flattens nested settings to pairs of path and value, the form that the simulator uses. */
     private static void flatten(String path, Json json, Map<String, String> pairs) {
         if (json.isObject()) {
             json.fields()
@@ -113,7 +118,7 @@
     private static String variable(Map<String, String> environment, String name) {
         String value = environment.get(name);
         if (value == null || value.isEmpty()) {
-            throw new IllegalArgumentException("the environment lacks " + name);
+            throw new IllegalArgumentException("environment variable " + name + " is not set");
         }
         return value;
     }
--- a/src/main/java/tinworks/net/GatewayLoop.java
+++ b/src/main/java/tinworks/net/GatewayLoop.java
@@ -2,15 +2,15 @@
 
 import io.netty.channel.EventLoop;
 
-/** The event loop that a gateway runs on, and the clock that goes with it. */
+/** The event loop that a gateway runs on, with its clock. */
 record GatewayLoop(EventLoop loop, MonotonicClock clock) {
-    /** A loop of its own, whose clock knows how long what the loop reads may have lain unread while it was busy. */
+    /** A new event loop, whose clock reports the loop's queueing delay. */
     static GatewayLoop dedicated() {
         LoopLag lag = new LoopLag();
         return new GatewayLoop(new ClosingEventLoopGroup(1, lag).next(), new MonotonicClock(lag::nanos));
     }
 
-    /** A loop that is not only the gateway's, with a clock that takes nothing for held up: for a rehearsal. */
+    /** An event loop shared with other users, whose clock reports no queueing delay; used for the warm-up. */
     static GatewayLoop shared(EventLoop loop) {
         return new GatewayLoop(loop, new MonotonicClock());
     }
--- a/src/main/java/tinworks/net/LoadReportParser.java
+++ b/src/main/java/tinworks/net/LoadReportParser.java
@@ -3,17 +3,17 @@
 import java.util.List;
 import tinworks.policy.LoadBalancerApi.LoadReport;
 
-/** Reads a host's account of its load, as {@code tps=140,load_share=0.62,err_ps=0.5}. */
+/** Parses the load report that hosts send in a response header, such as {@code tps=140,load_share=0.62,err_ps=0.5}. */
 final class LoadReportParser {
-    /** No host does more of anything in a second, nor holds more. */
+    /** No field of a plausible report is greater. */
     private static final double MAX_VALUE = 1e9;
 
     private LoadReportParser() {}
 
     /**
-     * The report, or null where there is none that can be read; it is advice, so nothing else depends on it. Guards
-     * against believing figures that can't be: one that is no number, infinite, negative or absurd, and two reports in
-     * one answer, leave none.
+     * Parses a report, or returns null if there is none that is valid; reports are hints, so a missing one does no
+     * harm. Rejects a report with a value that is not a number, infinite, negative or implausibly large, and two
+     * reports in one response.
      */
     static LoadReport parse(List<String> headers) {
         if (headers.size() != 1) {
@@ -25,13 +25,13 @@
             if (equals < 0) {
                 return null;
             }
-            int at = fieldIndex(part.substring(0, equals).trim());
+            int field = fieldIndex(part.substring(0, equals).trim());
             double value = parseNumber(part.substring(equals + 1).trim());
             if (!(value >= 0 && value <= MAX_VALUE)) {
                 return null;
             }
-            if (at >= 0) {
-                values[at] = value;
+            if (field >= 0) {
+                values[field] = value;
             }
         }
         return new LoadReport(values[0], values[1], values[2], values[3], values[4], values[5]);
@@ -45,7 +45,7 @@
         }
     }
 
-    /** By the names on the sockets and by those that settings may use. */
+    /** Accepts the field names on the wire and those that settings may use. */
     private static int fieldIndex(String name) {
         return switch (name) {
             case "qps", "tps" -> 0;
--- a/src/main/java/tinworks/net/MonotonicClock.java
+++ b/src/main/java/tinworks/net/MonotonicClock.java
@@ -4,37 +4,35 @@
 import java.util.function.LongSupplier;
 
 /**
- * The gateway's one clock: monotonic, and set to Unix time once at the start. Discovery tells in Unix time when a host
- * started, so its figures are this clock's own, and stay equal from one list to the next, which a conversion with two
- * clocks at each list would not grant.
+ * A monotonic clock that is set to Unix time once, at its creation. Discovery reports the start times of hosts in Unix
+ * time, which are therefore times of this clock. They compare equal from one list to the next; a conversion between two
+ * clocks for each list would not ensure that.
  */
 public final class MonotonicClock {
     private final LongSupplier queueingDelay;
     private final long unixOffsetNanos = TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis()) - System.nanoTime();
 
-    /** A clock beside an event loop that nobody watches. */
+    /** A clock for an event loop whose queueing delay is not measured. */
     public MonotonicClock() {
         this(() -> 0);
     }
 
-    /**
-     * A clock beside an event loop; {@code lag} tells how long what is told now may have waited there, in nanoseconds.
-     */
-    public MonotonicClock(LongSupplier lag) {
-        this.queueingDelay = lag;
+    /** A clock for an event loop with the given source of its queueing delay, in nanoseconds. */
+    public MonotonicClock(LongSupplier queueingDelay) {
+        this.queueingDelay = queueingDelay;
     }
 
-    /** The most that what the network brings now can have lain unread; asked on the event loop. */
+    /** Queueing delay: the longest time for which network input read now may have waited. Event loop only. */
     public long queueingDelayNanos() {
         return queueingDelay.getAsLong();
     }
 
-    /** Nanoseconds, never going back. */
+    /** The current time in nanoseconds, which never goes back. */
     public long nanos() {
         return System.nanoTime() + unixOffsetNanos;
     }
 
-    /** The clock's time for discovery's, where 0 stands for long ago. */
+    /** Converts a time from discovery to a time of this clock; 0 stands for long ago in both. */
     static long fromUnixMillis(long millis) {
         return TimeUnit.MILLISECONDS.toNanos(millis);
     }
--- a/src/main/java/tinworks/net/Peers.java
+++ b/src/main/java/tinworks/net/Peers.java
@@ -17,22 +17,22 @@
 import tinworks.json.Json;
 
 /**
- * Short messages to and from the other gateways, as datagrams that may be lost. What comes from elsewhere, or is too
- * long to be one, is passed over.
+ * Exchanges short messages with the other gateways as UDP datagrams, which may be lost. Ignores datagrams from other
+ * senders and those that are too long. The content is the load balancer's.
  */
 final class Peers {
-    /** Told on the event loop. */
+    /** Called on the event loop. */
     interface Listener {
         void onMessage(int gateway, byte[] body);
     }
 
-    /** Where messages come in, each gateway's address by its number, and the one that reaches all of them. */
+    /** The address to listen on, the address of each gateway by its index, and the one that reaches all of them. */
     record Addresses(InetSocketAddress listen, List<InetSocketAddress> gateways, InetSocketAddress all) {
         Addresses {
             gateways = List.copyOf(gateways);
         }
 
-        /** What the configuration tells of them, or null where it tells of none. */
+        /** Reads the addresses from the configuration; null if it names none. */
         static Addresses read(Json config) {
             if (!config.field("peer_listen").isText()
                     || !config.field("peers_all").isText()) {
@@ -49,7 +49,7 @@
         }
     }
 
-    /** A longer one is not allowed. */
+    /** The protocol does not allow longer messages. */
     static final int MAX_MESSAGE_BYTES = 256;
 
     private final Addresses addresses;
@@ -57,10 +57,10 @@
     private final Listener listener;
     private final Channel channel;
 
-    /** Listens at once; where the address can't be had it says so and stays silent, as if all were lost. */
-    Peers(EventLoop loop, Addresses addresses, int ownNumber, Listener listener, Consumer<String> log) {
+    /** Starts listening. If the address cannot be bound, logs that and drops all messages as if they were lost. */
+    Peers(EventLoop loop, Addresses addresses, int ownIndex, Listener listener, Consumer<String> log) {
         this.addresses = addresses;
-        this.ownIndex = ownNumber;
+        this.ownIndex = ownIndex;
         this.listener = listener;
         channel = new Bootstrap()
                 .group(loop)
@@ -69,19 +69,19 @@
                 .bind(addresses.listen())
                 .addListener(bound -> {
                     if (!bound.isSuccess()) {
-                        log.accept(
-                                "no messages between gateways: " + bound.cause().getMessage());
+                        log.accept("peer messages disabled, bind failed: "
+                                + bound.cause().getMessage());
                     }
                 })
                 .channel();
     }
 
-    /** Where it listens; of use where the port was left to the system. */
+    /** The bound address, which shows the port if the system chose it. */
     InetSocketAddress address() {
         return (InetSocketAddress) channel.localAddress();
     }
 
-    /** Sends a message to all others; nobody is told whether it came. */
+    /** Sends a message to all other gateways, without confirmation of delivery. */
     void broadcast(byte[] body) {
         if (channel.isActive() && body.length <= MAX_MESSAGE_BYTES) {
             channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(body), addresses.all()));
@@ -101,10 +101,10 @@
             }
         }
 
-        /** Guards against a sender's failure, such as a port that nobody listens at, ending all messages. */
+        /** Keeps the channel open after a send failure, such as an unreachable port, which would end all messages. */
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // The message is lost, as any may be.
+            // The message is lost, which the protocol allows.
         }
     }
 }
--- a/src/test/java/tinworks/net/GatewayConfigTest.java
+++ b/src/test/java/tinworks/net/GatewayConfigTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a gateway is told at its start, and what it says of what it can't use. */
+/** Reading the configuration of a gateway, and the messages for invalid input. */
 class GatewayConfigTest {
     @TempDir
     private Path folder;
@@ -29,10 +29,10 @@
     }
 
     private static void assertRejected(Map<String, String> environment, String part) {
-        String line = assertThrows(IllegalArgumentException.class, () -> GatewayConfig.read(environment))
+        String message = assertThrows(IllegalArgumentException.class, () -> GatewayConfig.read(environment))
                 .getMessage();
-        assertTrue(line.contains(part), line);
-        assertEquals(1, line.lines().count(), line);
+        assertTrue(message.contains(part), message);
+        assertEquals(1, message.lines().count(), message);
     }
 
     @Test
@@ -43,7 +43,7 @@
         assertEquals("submit", config.settings().classes().get(1).name());
         assertEquals("acme", config.settings().tenants().get(0).name());
         assertEquals(0xf00000000000002aL, config.seed());
-        assertEquals(0, config.knownHosts().endpoints().size(), "no list was known");
+        assertEquals(0, config.knownHosts().endpoints().size(), "no hosts are known");
     }
 
     @Test
@@ -57,7 +57,7 @@
         Map<String, String> noFile = environment(validConfig());
         noFile.put("LB_CONFIG", folder.resolve("none").toString());
         assertRejected(noFile, "none");
-        assertRejected(environment("{"), "can't read");
+        assertRejected(environment("{"), "cannot read LB_CONFIG");
         assertRejected(environment(validConfig().replace("f00000000000002a", "xyz")), "seed");
         assertRejected(environment(validConfig().replace("\"dial_timeout_ns\":2000000000,", "")), "dial_timeout_ns");
         assertRejected(environment(validConfig().replace("unsafe", "odd")), "odd");
--- a/src/test/java/tinworks/net/PeersTest.java
+++ b/src/test/java/tinworks/net/PeersTest.java
@@ -95,7 +95,7 @@
                     (gateway, body) -> {},
                     received::add);
             String line = received.poll(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-            assertEquals("no messages between gateways", line.substring(0, line.indexOf(':')));
+            assertEquals("peer messages disabled, bind failed", line.substring(0, line.indexOf(':')));
             peers.broadcast(new byte[] {1});
         }
     }
