--- a/src/main/java/tinworks/net/EndpointList.java
+++ b/src/main/java/tinworks/net/EndpointList.java
@@ -22,11 +22,7 @@
         endpoints = List.copyOf(endpoints);
     }
 
-    /**
-     * Reads a list.
-     *
-     * @throws IllegalArgumentException if it is malformed
-     */
+    /** Reads a list; throws {@link IllegalArgumentException} if it is malformed. */
     static EndpointList read(Json json) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (Json entry : json.required("endpoints").entries()) {
--- a/src/main/java/tinworks/net/Gateway.java
+++ b/src/main/java/tinworks/net/Gateway.java
@@ -232,14 +232,10 @@
         }
 
         @Override
-        public void onRequest(FullHttpRequest request, long arrivedAtNanos, Reply reply) throws BadRequest {
-            long nowNanos = clock.nanos();
+        public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
+            long now = clock.nanos();
             forwarding.begin(
-                    nowNanos,
-                    RequestReader.read(request, classes, nowNanos - arrivedAtNanos),
-                    AttemptLimit.NONE,
-                    request,
-                    reply);
+                    now, RequestReader.read(request, classes, now - arrivedAt), AttemptLimit.NONE, request, reply);
         }
     }
 }
--- a/src/main/java/tinworks/net/GatewayConfig.java
+++ b/src/main/java/tinworks/net/GatewayConfig.java
@@ -33,11 +33,7 @@
         Peers.Addresses peers) {
     private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
 
-    /**
-     * Reads the environment and the file.
-     *
-     * @throws IllegalArgumentException if either is invalid, with a message of one line
-     */
+    /** Reads both; throws {@link IllegalArgumentException}, with a message of one line, if either is invalid. */
     static GatewayConfig read(Map<String, String> environment) {
         return read(
                 readFile(environment),
--- a/src/main/java/tinworks/net/GatewayProcess.java
+++ b/src/main/java/tinworks/net/GatewayProcess.java
@@ -32,10 +32,9 @@
     }
 
     /**
-     * Starts the gateway that the environment describes, and returns when it listens. It runs until the process
-     * receives SIGTERM.
-     *
-     * @throws IllegalArgumentException if the environment or configuration is invalid
+     * Starts the gateway that the environment describes, and returns when it listens. The gateway runs until the
+     * process receives SIGTERM. An invalid environment or configuration is reported as
+     * {@link IllegalArgumentException}.
      */
     public static void start(Map<String, String> environment) {
         // Otherwise Netty looks for absent logging libraries, which takes as long as fetching the host list.
--- a/src/main/java/tinworks/net/HostPool.java
+++ b/src/main/java/tinworks/net/HostPool.java
@@ -50,10 +50,7 @@
 
     /** Interprets responses according to the protocol that the hosts use. */
     public interface ResponseClassifier {
-        /**
-         * Whether a response with these headers belongs to the request with this id. In a protocol whose hosts do not
-         * echo the id, every response does.
-         */
+        /** Which request a response with these headers belongs to; always this one if the hosts do not echo ids. */
         default ResponseMatch match(String request, HttpHeaders headers) {
             return ResponseMatch.THIS_REQUEST;
         }
@@ -71,17 +68,16 @@
     /**
      * Limits of the pool's connections.
      *
-     * @param hostIdleTimeoutNanos the longest time that a host keeps an idle connection open
+     * @param idleTimeoutNanos the longest time that a host keeps an idle connection open
      * @param maxConnections the maximum number of connections to all hosts together
-     * @param maxResponseBytes the maximum length of a response body
+     * @param maxBodyBytes the maximum length of a response body
      */
-    public record Bounds(
-            long connectTimeoutNanos, long hostIdleTimeoutNanos, int maxConnections, int maxResponseBytes) {}
+    public record Bounds(long connectTimeoutNanos, long idleTimeoutNanos, int maxConnections, int maxBodyBytes) {}
 
     /** Connections are closed well before the host does it, so that no request is sent while the host closes. */
-    private static final double IDLE_TIMEOUT_FRACTION = 2.0 / 3;
+    private static final double IDLE_FRACTION = 2.0 / 3;
 
-    private static final long IDLE_SWEEP_INTERVAL_MILLIS = 500;
+    private static final long SWEEP_MILLIS = 500;
     private static final AsciiString KEEP_ALIVE = AsciiString.cached("keep-alive");
     private static final String TIMEOUT_PARAMETER = "timeout=";
     private static final int MAX_TIMEOUT_DIGITS = 6;
@@ -89,7 +85,7 @@
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final Bounds bounds;
-    private final ByteBudget responseBudget;
+    private final ByteBudget budget;
     private final ResponseClassifier classifier;
     private final Bootstrap bootstrap;
     private final Map<String, Host> hosts = new HashMap<>();
@@ -111,9 +107,9 @@
             Transport transport,
             MonotonicClock clock,
             Bounds bounds,
-            ByteBudget responseBudget,
+            ByteBudget budget,
             ResponseClassifier classifier) {
-        this.responseBudget = responseBudget;
+        this.budget = budget;
         this.loop = loop;
         this.clock = clock;
         this.bounds = bounds;
@@ -123,8 +119,7 @@
                 .channel(transport.client())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
                         Math.max(1, TimeUnit.NANOSECONDS.toMillis(bounds.connectTimeoutNanos())));
-        idleSweep = loop.scheduleWithFixedDelay(
-                this::closeExpired, IDLE_SWEEP_INTERVAL_MILLIS, IDLE_SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        idleSweep = loop.scheduleWithFixedDelay(this::closeExpired, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -195,8 +190,7 @@
     /** Closes all connections, including those with a request in flight. The pool cannot be used afterwards. */
     public void close() {
         idleSweep.cancel(false);
-        hosts.values()
-                .forEach(host -> List.copyOf(host.openConnections).forEach(connection -> connection.channel.close()));
+        hosts.values().forEach(host -> List.copyOf(host.open).forEach(connection -> connection.channel.close()));
         hosts.clear();
     }
 
@@ -211,7 +205,7 @@
 
     private boolean closeOneIdle() {
         for (Host host : hosts.values()) {
-            Connection longestIdle = host.idleConnections.pollFirst();
+            Connection longestIdle = host.idle.pollFirst();
             if (longestIdle != null) {
                 longestIdle.channel.close();
                 return true;
@@ -225,12 +219,12 @@
         private final SocketAddress address;
         private final long startedAtNanos;
         /** Ordered by last use, the most recent last. */
-        private final ArrayDeque<Connection> idleConnections = new ArrayDeque<>();
+        private final ArrayDeque<Connection> idle = new ArrayDeque<>();
 
-        private final Set<Connection> openConnections = new HashSet<>();
+        private final Set<Connection> open = new HashSet<>();
         private boolean reuseConnections;
         /** Shorter than the default if the host announces a shorter keep-alive timeout. */
-        private long idleTimeoutNanos = (long) (bounds.hostIdleTimeoutNanos() * IDLE_TIMEOUT_FRACTION);
+        private long idleTimeoutNanos = (long) (bounds.idleTimeoutNanos() * IDLE_FRACTION);
 
         Host(HostEntry entry) {
             address = entry.address();
@@ -243,19 +237,18 @@
         }
 
         /**
-         * Takes the most recently used idle connection, so that surplus ones expire. Discards those that the host has
-         * closed or that are idle for too long.
+         * Takes the most recently used idle connection, so that surplus ones expire; discards closed and stale ones.
          */
         Connection takeIdle(long maxIdleNanos) {
-            Connection connection = idleConnections.peekLast();
+            Connection connection = idle.peekLast();
             while (connection != null
                     && (!connection.channel.isActive()
                             || clock.nanos() - connection.idleSinceNanos > idleTimeoutNanos)) {
-                idleConnections.pollLast().channel.close();
-                connection = idleConnections.peekLast();
+                idle.pollLast().channel.close();
+                connection = idle.peekLast();
             }
             return connection != null && clock.nanos() - connection.idleSinceNanos <= maxIdleNanos
-                    ? idleConnections.pollLast()
+                    ? idle.pollLast()
                     : null;
         }
 
@@ -272,23 +265,22 @@
                         digits++) {
                     seconds = seconds * 10 + Character.digit(keepAlive.charAt(end++), 10);
                 }
-                idleTimeoutNanos = (long) (Math.min(bounds.hostIdleTimeoutNanos(), TimeUnit.SECONDS.toNanos(seconds))
-                        * IDLE_TIMEOUT_FRACTION);
+                idleTimeoutNanos =
+                        (long) (Math.min(bounds.idleTimeoutNanos(), TimeUnit.SECONDS.toNanos(seconds)) * IDLE_FRACTION);
             }
         }
 
         void connect(Attempt attempt) {
             connections++;
             Connection connection = new Connection(this, attempt);
-            openConnections.add(connection);
+            open.add(connection);
             attempt.connection = connection;
             ChannelFuture connected = bootstrap
                     .clone()
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            ResponseReader reader =
-                                    new ResponseReader(connection, bounds.maxResponseBytes(), responseBudget);
+                            ResponseReader reader = new ResponseReader(connection, bounds.maxBodyBytes(), budget);
                             channel.pipeline().addLast(reader.decoder(), new HttpRequestEncoder(), reader);
                         }
                     })
@@ -299,8 +291,8 @@
         }
 
         void closeIdle(long before) {
-            while (!idleConnections.isEmpty() && idleConnections.peekFirst().idleSinceNanos <= before) {
-                idleConnections.pollFirst().channel.close();
+            while (!idle.isEmpty() && idle.peekFirst().idleSinceNanos <= before) {
+                idle.pollFirst().channel.close();
             }
         }
 
@@ -317,7 +309,7 @@
 
         /** Ends attempts at a previous instance: if its machine vanished, nothing else closes the connection. */
         void closeOpenedBefore(long nextStartNanos) {
-            for (Connection connection : List.copyOf(openConnections)) {
+            for (Connection connection : List.copyOf(open)) {
                 if (connection.openedAtNanos < nextStartNanos) {
                     connection.channel.close();
                 }
@@ -408,7 +400,7 @@
         private void reuseOrClose(boolean reusable) {
             if (reusable && host.reuseConnections && channel.isActive()) {
                 idleSinceNanos = clock.nanos();
-                host.idleConnections.addLast(this);
+                host.idle.addLast(this);
             } else {
                 channel.close();
             }
@@ -417,8 +409,8 @@
         /** Runs after the write future completes, so that it is known whether the request was written completely. */
         private void onClosed() {
             connections--;
-            host.openConnections.remove(this);
-            host.idleConnections.remove(this);
+            host.open.remove(this);
+            host.idle.remove(this);
             Attempt broken = attempt;
             attempt = null;
             if (broken != null) {
--- a/src/main/java/tinworks/net/UnservedRequest.java
+++ b/src/main/java/tinworks/net/UnservedRequest.java
@@ -6,8 +6,7 @@
 import tinworks.policy.Reason;
 
 /**
- * A request that ended without a successful response, with the details that explain why. Recorded in the request
- * journal.
+ * A request that ended without a successful response, with the details that explain why.
  *
  * @param id the request id that the client sent
  * @param requestClass the load balancer's name for the route
--- a/src/main/java/tinworks/net/WarmUp.java
+++ b/src/main/java/tinworks/net/WarmUp.java
@@ -32,24 +32,24 @@
 import tinworks.policy.LoadBalancerApi.ServerInfo;
 
 /**
- * Made-up requests through a gateway of its own, over sockets that nobody else can reach, before the real one listens.
- * Guards against a cold start under load: code that is not yet compiled costs so much that the first seconds' clients
- * are answered late, and the module learns from these answers that all hosts are slow. Nothing of the rehearsal
- * outlives it, and no client or host ever sees it.
+ * JIT warm-up: sends synthetic requests through a temporary gateway, over channels that are not reachable from outside,
+ * before the real gateway listens. Under load, code that is not yet compiled is so slow that clients get late responses
+ * in the first seconds, and the load balancer takes all hosts for slow. Nothing of the warm-up remains afterwards, and
+ * no real client or host is involved.
  */
 final class WarmUp {
-    /** Enough to meet nearly all code often; more would keep a gateway that starts anew out for longer. */
+    /** Runs nearly all code often enough to be compiled; more would delay the start of a gateway. */
     private static final int REQUESTS = 400;
-    /** Without sockets less can be warmed: enough to meet the code once, and clients are served the sooner. */
+    /** Without sockets less code can be warmed up: runs it once, so that the gateway starts sooner. */
     private static final int REQUESTS_IN_MEMORY = 24;
 
     private static final int CLIENTS = 8;
     private static final int HOSTS = 4;
-    /** A gateway is wanted soon after its start: what isn't warm by then has to do. */
+    /** A gateway has to be ready soon after its start, so the warm-up ends by then even if it is incomplete. */
     static final long MAX_DURATION_MILLIS = 4_000;
 
-    private static final long LOOP_SHUTDOWN_TIMEOUT_MILLIS = 500;
-    private static final long SHUTDOWN_QUIET_PERIOD_MILLIS = 20;
+    private static final long TERMINATION_TIMEOUT_MILLIS = 500;
+    private static final long QUIET_PERIOD_MILLIS = 20;
 
     private final EventLoop loop;
     private final EventLoop peerLoop;
@@ -64,40 +64,37 @@
 
     private WarmUp(
             EventLoop loop,
-            EventLoop farSides,
+            EventLoop peerLoop,
             GatewayConfig config,
             Transport transport,
-            SocketAddress stage,
-            SocketAddress hosts) {
+            SocketAddress gatewayAddress,
+            SocketAddress hostAddress) {
         this.loop = loop;
-        this.peerLoop = farSides;
+        this.peerLoop = peerLoop;
         this.config = config;
         this.transport = transport;
         requests = transport.equals(Transport.IN_MEMORY) ? REQUESTS_IN_MEMORY : REQUESTS;
-        this.gatewayAddress = stage;
-        this.hostAddress = hosts;
+        this.gatewayAddress = gatewayAddress;
+        this.hostAddress = hostAddress;
     }
 
     /**
-     * Returns when all is warm, or when it has taken long enough: whether it was played to its end. One that fails
-     * costs only its gain.
+     * Runs the warm-up for at most the given time, and returns whether it completed. A failure only loses its benefit.
      */
-    static boolean run(GatewayConfig config, long longestMillis) {
+    static boolean run(GatewayConfig config, long maxMillis) {
         try {
-            return supportsUnixDomainSockets()
-                    ? runOverUnixDomainSockets(config, longestMillis)
-                    : runInMemory(config, longestMillis);
+            return supportsUnixDomainSockets() ? runOverUnixSockets(config, maxMillis) : runInMemory(config, maxMillis);
         } catch (TimeoutException e) {
-            System.err.println("tinworks: the rehearsal was cut short");
+            System.err.println("tinworks: warm-up stopped at its time limit");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException | ExecutionException e) {
-            System.err.println("tinworks: no rehearsal: " + e.getMessage());
+            System.err.println("tinworks: warm-up failed: " + e.getMessage());
         }
         return false;
     }
 
-    /** Some platforms grant a process sockets of the internet protocol and no others. */
+    /** Some platforms allow a process internet sockets only. */
     private static boolean supportsUnixDomainSockets() {
         try (SocketChannel probe = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             return probe.isOpen();
@@ -106,33 +103,33 @@
         }
     }
 
-    private static boolean runOverUnixDomainSockets(GatewayConfig config, long longestMillis)
+    private static boolean runOverUnixSockets(GatewayConfig config, long maxMillis)
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
-        // Of its own making: the library's names for such folders come out of a slow source of chance.
-        Path folder = Files.createDirectory(Path.of(
+        // Not Files.createTempDirectory, whose names come from a slow source of randomness.
+        Path directory = Files.createDirectory(Path.of(
                 System.getProperty("java.io.tmpdir"),
                 "rehearsal-" + ProcessHandle.current().pid() + "-" + System.nanoTime()));
         try {
             return execute(
                     config,
-                    longestMillis,
+                    maxMillis,
                     NioIoHandler.newFactory(),
                     Transport.UNIX_DOMAIN,
-                    UnixDomainSocketAddress.of(folder.resolve("stage")),
-                    UnixDomainSocketAddress.of(folder.resolve("hosts")));
+                    UnixDomainSocketAddress.of(directory.resolve("stage")),
+                    UnixDomainSocketAddress.of(directory.resolve("hosts")));
         } finally {
-            Files.deleteIfExists(folder.resolve("stage"));
-            Files.deleteIfExists(folder.resolve("hosts"));
-            Files.deleteIfExists(folder);
+            Files.deleteIfExists(directory.resolve("stage"));
+            Files.deleteIfExists(directory.resolve("hosts"));
+            Files.deleteIfExists(directory);
         }
     }
 
-    /** Leaves the sockets themselves cold, and warms all that stands on them. */
-    static boolean runInMemory(GatewayConfig config, long longestMillis)
+    /** Warms up all code but that of the sockets. */
+    static boolean runInMemory(GatewayConfig config, long maxMillis)
             throws InterruptedException, ExecutionException, TimeoutException {
         return execute(
                 config,
-                longestMillis,
+                maxMillis,
                 LocalIoHandler.newFactory(),
                 Transport.IN_MEMORY,
                 new LocalAddress("rehearsal-stage"),
@@ -141,35 +138,32 @@
 
     private static boolean execute(
             GatewayConfig config,
-            long longestMillis,
+            long maxMillis,
             IoHandlerFactory io,
             Transport transport,
-            SocketAddress stage,
-            SocketAddress hosts)
+            SocketAddress gatewayAddress,
+            SocketAddress hostAddress)
             throws InterruptedException, ExecutionException, TimeoutException {
-        // In memory a write on one loop would be read within the call: the far sides have a loop of their own, and
-        // as each tells the other of its end, neither may end at once.
+        // Between local channels on one event loop, a write would be read within the call, so the peers get their own
+        // loop. The loops notify each other of closed channels, so neither may terminate at once.
         boolean twoLoops = transport.equals(Transport.IN_MEMORY);
         ClosingEventLoopGroup group = new ClosingEventLoopGroup(twoLoops ? 2 : 1, io);
         try {
-            new WarmUp(group.next(), group.next(), config, transport, stage, hosts)
+            new WarmUp(group.next(), group.next(), config, transport, gatewayAddress, hostAddress)
                     .execute()
-                    .get(longestMillis, TimeUnit.MILLISECONDS);
+                    .get(maxMillis, TimeUnit.MILLISECONDS);
             return true;
         } finally {
-            group.shutdownGracefully(
-                            twoLoops ? SHUTDOWN_QUIET_PERIOD_MILLIS : 0,
-                            SHUTDOWN_QUIET_PERIOD_MILLIS,
-                            TimeUnit.MILLISECONDS)
-                    .await(LOOP_SHUTDOWN_TIMEOUT_MILLIS);
+            group.shutdownGracefully(twoLoops ? QUIET_PERIOD_MILLIS : 0, QUIET_PERIOD_MILLIS, TimeUnit.MILLISECONDS)
+                    .await(TERMINATION_TIMEOUT_MILLIS);
         }
     }
 
     private CompletableFuture<Void> execute() {
-        // Guards against compiling for one kind of sockets alone, which the first of the other kind would undo.
+        // Loads the TCP channel class: code compiled for one class alone is deoptimized by the first of another.
         new NioSocketChannel().unsafe().closeForcibly();
-        ServerBootstrap listener = new ServerBootstrap().group(peerLoop).channel(transport.server());
-        listener.childHandler(new ChannelInitializer<Channel>() {
+        ServerBootstrap server = new ServerBootstrap().group(peerLoop).channel(transport.server());
+        server.childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new Host());
@@ -179,11 +173,11 @@
                 .addListener(bound -> {
                     if (bound.isSuccess()) {
                         Gateway.start(GatewayLoop.shared(loop), warmUpConfig(), transport, line -> {})
-                                .whenComplete((gateway, fault) -> {
-                                    if (fault == null) {
+                                .whenComplete((gateway, failure) -> {
+                                    if (failure == null) {
                                         peerLoop.execute(this::connectClients);
                                     } else {
-                                        done.completeExceptionally(fault);
+                                        done.completeExceptionally(failure);
                                     }
                                 });
                     } else {
@@ -193,7 +187,7 @@
         return done;
     }
 
-    /** The real settings, with hosts that are all this rehearsal's own. */
+    /** The real settings, with the hosts of the warm-up. */
     private GatewayConfig warmUpConfig() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
@@ -214,7 +208,7 @@
     }
 
     private void connectClients() {
-        Bootstrap dial = new Bootstrap()
+        Bootstrap bootstrap = new Bootstrap()
                 .group(peerLoop)
                 .channel(transport.client())
                 .handler(new ChannelInitializer<Channel>() {
@@ -224,7 +218,7 @@
                     }
                 });
         for (int i = 0; i < CLIENTS; i++) {
-            dial.connect(gatewayAddress);
+            bootstrap.connect(gatewayAddress);
         }
     }
 
@@ -265,7 +259,7 @@
         }
     }
 
-    /** Serves nearly all, and shows the gateway the other ends that an attempt can have. */
+    /** Serves nearly all requests; the others exercise the code for rejections and errors. */
     private static final class Host extends WarmUpPeer {
         private static final int FULL_EVERY = 37;
         private static final int ERROR_EVERY = 53;
