--- a/src/test/java/tinworks/net/DiscoveryTest.java
+++ b/src/test/java/tinworks/net/DiscoveryTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import tinworks.json.Json;
 
-/** How a watch ends: each is told once, whatever the far side does. */
+/** Every watch that ends is reported exactly once, whatever the remote end does. */
 class DiscoveryTest {
     private final GatewayLoop gatewayLoop = GatewayLoop.dedicated();
     private final EventLoop loop = gatewayLoop.loop();
@@ -45,7 +45,7 @@
         return events.poll(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** A machine that vanished leaves its connections open and says nothing. */
+    /** A machine that vanished leaves its connections open and sends nothing. */
     @Test
     void closesUnresponsiveWatch() throws Exception {
         try (ScriptedHost server = new ScriptedHost((socket, request) -> {
@@ -77,7 +77,7 @@
         }
     }
 
-    /** After a move the module may still ask, on account of a failure that came before it. */
+    /** After a switch the load balancer may still request a watch, because of a failure before the switch. */
     @Test
     void opensNoSecondWatchWhileOneIsConnecting() throws Exception {
         try (ScriptedHost server = new ScriptedHost((socket, request) -> {
@@ -95,18 +95,18 @@
                 discovery.watch();
             });
             assertEquals("listed 3", nextEvent());
-            // Connections are accepted in turn: a second watch would have come before this one.
+            // Connections are accepted in order, so a second watch would precede this one.
             try (Socket last =
                     new Socket(next.address().getAddress(), next.address().getPort())) {
                 GatewayFixture.await(
-                        "the test's own connection",
+                        "the connection of the test",
                         () -> next.connections.stream().anyMatch(c -> c.getPort() == last.getLocalPort()));
                 assertEquals(2, next.connections.size());
             }
         }
     }
 
-    /** Guards a start's time: discovery is asked first, and what else there is to do is done meanwhile. */
+    /** Keeps the start short: discovery is queried first, and the rest of the start is done meanwhile. */
     @Test
     void startsWatchBeforeListening() throws Exception {
         InetSocketAddress anywhere = new InetSocketAddress("127.0.0.1", 0);
@@ -119,7 +119,7 @@
                             Transport.TCP,
                             line -> {})
                     .get(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-            GatewayFixture.await("the watch", () -> server.requests.size() == 1);
+            GatewayFixture.await("the watch request", () -> server.requests.size() == 1);
             gateway.listen().get(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             try (Socket client = new Socket("127.0.0.1", gateway.address().getPort())) {
                 ScriptedHost.write(client, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -130,15 +130,15 @@
         }
     }
 
-    /** What a gateway that knows this list says to a probe while discovery hasn't answered. */
+    /** The readiness status of a gateway that knows this list, before discovery responds. */
     private String readinessWith(String known) throws Exception {
         InetSocketAddress anywhere = new InetSocketAddress("127.0.0.1", 0);
         Json config = Json.read("{\"seed\":\"2a\",\"known\":" + known + ",\"settings\":"
                 + GatewayFixture.SETTINGS.replace("IDLE", "15000000000") + "}");
-        try (ScriptedHost silent = new ScriptedHost((socket, request) -> {})) {
+        try (ScriptedHost unresponsive = new ScriptedHost((socket, request) -> {})) {
             Gateway gateway = Gateway.start(
                             gatewayLoop,
-                            GatewayConfig.read(config, anywhere, silent.address()),
+                            GatewayConfig.read(config, anywhere, unresponsive.address()),
                             Transport.TCP,
                             line -> {})
                     .get(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/test/java/tinworks/net/GatewayFixture.java
+++ b/src/test/java/tinworks/net/GatewayFixture.java
@@ -17,10 +17,10 @@
 import tinworks.json.Json;
 import tinworks.net.ScriptedHost.Message;
 
-/** A gateway on a free loopback port, its discovery, and clients for it. */
+/** A gateway on a free loopback port, with its discovery service and clients. */
 final class GatewayFixture implements AutoCloseable {
     static final int AWAIT_TIMEOUT_MILLIS = 10_000;
-    /** Long enough that no time-out ends anything in a test that isn't about time-outs. */
+    /** Long enough not to expire in tests that do not test timeouts. */
     static final int LONG_TIMEOUT_MILLIS = 20_000;
 
     static final String SETTINGS = """
@@ -34,11 +34,11 @@
 
     private final GatewayLoop loop = GatewayLoop.dedicated();
     private final List<Socket> clients = new ArrayList<>();
-    private final ScriptedHost ownDiscovery;
+    private final ScriptedHost discovery;
     final Gateway gateway;
     private final InetSocketAddress address;
 
-    /** A gateway that knows these hosts, all up for long, and whose discovery has nothing to add. */
+    /** A gateway that knows these hosts, all up for a long time, and whose discovery reports no changes. */
     static GatewayFixture withHosts(ScriptedHost... hosts) throws Exception {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < hosts.length; i++) {
@@ -47,14 +47,14 @@
         return new GatewayFixture(list(1, true, entries), quietDiscovery(), 60_000_000_000L, 1024);
     }
 
-    /** A gateway with all of these; it closes its discovery. */
+    /** A gateway with the default settings; closing the fixture also closes {@code discovery}. */
     GatewayFixture(String known, ScriptedHost discovery, long idleNanos, int sockets) throws Exception {
         this(known, discovery, SETTINGS.replace("IDLE", String.valueOf(idleNanos)), sockets);
     }
 
-    /** A gateway with settings of its own; it closes its discovery. */
+    /** A gateway with the given settings; closing the fixture also closes {@code discovery}. */
     GatewayFixture(String known, ScriptedHost discovery, String settings, int sockets) throws Exception {
-        ownDiscovery = discovery;
+        this.discovery = discovery;
         String config = "{\"seed\":\"2a\",\"limits\":{\"sockets\":" + sockets + "},\"known\":" + known
                 + ",\"settings\":" + settings + "}";
         gateway = Gateway.start(
@@ -78,7 +78,7 @@
                 + "]}";
     }
 
-    /** A watch that says that nothing changed, and then stays open. */
+    /** A discovery service that reports no changes and keeps the watch open. */
     static ScriptedHost quietDiscovery() throws IOException {
         return new ScriptedHost((socket, request) -> {
             startWatch(socket);
@@ -94,10 +94,10 @@
         ScriptedHost.write(socket, Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n");
     }
 
-    static void await(String what, BooleanSupplier condition) throws InterruptedException {
+    static void await(String description, BooleanSupplier condition) throws InterruptedException {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_TIMEOUT_MILLIS);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < end, "not in time: " + what);
+            assertTrue(System.nanoTime() < end, "timed out waiting for: " + description);
             Thread.sleep(2);
         }
     }
@@ -109,17 +109,17 @@
         return new Client(socket);
     }
 
-    /** Holds the gateway up for so long, and returns once it does. */
+    /** Blocks the gateway's event loop for the given time, and returns once it is blocked. */
     void stall(long millis) throws InterruptedException {
-        CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch started = new CountDownLatch(1);
         loop.loop().execute(() -> {
-            begun.countDown();
+            started.countDown();
             LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(millis));
         });
-        begun.await();
+        started.await();
     }
 
-    /** An answer on a connection of its own. */
+    /** Sends a GET on a new connection and returns the response. */
     Message get(String path) {
         try {
             return client().exchange("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -152,7 +152,7 @@
             ScriptedHost.write(socket, text);
         }
 
-        /** The next answer, or null where the gateway closed the connection. */
+        /** The next response, or null if the gateway closed the connection. */
         Message read() throws IOException {
             return Message.read(in);
         }
@@ -168,7 +168,7 @@
         for (Socket socket : clients) {
             socket.close();
         }
-        ownDiscovery.close();
+        discovery.close();
         loop.loop().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).awaitUninterruptibly(AWAIT_TIMEOUT_MILLIS);
     }
 }
--- a/src/test/java/tinworks/net/GatewayTest.java
+++ b/src/test/java/tinworks/net/GatewayTest.java
@@ -26,10 +26,10 @@
 import tinworks.net.ScriptedHost.Message;
 import tinworks.net.ScriptedHost.Script;
 
-/** What clients and hosts see of a gateway, over loopback sockets. */
+/** The behaviour of a gateway towards clients and hosts, over loopback sockets. */
 class GatewayTest {
     private static final Script SERVES = ScriptedHost.reply("200 OK", "fine");
-    private static final Script SILENT = (socket, request) -> {};
+    private static final Script NEVER_RESPONDS = (socket, request) -> {};
 
     @Test
     void forwardsRequestAndResponseUnchangedOverOneConnection() throws Exception {
@@ -46,7 +46,7 @@
             assertEquals("12 MWh", sent.body());
             assertTrue(sent.header("X-Timeout").endsWith("u"));
             assertEquals("GET /status/7?q=1 HTTP/1.1", host.requests.get(1).firstLine());
-            assertEquals(1, host.connections.size(), "the kept connection is used again");
+            assertEquals(1, host.connections.size(), "the keep-alive connection is reused");
         }
     }
 
@@ -66,7 +66,7 @@
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             String line = f.client().exchange(bad).firstLine();
             assertTrue(line.startsWith("HTTP/1.1 4"), line);
-            assertEquals(0, host.requests.size(), "a malformed request goes to no host");
+            assertEquals(0, host.requests.size(), "a malformed request is not forwarded");
             assertTrue(f.client()
                     .exchange(status("good", LONG_TIMEOUT_MILLIS))
                     .firstLine()
@@ -76,12 +76,12 @@
 
     @Test
     void rejectsDuplicateIdOfOpenRequest() throws Exception {
-        CompletableFuture<Socket> asked = new CompletableFuture<>();
-        try (ScriptedHost host = new ScriptedHost((socket, request) -> asked.complete(socket));
+        CompletableFuture<Socket> pending = new CompletableFuture<>();
+        try (ScriptedHost host = new ScriptedHost((socket, request) -> pending.complete(socket));
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client first = f.client();
             first.write(submit("same", LONG_TIMEOUT_MILLIS, "x"));
-            Socket socket = asked.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            Socket socket = pending.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             assertTrue(f.client()
                     .exchange(submit("same", LONG_TIMEOUT_MILLIS, "x"))
                     .firstLine()
@@ -92,19 +92,19 @@
         }
     }
 
-    /** Sent ahead in one go, more of them than are held: each is answered, in order. */
+    /** Pipelines more requests at once than the gateway queues for a connection. */
     @Test
     void answersPipelinedRequestsInOrder() throws Exception {
-        Script echoes = (socket, request) ->
+        Script echoesId = (socket, request) ->
                 ScriptedHost.reply("200 OK", request.header("X-Request-ID")).answer(socket, request);
-        try (ScriptedHost host = new ScriptedHost(echoes);
+        try (ScriptedHost host = new ScriptedHost(echoesId);
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
-            StringBuilder ahead = new StringBuilder();
+            StringBuilder pipelined = new StringBuilder();
             for (int i = 0; i < 40; i++) {
-                ahead.append(status("r" + i, LONG_TIMEOUT_MILLIS));
+                pipelined.append(status("r" + i, LONG_TIMEOUT_MILLIS));
             }
-            client.write(ahead.toString());
+            client.write(pipelined.toString());
             for (int i = 0; i < 40; i++) {
                 assertEquals("r" + i, client.read().body());
             }
@@ -125,7 +125,7 @@
         }
     }
 
-    /** The first exchange leaves a kept connection; the host then breaks it under the second request. */
+    /** The first exchange leaves a keep-alive connection, which the host resets on the second request. */
     @Test
     void neverReplaysWhenKeepAliveConnectionBreaks() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
@@ -171,9 +171,9 @@
             assertEquals(1, a.requests.size());
             assertEquals(1, b.requests.size());
         }
-        Script bare = ScriptedHost.reply("503 Service Unavailable", "");
-        try (ScriptedHost a = new ScriptedHost(bare);
-                ScriptedHost b = new ScriptedHost(bare);
+        Script unmarked = ScriptedHost.reply("503 Service Unavailable", "");
+        try (ScriptedHost a = new ScriptedHost(unmarked);
+                ScriptedHost b = new ScriptedHost(unmarked);
                 GatewayFixture f = GatewayFixture.withHosts(a, b)) {
             Message failed = f.client().exchange(submit("r2", LONG_TIMEOUT_MILLIS, "x"));
             assertTrue(failed.firstLine().contains(" 502 "), failed.firstLine());
@@ -197,30 +197,30 @@
 
     @Test
     void answersWithinDeadlineAndClosesAttempt() throws Exception {
-        try (ScriptedHost host = new ScriptedHost(SILENT);
+        try (ScriptedHost host = new ScriptedHost(NEVER_RESPONDS);
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             assertTrue(f.client().exchange(submit("r", 1500, "x")).firstLine().contains(" 502 "));
             assertEquals(1, host.requests.size());
-            await("the end of the attempt", () -> host.connections.get(0).isClosed());
+            await("the attempt is closed", () -> host.connections.get(0).isClosed());
         }
     }
 
     @Test
     void cancelsAttemptWhenClientDisconnects() throws Exception {
-        try (ScriptedHost host = new ScriptedHost(SILENT);
+        try (ScriptedHost host = new ScriptedHost(NEVER_RESPONDS);
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
             client.write(status("r", LONG_TIMEOUT_MILLIS));
             await("the attempt", () -> host.requests.size() == 1);
             client.socket.close();
-            await("the end of the attempt", () -> host.connections.get(0).isClosed());
+            await("the attempt is closed", () -> host.connections.get(0).isClosed());
             host.script(SERVES);
             assertTrue(
                     f.client()
                             .exchange(status("r", LONG_TIMEOUT_MILLIS))
                             .firstLine()
                             .contains(" 200 "),
-                    "its id is free again");
+                    "its id can be used again");
         }
     }
 
@@ -237,27 +237,29 @@
                     .exchange(status("r", LONG_TIMEOUT_MILLIS))
                     .firstLine()
                     .contains(" 200 "));
-            await("the gateway's close", () -> host.connections.get(0).isClosed());
+            await(
+                    "the gateway closes the connection",
+                    () -> host.connections.get(0).isClosed());
         }
     }
 
     @Test
     void finishesOpenRequestsOfDrainingHostAndSendsNoNewOnes() throws Exception {
         List<Socket> watches = new CopyOnWriteArrayList<>();
-        CompletableFuture<Socket> held = new CompletableFuture<>();
+        CompletableFuture<Socket> pending = new CompletableFuture<>();
         ScriptedHost discovery = new ScriptedHost((socket, request) -> {
             GatewayFixture.startWatch(socket);
             watches.add(socket);
             line(socket, list(1, false, List.of()));
         });
-        try (ScriptedHost draining = new ScriptedHost((socket, request) -> held.complete(socket));
+        try (ScriptedHost draining = new ScriptedHost((socket, request) -> pending.complete(socket));
                 ScriptedHost other = new ScriptedHost(SERVES);
                 GatewayFixture f = new GatewayFixture(
                         list(1, true, List.of(entry("s", draining, "up", 0))), discovery, 60_000_000_000L, 1024)) {
             Client first = f.client();
             first.write(submit("r1", LONG_TIMEOUT_MILLIS, "x"));
-            Socket socket = held.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-            await("the gateway watches", () -> !watches.isEmpty());
+            Socket socket = pending.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            await("the gateway watches discovery", () -> !watches.isEmpty());
             line(
                     watches.get(0),
                     list(
@@ -268,14 +270,14 @@
                                     entry("o", other, "up", 0),
                                     entry("p", other, "up", 0))));
             for (int i = 0; other.requests.isEmpty(); i++) {
-                // A client that is told to come back does; the list is on its way to the gateway.
+                // Refused requests are retried until the gateway has received the list.
                 assertTrue(i < AWAIT_TIMEOUT_MILLIS);
                 f.client().exchange(status("s" + i, 200));
             }
             SERVES.answer(socket, null);
             assertTrue(first.read().firstLine().contains(" 200 "));
             await(
-                    "the close of the draining host's connection",
+                    "the gateway closes the draining host's connection",
                     () -> draining.connections.get(0).isClosed());
             for (int i = 0; i < 4; i++) {
                 assertTrue(f.client()
@@ -295,14 +297,14 @@
             watches.add(socket);
             line(socket, list(1, false, List.of()));
         });
-        try (ScriptedHost host = new ScriptedHost(SILENT);
+        try (ScriptedHost host = new ScriptedHost(NEVER_RESPONDS);
                 GatewayFixture f = new GatewayFixture(
                         list(1, true, List.of(entry("s", host, "up", 0))), discovery, 60_000_000_000L, 1024)) {
             Client client = f.client();
             client.write(submit("r", LONG_TIMEOUT_MILLIS, "x"));
             await("the attempt", () -> host.requests.size() == 1);
             long later = System.currentTimeMillis() + 1000;
-            await("the gateway watches", () -> !watches.isEmpty());
+            await("the gateway watches discovery", () -> !watches.isEmpty());
             line(watches.get(0), list(2, false, List.of(entry("s", host, "up", later))));
             assertTrue(client.read().firstLine().contains(" 502 "));
         }
@@ -310,48 +312,48 @@
 
     @Test
     void answersAcceptedRequestsBeforeShutdownCompletes() throws Exception {
-        CompletableFuture<Socket> held = new CompletableFuture<>();
-        try (ScriptedHost host = new ScriptedHost((socket, request) -> held.complete(socket));
+        CompletableFuture<Socket> pending = new CompletableFuture<>();
+        try (ScriptedHost host = new ScriptedHost((socket, request) -> pending.complete(socket));
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client idle = f.client();
             Client open = f.client();
             open.write(submit("r", LONG_TIMEOUT_MILLIS, "x"));
-            Socket socket = held.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-            CompletableFuture<Void> ended = f.gateway.shutDown();
+            Socket socket = pending.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            CompletableFuture<Void> terminated = f.gateway.shutDown();
             assertNull(idle.read(), "an idle connection is closed");
-            assertFalse(ended.isDone(), "a request is still held");
+            assertFalse(terminated.isDone(), "a request is still open");
             SERVES.answer(socket, null);
-            Message answer = open.read();
-            assertTrue(answer.firstLine().contains(" 200 "));
-            assertEquals("close", answer.header("Connection"));
-            ended.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            Message response = open.read();
+            assertTrue(response.firstLine().contains(" 200 "));
+            assertEquals("close", response.header("Connection"));
+            terminated.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Clients may have nobody else to go to: what they have goes on being served, on the same connection. */
+    /** Clients may have no other gateway, so requests on open connections are served for a while. */
     @Test
     void servesKeepAliveConnectionsDuringShutdown() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
                 GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
             client.exchange(status("before", LONG_TIMEOUT_MILLIS));
-            CompletableFuture<Void> ended = f.gateway.shutDown();
-            await("the end's begin", () -> f.get("/ready").firstLine().contains(" 503 "));
-            Message answer = client.exchange(status("after", LONG_TIMEOUT_MILLIS));
-            assertTrue(answer.firstLine().contains(" 200 "));
-            assertNull(answer.header("Connection"), "the client may ask again");
+            CompletableFuture<Void> terminated = f.gateway.shutDown();
+            await("the shutdown begins", () -> f.get("/ready").firstLine().contains(" 503 "));
+            Message response = client.exchange(status("after", LONG_TIMEOUT_MILLIS));
+            assertTrue(response.firstLine().contains(" 200 "));
+            assertNull(response.header("Connection"), "the connection stays open");
             assertTrue(client.exchange(status("again", LONG_TIMEOUT_MILLIS))
                     .firstLine()
                     .contains(" 200 "));
-            assertNull(client.read(), "closed in the end");
-            ended.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            assertNull(client.read(), "closed when the shutdown completes");
+            terminated.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     @Test
     void closesLongestIdleClientConnectionAtLimit() throws Exception {
         ScriptedHost host = new ScriptedHost(SERVES);
-        // 64 descriptors are kept for other uses; half of the other 16 are for clients.
+        // 64 descriptors are reserved for other uses; half of the other 16 are for clients.
         try (host;
                 GatewayFixture f = new GatewayFixture(
                         list(1, true, List.of(entry("s", host, "up", 0))),
@@ -371,26 +373,26 @@
 
     @Test
     void resumesBrokenWatchFromLastIndex() throws Exception {
-        List<String> asked = new CopyOnWriteArrayList<>();
+        List<String> watchRequests = new CopyOnWriteArrayList<>();
         ScriptedHost discovery = new ScriptedHost((socket, request) -> {
-            asked.add(request.firstLine());
+            watchRequests.add(request.firstLine());
             GatewayFixture.startWatch(socket);
-            line(socket, list(40 + asked.size(), false, List.of()));
-            if (asked.size() == 1) {
+            line(socket, list(40 + watchRequests.size(), false, List.of()));
+            if (watchRequests.size() == 1) {
                 socket.close();
             }
         });
         try (ScriptedHost host = new ScriptedHost(SERVES);
                 GatewayFixture f = new GatewayFixture(
                         list(40, true, List.of(entry("s", host, "up", 0))), discovery, 60_000_000_000L, 1024)) {
-            await("the second watch", () -> asked.size() == 2);
-            assertTrue(asked.get(0).contains("since=40"), asked.get(0));
-            assertTrue(asked.get(1).contains("since=41"), asked.get(1));
+            await("the second watch", () -> watchRequests.size() == 2);
+            assertTrue(watchRequests.get(0).contains("since=40"), watchRequests.get(0));
+            assertTrue(watchRequests.get(1).contains("since=41"), watchRequests.get(1));
             assertNotNull(f.client().exchange(status("r", LONG_TIMEOUT_MILLIS)));
         }
     }
 
-    /** Most hosts fail one class and serve the other well: this class goes to the one that serves it. */
+    /** Most hosts fail one request class and serve the other: only the failing class has to avoid them. */
     @Test
     void routesClassAroundHostsThatFailIt() throws Exception {
         Script failsPosts = (socket, request) -> ScriptedHost.reply(
@@ -399,8 +401,8 @@
         try (ScriptedHost a = new ScriptedHost(failsPosts);
                 ScriptedHost b = new ScriptedHost(failsPosts);
                 ScriptedHost c = new ScriptedHost(failsPosts);
-                ScriptedHost sound = new ScriptedHost(SERVES);
-                GatewayFixture f = GatewayFixture.withHosts(a, b, c, sound)) {
+                ScriptedHost healthy = new ScriptedHost(SERVES);
+                GatewayFixture f = GatewayFixture.withHosts(a, b, c, healthy)) {
             Client client = f.client();
             int failed = 0;
             long begin = System.nanoTime();
@@ -414,13 +416,13 @@
                         ? 1
                         : 0;
             }
-            // Some until it is known, and a trial a second at each.
-            long most = 20 + 3 * TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - begin);
-            assertTrue(failed <= most, failed + " of 200 failed");
+            // Some until the failures are detected, then one probe per second at each failing host.
+            long maxFailed = 20 + 3 * TimeUnit.NANOSECONDS.toSeconds(System.nanoTime() - begin);
+            assertTrue(failed <= maxFailed, failed + " of 200 failed");
         }
     }
 
-    /** An answer that never comes must not wait for its time-out, once the host has answered what came later. */
+    /** A lost response is not awaited until its timeout once the host has answered a later request. */
     @Test
     void retriesOvertakenRequestOnAnotherHost() throws Exception {
         List<Socket> watches = new CopyOnWriteArrayList<>();
@@ -429,12 +431,12 @@
             line(socket, list(1, false, List.of()));
             watches.add(socket);
         });
-        Script losesOne = (socket, request) -> {
+        Script dropsOne = (socket, request) -> {
             if (!"lost".equals(request.header("X-Request-ID"))) {
                 SERVES.answer(socket, request);
             }
         };
-        try (ScriptedHost host = new ScriptedHost(losesOne);
+        try (ScriptedHost host = new ScriptedHost(dropsOne);
                 ScriptedHost other = new ScriptedHost(SERVES);
                 GatewayFixture f = new GatewayFixture(
                         list(1, true, List.of(entry("s", host, "up", 0))), discovery, 60_000_000_000L, 1024)) {
@@ -444,7 +446,7 @@
             waits.write(status("lost", LONG_TIMEOUT_MILLIS));
             await("the attempt", () -> host.requests.size() == 2);
             client.exchange(status("after", LONG_TIMEOUT_MILLIS));
-            assertEquals(3, host.requests.size(), "the host goes on answering");
+            assertEquals(3, host.requests.size(), "the host still responds");
             line(watches.get(0), list(2, false, List.of(entry("o", other, "up", 0))));
             assertTrue(waits.read().firstLine().contains(" 200 "));
             assertEquals("lost", other.requests.get(other.requests.size() - 1).header("X-Request-ID"));
--- a/src/test/java/tinworks/net/PeersTest.java
+++ b/src/test/java/tinworks/net/PeersTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import tinworks.json.Json;
 
-/** Reports between gateways of the earlier protocol. */
+/** Messages between gateways of the earlier protocol. */
 class PeersTest {
     private final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
     private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
@@ -40,15 +40,15 @@
     }
 
     private Peers peers(DatagramSocket other) throws Exception {
-        InetSocketAddress others = local(other.getLocalPort());
+        InetSocketAddress peerAddress = local(other.getLocalPort());
         Peers peers = new Peers(
                 group.next(),
-                new Peers.Addresses(local(0), List.of(local(1), others), others),
+                new Peers.Addresses(local(0), List.of(local(1), peerAddress), peerAddress),
                 0,
                 (gateway, body) ->
                         received.add(gateway + " " + new String(body, java.nio.charset.StandardCharsets.US_ASCII)),
                 line -> received.add(line));
-        GatewayFixture.await("the address", () -> peers.address() != null);
+        GatewayFixture.await("the bound address", () -> peers.address() != null);
         return peers;
     }
 
@@ -73,9 +73,9 @@
     @Test
     void receivesMessagesOfKnownGatewaysOnly() throws Exception {
         try (DatagramSocket other = socket();
-                DatagramSocket stranger = socket()) {
+                DatagramSocket unknown = socket()) {
             Peers peers = peers(other);
-            send(stranger, peers, 3);
+            send(unknown, peers, 3);
             send(other, peers, Peers.MAX_MESSAGE_BYTES + 1);
             send(other, peers, 0);
             send(other, peers, 2);
--- a/src/test/java/tinworks/net/ReloadTest.java
+++ b/src/test/java/tinworks/net/ReloadTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import tinworks.net.GatewayFixture.Client;
 
-/** A configuration that is replaced while the gateway runs. */
+/** Reloading the configuration while the gateway runs. */
 class ReloadTest {
     @TempDir
     private Path folder;
@@ -49,24 +49,24 @@
     void switchesDiscoveryAndKeepsHostsAndOpenRequests() throws Exception {
         List<Socket> before = new CopyOnWriteArrayList<>();
         List<Socket> after = new CopyOnWriteArrayList<>();
-        CompletableFuture<Socket> held = new CompletableFuture<>();
+        CompletableFuture<Socket> pending = new CompletableFuture<>();
         ScriptedHost old = discovery(40, before);
         try (ScriptedHost next = discovery(7, after);
-                ScriptedHost host = new ScriptedHost((socket, request) -> held.complete(socket));
-                ScriptedHost newcomer = new ScriptedHost(ScriptedHost.reply("200 OK", "new"));
+                ScriptedHost host = new ScriptedHost((socket, request) -> pending.complete(socket));
+                ScriptedHost newHost = new ScriptedHost(ScriptedHost.reply("200 OK", "new"));
                 GatewayFixture f = new GatewayFixture(
                         list(40, true, List.of(entry("s", host, "up", 0))), old, 60_000_000_000L, 1024)) {
-            Client open = f.client();
-            open.write(submit("r1", LONG_TIMEOUT_MILLIS, "x"));
-            Socket asked = held.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            Client client = f.client();
+            client.write(submit("r1", LONG_TIMEOUT_MILLIS, "x"));
+            Socket open = pending.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             GatewayProcess.reload(f.gateway, environment(next.addressText()));
             await("the watch at the new address", () -> after.size() == 1);
-            await("the end of the old watch", () -> old.connections.get(0).isClosed());
-            ScriptedHost.reply("200 OK", "old").answer(asked, null);
-            assertEquals("old", open.read().body(), "the host and the open request are kept");
-            // The new address counts on its own: what it tells holds, although its version is lower.
-            line(after.get(0), list(8, false, List.of(entry("s", host, "removed", 0), entry("n", newcomer, "up", 0))));
-            await("the newcomer's request", () -> isServed(f, "new"));
+            await("the old watch is closed", () -> old.connections.get(0).isClosed());
+            ScriptedHost.reply("200 OK", "old").answer(open, null);
+            assertEquals("old", client.read().body(), "the host and the open request are kept");
+            // Updates from the new address apply although their version is lower.
+            line(after.get(0), list(8, false, List.of(entry("s", host, "removed", 0), entry("n", newHost, "up", 0))));
+            await("a request at the new host", () -> isServed(f, "new"));
         }
     }
 
@@ -96,15 +96,15 @@
             Files.delete(folder.resolve("config.json"));
             GatewayProcess.reload(f.gateway, environment);
             line(watches.get(0), list(2, false, List.of(entry("s", host, "up", 0))));
-            await("what the old watch tells", () -> isServed(f, "fine"));
-            assertEquals(1, discovery.connections.size(), "the old watch was never replaced");
+            await("the update from the old watch", () -> isServed(f, "fine"));
+            assertEquals(1, discovery.connections.size(), "the old watch is kept");
         }
     }
 
     /**
-     * The whole process, since what ends a Java program on SIGHUP is its runtime. It begins with the signal's usual
-     * effect: where the tests ignore it, as under {@code nohup}, so would a process of theirs, and Java's runtime then
-     * takes no handler for it.
+     * Starts a process, because the Java runtime is what exits on SIGHUP. The process starts with the signal's default
+     * action: if the tests ignore the signal, as under {@code nohup}, a child process inherits that, and the Java
+     * runtime then accepts no handler for it.
      */
     @Test
     void processSurvivesHangUpAndFollowsNewFile() throws Exception {
@@ -134,7 +134,7 @@
                 assertTrue(process.isAlive());
             } finally {
                 process.destroy();
-                assertTrue(process.waitFor(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), "ends when asked");
+                assertTrue(process.waitFor(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), "exits on SIGTERM");
             }
         }
     }
--- a/src/test/java/tinworks/net/ScriptedHost.java
+++ b/src/test/java/tinworks/net/ScriptedHost.java
@@ -14,17 +14,17 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A server on a free loopback port that does with each request what its script says. */
+/** A server on a free loopback port that handles each request with a script. */
 public final class ScriptedHost implements AutoCloseable {
-    /** What the server does once a request has come whole. */
+    /** Handles a complete request. */
     public interface Script {
-        /** Answers a request on its socket. */
+        /** Handles a request received on this socket. */
         void answer(Socket socket, Message request) throws IOException;
     }
 
-    /** A message as it stood on the socket. */
+    /** An HTTP message as it was on the wire. */
     public record Message(String firstLine, List<String> headers, String body) {
-        /** The first value of a header, or null where there is none. */
+        /** The first value of a header, or null if there is none. */
         public String header(String name) {
             return headers.stream()
                     .filter(h -> h.regionMatches(true, 0, name + ":", 0, name.length() + 1))
@@ -33,20 +33,20 @@
                     .orElse(null);
         }
 
-        /** Reads one; null at the end of the stream. */
+        /** Reads a message; null at the end of the stream. */
         static Message read(InputStream in) throws IOException {
-            String first = line(in);
-            if (first == null) {
+            String firstLine = line(in);
+            if (firstLine == null) {
                 return null;
             }
             List<String> headers = new CopyOnWriteArrayList<>();
             for (String header = line(in); header != null && !header.isEmpty(); header = line(in)) {
                 headers.add(header);
             }
-            Message head = new Message(first, headers, "");
+            Message head = new Message(firstLine, headers, "");
             String length = head.header("Content-Length");
             byte[] body = in.readNBytes(length == null ? 0 : Integer.parseInt(length));
-            return new Message(first, headers, new String(body, StandardCharsets.UTF_8));
+            return new Message(firstLine, headers, new String(body, StandardCharsets.UTF_8));
         }
 
         private static String line(InputStream in) throws IOException {
@@ -68,18 +68,18 @@
     public final List<Message> requests = new CopyOnWriteArrayList<>();
     public final List<Socket> connections = new CopyOnWriteArrayList<>();
 
-    /** Starts to listen; each request is answered by the script. */
+    /** Starts listening; each request is handled by the script. */
     public ScriptedHost(Script script) throws IOException {
         this.script = script;
         listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        daemon(this::accept);
+        startDaemon(this::accept);
     }
 
     void script(Script next) {
         script = next;
     }
 
-    /** The address that it listens on. */
+    /** The listening address. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
@@ -88,7 +88,7 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Answers with this status, these header lines and this body. */
+    /** A script that responds with this status, these header lines and this body. */
     static Script reply(String status, String body, String... headers) {
         return (socket, request) -> write(
                 socket,
@@ -102,11 +102,11 @@
 
     /** Writes a text to a socket in one call. */
     public static void write(Socket socket, String text) throws IOException {
-        // In one call: once these bytes are there, the far side may close, and the socket give no stream any more.
+        // In one call: once these bytes arrive, the remote end may close, and the socket provides no stream any more.
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Closes with a reset. */
+    /** Closes the connection with a TCP reset. */
     static void reset(Socket socket) throws IOException {
         socket.setSoLinger(true, 0);
         socket.close();
@@ -118,7 +118,7 @@
                 Socket socket = listener.accept();
                 sockets.add(socket);
                 connections.add(socket);
-                daemon(() -> serve(socket));
+                startDaemon(() -> serve(socket));
             } catch (IOException e) {
                 return; // closed by the test
             }
@@ -133,14 +133,14 @@
                 script.answer(socket, m);
             }
         } catch (IOException e) {
-            // The far side, or the test, closed it.
+            // Closed by the remote end or the test.
         } finally {
             sockets.remove(socket);
         }
     }
 
-    private static void daemon(Runnable work) {
-        Thread thread = new Thread(work);
+    private static void startDaemon(Runnable task) {
+        Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
     }
@@ -150,7 +150,7 @@
         stop();
     }
 
-    /** Ends as a process that dies: its connections break, and new ones are refused. */
+    /** Simulates a crash: open connections break, and new ones are refused. */
     void stop() {
         try {
             listener.close();
--- a/src/test/java/tinworks/net/StallTest.java
+++ b/src/test/java/tinworks/net/StallTest.java
@@ -10,22 +10,22 @@
 import org.junit.jupiter.api.Test;
 import tinworks.net.GatewayFixture.Client;
 
-/** A gateway whose own thread is held up while its hosts' answers lie unread. */
+/** A stall of the gateway's event loop while host responses wait to be read must not count as host latency. */
 class StallTest {
     private static final int CLIENTS = 12;
-    /** With the fixture's aims a tenth as long, answers count as late from half a second on. */
+    /** With latency targets a tenth of the fixture's, responses count as late after half a second. */
     private static final String SETTINGS = GatewayFixture.SETTINGS
             .replace("IDLE", "60000000000")
             .replace("\"aim_ns\":10000000000", "\"aim_ns\":1000000000");
 
-    /** After a whole second the gateway knows its rate; one of little traffic sheds nobody. */
+    /** The gateway knows its request rate after a full second; with little traffic it sheds no load. */
     private static final long NORMAL_TRAFFIC_NANOS = TimeUnit.MILLISECONDS.toNanos(1_200);
 
     private static final long STALL_MILLIS = 1_500;
-    /** On a busy machine the way to the hosts alone may take half a second, which is not the gateway's stall. */
+    /** On a busy machine the network path to the hosts alone may take half a second, apart from the stall. */
     private static final int ROUNDS = 3;
 
-    private static final String ANSWER = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+    private static final String RESPONSE = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
     private volatile CountDownLatch responsesReleased = new CountDownLatch(0);
     private int sent;
@@ -36,7 +36,7 @@
         for (int round = 0; round < ROUNDS && (round == 0 || !refused.isEmpty()); round++) {
             try (ScriptedHost host = new ScriptedHost((socket, request) -> {
                         await(responsesReleased);
-                        ScriptedHost.write(socket, ANSWER);
+                        ScriptedHost.write(socket, RESPONSE);
                     });
                     GatewayFixture fixture = new GatewayFixture(
                             GatewayFixture.list(1, true, entries(host)),
@@ -49,7 +49,7 @@
         assertEquals(List.of(), refused);
     }
 
-    /** What those who ask right after a stall are told that is no answer of a host. */
+    /** The status lines other than a host's 200 that clients receive for requests sent right after a stall. */
     private List<String> refusedAfterStall(ScriptedHost host, GatewayFixture fixture) throws Exception {
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
@@ -62,7 +62,7 @@
         responsesReleased = new CountDownLatch(1);
         int before = host.requests.size();
         sendRequests(clients);
-        GatewayFixture.await("all at the hosts", () -> host.requests.size() == before + CLIENTS);
+        GatewayFixture.await("all requests at the host", () -> host.requests.size() == before + CLIENTS);
         fixture.stall(STALL_MILLIS);
         responsesReleased.countDown();
         readRefusals(clients);
@@ -79,9 +79,9 @@
     private static List<String> readRefusals(List<Client> clients) throws IOException {
         List<String> refusals = new ArrayList<>();
         for (Client client : clients) {
-            String told = client.read().firstLine();
-            if (!told.contains(" 200 ")) {
-                refusals.add(told);
+            String statusLine = client.read().firstLine();
+            if (!statusLine.contains(" 200 ")) {
+                refusals.add(statusLine);
             }
         }
         return refusals;
@@ -95,7 +95,7 @@
         }
     }
 
-    /** One host under as many names as it takes to hold a request of each client. */
+    /** One host under enough names to have a request of each client in flight. */
     private static List<String> entries(ScriptedHost host) {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
--- a/src/test/java/tinworks/net/WarmUpTest.java
+++ b/src/test/java/tinworks/net/WarmUpTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import tinworks.json.Json;
 
-/** The rehearsal before a gateway listens: it comes to an end, and leaves nothing behind. */
+/** The warm-up before a gateway listens: it ends in time and leaves no files behind. */
 class WarmUpTest {
     private static GatewayConfig config() throws IOException {
         String settings = GatewayFixture.SETTINGS.replace("IDLE", "15000000000");
@@ -20,19 +20,20 @@
         return GatewayConfig.read(Json.read("{\"seed\":\"2a\",\"settings\":" + settings + "}"), nowhere, nowhere);
     }
 
-    /** The folders of this process's rehearsals: those of other processes come and go meanwhile. */
-    private static List<Path> warmUpFolders() throws IOException {
-        String own = "rehearsal-" + ProcessHandle.current().pid() + "-";
+    /** The warm-up directories of this process; those of other processes may come and go meanwhile. */
+    private static List<Path> warmUpDirectories() throws IOException {
+        String prefix = "rehearsal-" + ProcessHandle.current().pid() + "-";
         try (var files = Files.list(Path.of(System.getProperty("java.io.tmpdir")))) {
-            return files.filter(f -> f.getFileName().toString().startsWith(own)).toList();
+            return files.filter(f -> f.getFileName().toString().startsWith(prefix))
+                    .toList();
         }
     }
 
     @Test
     void completesAndLeavesNoFiles() throws Exception {
-        List<Path> before = warmUpFolders();
+        List<Path> before = warmUpDirectories();
         assertTrue(WarmUp.run(config(), GatewayFixture.AWAIT_TIMEOUT_MILLIS * 6));
-        assertEquals(before, warmUpFolders());
+        assertEquals(before, warmUpDirectories());
     }
 
     @Test
@@ -42,8 +43,8 @@
 
     @Test
     void stopsAtTimeLimit() throws Exception {
-        List<Path> before = warmUpFolders();
+        List<Path> before = warmUpDirectories();
         assertFalse(WarmUp.run(config(), 1));
-        assertEquals(before, warmUpFolders());
+        assertEquals(before, warmUpDirectories());
     }
 }
