--- a/src/main/java/tinworks/net/EndpointList.java
+++ b/src/main/java/tinworks/net/EndpointList.java
@@ -63,7 +63,7 @@
         // A removed host may lack an address, as nothing is sent to it.
         SocketAddress address = readiness == Readiness.REMOVED
                 ? null
-                : Address.read(entry.required("address").text());
+                : Address.parse(entry.required("address").text());
         return new Endpoint(info, address);
     }
 
--- a/src/main/java/tinworks/net/Forwarding.java
+++ b/src/main/java/tinworks/net/Forwarding.java
@@ -129,7 +129,8 @@
                 r.seenOverdue = true;
                 continue;
             }
-            Invariant.ANSWERED_IN_TIME.violated(r.id + " of " + r.requestClass + " has no response after its deadline");
+            Invariant.ANSWERED_IN_TIME.recordViolation(
+                    r.id + " of " + r.requestClass + " has no response after its deadline");
             fail(r.id, Reason.FAULT);
             dispatch(new ClientDisconnected(r.id));
         }
@@ -168,7 +169,7 @@
         try {
             loadBalancer.onEvent(lastEventNanos, event);
         } catch (RuntimeException e) {
-            Invariant.NO_FAULT.violatedBy(
+            Invariant.NO_FAULT.recordException(
                     e, "the load balancer failed to process " + event.getClass().getSimpleName());
             String failedRequestId = currentRequestId;
             failAfterFault(event instanceof RequestArrived arrived ? arrived.id() : null);
