--- a/src/main/java/tinworks/raft/Entry.java
+++ b/src/main/java/tinworks/raft/Entry.java
@@ -3,14 +3,18 @@
 import java.util.Arrays;
 
 /**
- * A record of the log.
+ * An entry of the replicated log.
  *
- * @param index its place, from 1
- * @param term the term of the leader that wrote it
- * @param body for {@link Kind#COMMAND} the state machine's bytes, for {@link Kind#MEMBERSHIP} {@link Voters}'s
+ * @param index position in the log, starting at 1
+ * @param term the term of the leader that created the entry
+ * @param body the command for {@link Kind#COMMAND}, the encoded {@link Voters} for {@link Kind#MEMBERSHIP}, otherwise
+ *     empty
  */
 public record Entry(long index, long term, Kind kind, byte[] body) {
-    /** What an entry is for: a leader's first, a command to the state machine, or the voters from here on. */
+    /**
+     * The purpose of an entry: the no-op with which a leader opens its term, a command for the state machine, or the
+     * voters that count from this entry on. The order of the constants is part of the encoding.
+     */
     public enum Kind {
         NO_OP,
         COMMAND,
@@ -31,7 +35,7 @@
         return Long.hashCode(index * 31 + term);
     }
 
-    /** The same for equal entries. */
+    /** Returns a summary that is the same for equal entries. */
     @Override
     public String toString() {
         return index + "." + term + " " + kind + " " + body.length + " bytes #"
--- a/src/main/java/tinworks/raft/Log.java
+++ b/src/main/java/tinworks/raft/Log.java
@@ -4,69 +4,72 @@
 import java.util.List;
 
 /**
- * The log in memory: a snapshot, the entries that follow it, and a tail of entries that it covers already, kept for
- * followers that are a little behind. The tail isn't on the disk.
+ * The in-memory log: a snapshot, the entries that follow it, and a tail of entries that the snapshot already covers.
+ * The tail lets slightly lagging followers catch up without a snapshot; it is not stored on disk.
  */
 final class Log {
-    /** What an entry takes beside its body, roughly. */
-    private static final int ENTRY_BYTES = 48;
+    /** Approximate memory of an entry besides its body. */
+    private static final int ENTRY_OVERHEAD_BYTES = 48;
 
-    private Snapshot base;
+    private Snapshot baseSnapshot;
     private final List<Entry> entries;
-    /** The index and the term before the first entry that is held; at the snapshot's or below. */
-    private long start;
+    /** The index and term just before the first entry held; at or below the snapshot's index. */
+    private long precedingIndex;
 
-    private long startTerm;
+    private long precedingTerm;
 
     Log(Snapshot base, List<Entry> entries) {
-        this.base = base;
+        this.baseSnapshot = base;
         this.entries = new ArrayList<>(entries);
-        start = base.index();
-        startTerm = base.term();
+        precedingIndex = base.index();
+        precedingTerm = base.term();
         long expected = base.index();
         for (Entry entry : entries) {
             if (entry.index() != ++expected) {
-                throw new IllegalArgumentException("log: index " + entry.index() + " where " + expected + " was due");
+                throw new IllegalArgumentException(
+                        "log: found entry " + entry.index() + " where " + expected + " was expected");
             }
         }
     }
 
-    Snapshot base() {
-        return base;
+    Snapshot baseSnapshot() {
+        return baseSnapshot;
     }
 
-    /** Entries above this index are held, and its term is known. */
-    long start() {
-        return start;
+    /** Returns the index just before the first entry held. Its term is known too. */
+    long precedingIndex() {
+        return precedingIndex;
     }
 
     long lastIndex() {
-        return start + entries.size();
+        return precedingIndex + entries.size();
     }
 
     long lastTerm() {
-        return entries.isEmpty() ? startTerm : entries.get(entries.size() - 1).term();
+        return entries.isEmpty()
+                ? precedingTerm
+                : entries.get(entries.size() - 1).term();
     }
 
-    /** The term at an index, or -1 where this log doesn't reach or no longer has it. */
+    /** Returns the term at an index, or -1 if the log does not reach it or no longer holds it. */
     long term(long index) {
-        if (index == start) {
-            return startTerm;
+        if (index == precedingIndex) {
+            return precedingTerm;
         }
-        return index > start && index <= lastIndex() ? entry(index).term() : -1;
+        return index > precedingIndex && index <= lastIndex() ? entry(index).term() : -1;
     }
 
     Entry entry(long index) {
-        return entries.get((int) (index - start - 1));
+        return entries.get((int) (index - precedingIndex - 1));
     }
 
-    /** Entries from an index on, as many as fit the bytes and one at least. */
-    List<Entry> from(long index, int mostBytes) {
+    /** Returns entries from an index on, as many as fit into the limit but at least one. */
+    List<Entry> entriesFrom(long index, int maxBytes) {
         List<Entry> found = new ArrayList<>();
         long bytes = 0;
         for (long i = index; i <= lastIndex(); i++) {
             bytes += bytes(entry(i));
-            if (bytes > mostBytes && !found.isEmpty()) {
+            if (bytes > maxBytes && !found.isEmpty()) {
                 break;
             }
             found.add(entry(i));
@@ -74,73 +77,72 @@
         return found;
     }
 
-    /** What the entries above one index and up to another take; of those that are held no more, nothing. */
+    /** Returns the memory taken by the entries held in the range ({@code above}, {@code upTo}]. */
     long bytes(long above, long upTo) {
         long bytes = 0;
-        for (long i = Math.max(above, start) + 1; i <= Math.min(upTo, lastIndex()); i++) {
+        for (long i = Math.max(above, precedingIndex) + 1; i <= Math.min(upTo, lastIndex()); i++) {
             bytes += bytes(entry(i));
         }
         return bytes;
     }
 
     private static long bytes(Entry entry) {
-        return (long) ENTRY_BYTES + entry.body().length;
+        return (long) ENTRY_OVERHEAD_BYTES + entry.body().length;
     }
 
     void append(Entry entry) {
         entries.add(entry);
     }
 
-    void cutFrom(long index) {
-        entries.subList((int) (index - start - 1), entries.size()).clear();
+    void truncateFrom(long index) {
+        entries.subList((int) (index - precedingIndex - 1), entries.size()).clear();
     }
 
     /**
-     * Puts a snapshot in place of what it covers; entries behind it stay where they follow it, and of those that it
-     * covers the last ones, as many as fit the bytes.
+     * Replaces the log up to the snapshot's index by the snapshot. If the log matches the snapshot, it keeps the
+     * entries after it and a tail of at most {@code tailBytes} of the entries that it covers; otherwise it drops all
+     * entries.
      */
-    void rebase(Snapshot snapshot, long tailBytes) {
-        if (term(snapshot.index()) == snapshot.term() && snapshot.index() >= base.index()) {
+    void installSnapshot(Snapshot snapshot, long tailBytes) {
+        if (term(snapshot.index()) == snapshot.term() && snapshot.index() >= baseSnapshot.index()) {
             long keep = snapshot.index();
-            for (long left = tailBytes; keep > start && bytes(entry(keep)) <= left; keep--) {
+            for (long left = tailBytes; keep > precedingIndex && bytes(entry(keep)) <= left; keep--) {
                 left -= bytes(entry(keep));
             }
             long keptTerm = term(keep);
-            entries.subList(0, (int) (keep - start)).clear();
-            start = keep;
-            startTerm = keptTerm;
+            entries.subList(0, (int) (keep - precedingIndex)).clear();
+            precedingIndex = keep;
+            precedingTerm = keptTerm;
         } else {
             entries.clear();
-            start = snapshot.index();
-            startTerm = snapshot.term();
+            precedingIndex = snapshot.index();
+            precedingTerm = snapshot.term();
         }
-        base = snapshot;
+        baseSnapshot = snapshot;
     }
 
-    /**
-     * The voters as of an index, the snapshot's or a later one, as the latest entry of them at or before it has them.
-     */
+    /** Returns the voters that apply at an index, which is the snapshot's or a later one. */
     Voters votersAt(long index) {
-        for (long i = Math.min(index, lastIndex()); i > base.index(); i--) {
+        for (long i = Math.min(index, lastIndex()); i > baseSnapshot.index(); i--) {
             if (entry(i).kind() == Entry.Kind.MEMBERSHIP) {
                 return Voters.decode(entry(i).body());
             }
         }
-        return Voters.of(base.members());
+        return Voters.of(baseSnapshot.members());
     }
 
-    /** Those of {@link #votersAt} that stay. */
-    List<Member> membersAt(long index) {
+    /** Returns the voters at an index without those that a membership change in progress removes. */
+    List<Member> currentVotersAt(long index) {
         return votersAt(index).current();
     }
 
-    /** The index of the latest list of voters. */
-    long membersIndex() {
-        for (long i = lastIndex(); i > base.index(); i--) {
+    /** Returns the index of the latest membership entry, or the snapshot's index if none follows it. */
+    long lastMembershipIndex() {
+        for (long i = lastIndex(); i > baseSnapshot.index(); i--) {
             if (entry(i).kind() == Entry.Kind.MEMBERSHIP) {
                 return i;
             }
         }
-        return base.index();
+        return baseSnapshot.index();
     }
 }
--- a/src/main/java/tinworks/raft/Member.java
+++ b/src/main/java/tinworks/raft/Member.java
@@ -1,9 +1,9 @@
 package tinworks.raft;
 
 /**
- * A voter of the log.
+ * A voter or learner of the cluster.
  *
- * @param id who it is for as long as its disk lives; a machine that comes back empty is another member
- * @param address where it takes messages, {@code ip:port}
+ * @param id identity bound to the member's disk; a node that returns with an empty disk is a new member
+ * @param address where the member accepts messages, as {@code ip:port}
  */
 public record Member(long id, String address) {}
--- a/src/main/java/tinworks/raft/MemberListCodec.java
+++ b/src/main/java/tinworks/raft/MemberListCodec.java
@@ -5,17 +5,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The bytes of a list of voters: a count, then for each an id, and an address behind its length. */
+/** Encodes a list of members as a count, then for each member its id, address length and address. */
 public final class MemberListCodec {
-    private static final int MOST = 64;
-    private static final int LONGEST_ADDRESS = 64;
+    private static final int MAX_MEMBERS = 64;
+    private static final int MAX_ADDRESS_BYTES = 64;
 
     private MemberListCodec() {}
 
-    /** The list as bytes. */
+    /** Encodes a list of members. */
     public static byte[] encode(List<Member> members) {
         ByteBuffer out =
-                ByteBuffer.allocate(Integer.BYTES + members.size() * (Long.BYTES + Integer.BYTES + LONGEST_ADDRESS));
+                ByteBuffer.allocate(Integer.BYTES + members.size() * (Long.BYTES + Integer.BYTES + MAX_ADDRESS_BYTES));
         out.putInt(members.size());
         for (Member member : members) {
             byte[] address = member.address().getBytes(StandardCharsets.UTF_8);
@@ -26,24 +26,24 @@
         return bytes;
     }
 
-    /** Reads what {@link #encode} wrote; anything else is an {@link IllegalArgumentException}. */
+    /** Decodes the output of {@link #encode}; any other input throws an {@link IllegalArgumentException}. */
     public static List<Member> decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         List<Member> members = decode(in);
-        require(!in.hasRemaining(), "bytes left over", in.remaining());
+        require(!in.hasRemaining(), "trailing bytes", in.remaining());
         return members;
     }
 
-    /** Reads one list and leaves what stands behind it. */
+    /** Decodes one list and leaves the buffer positioned after it. */
     static List<Member> decode(ByteBuffer in) {
         List<Member> members = new ArrayList<>();
         int count = in.remaining() < Integer.BYTES ? -1 : in.getInt();
-        require(count >= 0 && count <= MOST, "voters", count);
+        require(count >= 0 && count <= MAX_MEMBERS, "member count", count);
         for (int i = 0; i < count; i++) {
-            require(in.remaining() >= Long.BYTES + Integer.BYTES, "bytes left", in.remaining());
+            require(in.remaining() >= Long.BYTES + Integer.BYTES, "remaining bytes", in.remaining());
             long id = in.getLong();
             int length = in.getInt();
-            require(length >= 0 && length <= Math.min(LONGEST_ADDRESS, in.remaining()), "address length", length);
+            require(length >= 0 && length <= Math.min(MAX_ADDRESS_BYTES, in.remaining()), "address length", length);
             byte[] address = new byte[length];
             in.get(address);
             members.add(new Member(id, new String(address, StandardCharsets.UTF_8)));
@@ -53,7 +53,7 @@
 
     private static void require(boolean holds, String what, int value) {
         if (!holds) {
-            throw new IllegalArgumentException("members: " + what + " can't be " + value);
+            throw new IllegalArgumentException("malformed member list: " + what + " " + value);
         }
     }
 }
--- a/src/main/java/tinworks/raft/Message.java
+++ b/src/main/java/tinworks/raft/Message.java
@@ -2,30 +2,30 @@
 
 import java.util.List;
 
-/** What members say to each other. Each carries the sender's term. */
+/** A message between members. Each carries the sender's term. */
 public sealed interface Message {
-    /** The sender's term; for a question before a vote, the term it would stand in. */
+    /** Returns the sender's term; for a pre-vote request, the term of the election that would follow. */
     long term();
 
     /**
-     * Asks for a vote, or with {@code pre} whether one would be given.
+     * Requests a vote; with {@code preVote} only asks whether the vote would be granted.
      *
-     * @param leadershipTransfer the leader itself asked the sender to stand
+     * @param leadershipTransfer whether the leader itself asked the sender to start an election
      */
     record VoteRequest(long term, boolean preVote, long lastIndex, long lastTerm, boolean leadershipTransfer)
             implements Message {}
 
-    /** Gives or denies a vote; {@code term} is the one asked about where it is given. */
+    /** Grants or denies a vote; for a granted pre-vote {@code term} is the requested one. */
     record VoteReply(long term, boolean preVote, boolean granted) implements Message {}
 
     /**
-     * Entries that follow {@code previousIndex}, none in a heartbeat.
+     * Replicates the entries that follow {@code previousIndex}; a heartbeat has none.
      *
      * @param leaderCommit the leader's commit index
-     * @param round counts the leader's rounds of heartbeats, for reads and leases
-     * @param echo the latest {@link AppendReply#sentAt} that the leader has from the member that this is for, 0 where
-     *     none
-     * @param leaseMillis how long the leader's lease lasts from when it got that, 0 where it has none
+     * @param round number of the leader's heartbeat round, for read index requests and leases
+     * @param echo the latest {@link AppendReply#sentAt} that the leader received from the recipient, 0 if none
+     * @param leaseMillis remaining duration of the leader's lease, counted from when it received that reply; 0 if it
+     *     holds no lease
      */
     record Append(
             long term,
@@ -37,71 +37,73 @@
             long echo,
             long leaseMillis)
             implements Message {
-        /** Keeps its own list of entries. */
+        /** Copies the entries. */
         public Append {
             entries = List.copyOf(entries);
         }
 
-        /** One of a leader without a lease. */
+        /** Creates the message of a leader without a lease. */
         public Append(long term, long previousIndex, long previousTerm, long commit, long round, List<Entry> entries) {
             this(term, previousIndex, previousTerm, commit, round, entries, 0, 0);
         }
 
-        Append leased(long echoed, long millis) {
+        Append withLease(long echoed, long millis) {
             return new Append(term, previousIndex, previousTerm, leaderCommit, round, entries, echoed, millis);
         }
     }
 
     /**
-     * Answers an {@link Append} or an {@link InstallSnapshot}.
+     * Answers an {@link Append} or a completed {@link InstallSnapshot}.
      *
-     * @param index where taken, up to where both logs are alike; else the last index that may be
-     * @param sentAt when it was sent, in milliseconds of a clock that only the sender can read
+     * @param index on success the last index known to match the leader's log; otherwise the last index that may match
+     * @param sentAt send time in milliseconds of a clock that only the sender can interpret
      */
     record AppendReply(long term, boolean success, long index, long round, long sentAt) implements Message {
-        /** One that isn't sent yet. */
+        /** Creates a reply without a send time. */
         public AppendReply(long term, boolean taken, long index, long round) {
             this(term, taken, index, round, 0);
         }
 
-        AppendReply sent(long at) {
+        AppendReply withSentAt(long at) {
             return new AppendReply(term, success, index, round, at);
         }
     }
 
     /**
-     * A piece of a snapshot, which stands in place of entries that the leader no longer has; with no bytes a heartbeat
-     * that asks how far the follower has come.
+     * A chunk of a snapshot, sent in place of entries that the leader no longer holds. An empty chunk is a heartbeat
+     * that asks how much of the snapshot the follower has received.
      *
-     * @param offset where in the state the piece belongs
-     * @param sequence counts the leader's messages of this kind
+     * @param offset position of the chunk in the state
+     * @param sequence number of this message among the leader's messages of this kind
      */
     record InstallSnapshot(long term, Snapshot.Metadata metadata, int offset, byte[] chunk, long sequence, long round)
             implements Message {}
 
     /**
-     * Answers an {@link InstallSnapshot} while bytes are missing; once all are on the disk an {@link AppendReply} does.
+     * Answers an {@link InstallSnapshot} while bytes are missing. Once the whole snapshot is on disk, an
+     * {@link AppendReply} answers instead.
      *
-     * @param index the snapshot's
-     * @param offset how many bytes of it are there, from its beginning on
-     * @param sequence of the message that is answered
+     * @param index the index of the snapshot
+     * @param offset number of contiguous bytes received from the beginning of the state
+     * @param sequence the sequence of the message answered
      */
     record InstallSnapshotReply(long term, long index, int offset, long sequence, long round) implements Message {}
 
     /**
-     * A member that has started again asks the leader that it followed last whether that one still leads.
+     * Sent by a restarted member to the last leader that it followed, to find out whether that leader's lease is over.
      *
-     * @param incarnation a number that the sender drew at its start
+     * @param incarnation random number that the sender draws at each start
      */
     record LeaseQuery(long term, long incarnation) implements Message {}
 
     /**
-     * Answers a {@link LeaseQuery}: the sender didn't lead when that came, so whatever lease it had before is over.
+     * Answers a {@link LeaseQuery}: the sender was not leader when it received the query, so any earlier lease of its
+     * is over.
      *
-     * @param incarnation the query's
+     * @param incarnation the incarnation from the query
      */
     record LeaseEnded(long term, long incarnation) implements Message {}
 
-    /** The leader asks its best follower to stand at once, since it is about to end. */
+    /** Sent by a leader that transfers its leadership: the recipient starts an election at once. */
     record TimeoutNow(long term) implements Message {}
 }
--- a/src/main/java/tinworks/raft/Output.java
+++ b/src/main/java/tinworks/raft/Output.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What is to be done after events, in this order: write and sync, tell the machine with {@link Raft#persisted}, send,
- * and apply.
+ * The actions that result from events. The caller carries them out in this order: write and sync, call
+ * {@link Raft#persisted}, send the messages, apply.
  *
- * @param hardState to be written, or null
- * @param snapshot to be written in place of the log up to its index, or null
- * @param truncateFrom the log's records from this index on are to be removed before {@code entries} are written; 0
- *     where there are none to write
- * @param lastIndex the log's end once all of this is written
- * @param restored a snapshot to be loaded into the state machine before {@code committed}, or null
+ * @param hardState the hard state to write, or null if unchanged
+ * @param snapshot the snapshot to write in place of the log up to its index, or null
+ * @param truncateFrom the stored log is truncated from this index on before {@code entries} are written; 0 if there is
+ *     nothing to truncate or write
+ * @param lastIndex the last index of the log once everything is written
+ * @param restored the snapshot to load into the state machine before {@code committed}, or null
  * @param reads tickets of reads that may be answered once {@code committed} is applied
  */
 public record Output(
@@ -25,15 +25,15 @@
         Snapshot restored,
         List<Entry> committed,
         List<Long> reads) {
-    /** A message and the member it is for. */
+    /** A message and the id of its recipient. */
     public record Envelope(long to, Message message) {}
 
-    /** Whether anything has to reach the disk before the messages go out. */
+    /** Returns whether anything has to be synced to disk before the messages are sent. */
     public boolean mustSync() {
         return hardState != null || snapshot != null || truncateFrom > 0;
     }
 
-    /** Whether there is nothing to do at all. */
+    /** Returns whether there is nothing to do. */
     public boolean isEmpty() {
         return !mustSync() && messages.isEmpty() && restored == null && committed.isEmpty() && reads.isEmpty();
     }
--- a/src/main/java/tinworks/raft/PersistentState.java
+++ b/src/main/java/tinworks/raft/PersistentState.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** What a member has on its disk when it starts; the entries follow the snapshot without a gap. */
+/** The state that a member loads from disk when it starts; the entries follow the snapshot without a gap. */
 public record PersistentState(HardState hardState, Snapshot snapshot, List<Entry> entries) {
-    /** An empty disk. */
+    /** The state of a member with an empty disk. */
     public static final PersistentState EMPTY = new PersistentState(HardState.NONE, Snapshot.NONE, List.of());
 
-    /** Keeps its own list of entries. */
+    /** Copies the entries. */
     public PersistentState {
         entries = List.copyOf(entries);
     }
--- a/src/main/java/tinworks/raft/Progress.java
+++ b/src/main/java/tinworks/raft/Progress.java
@@ -1,54 +1,55 @@
 package tinworks.raft;
 
-/** What a leader knows of one that it sends the log to, a voter or a learner. */
+/** A leader's view of one member that it replicates to, a voter or a learner. */
 public final class Progress {
     static final long NEVER = Long.MIN_VALUE / 2;
 
     final Member member;
-    long next;
-    long match;
-    /** What it has to have before it may vote: where the log ended when the leader began to send it. */
-    long target;
-
-    long round;
-    long heardAt;
-    long rewoundAt;
-    /** When the latest round was sent that it answered. */
-    long askedAt = NEVER;
-    /** The time that it sent last, on a clock of its own, 0 where none; and when that came. */
-    long echo;
-
-    long echoAt;
-    /** The snapshot that is on its way, null where none is. */
-    Transfer transfer;
+    long nextIndex;
+    long matchIndex;
+    /** Index that a learner has to reach before it may vote: the end of the log when replication to it started. */
+    long catchUpIndex;
+
+    long ackedRound;
+    long lastReceivedMillis;
+    long lastRewindAt;
+    /** Send time of the latest heartbeat round that the member acknowledged. */
+    long ackedRoundSentAt = NEVER;
+    /** The latest {@link Message.AppendReply#sentAt} from the member, 0 if none, and when it was received. */
+    long peerSentAt;
+
+    long peerSentReceivedAt;
+    /** The snapshot transfer in progress, or null. */
+    SnapshotTransfer transfer;
 
     Progress(Member member, long next, long now) {
         this.member = member;
-        this.next = next;
-        target = next - 1;
-        heardAt = now;
+        this.nextIndex = next;
+        catchUpIndex = next - 1;
+        lastReceivedMillis = now;
     }
 
-    /** Who it is. */
+    /** Returns the member. */
     public Member member() {
         return member;
     }
 
-    /** The last index that it has for certain, 0 where none. */
+    /** Returns the last index known to be replicated to the member, 0 if none. */
     public long matchIndex() {
-        return match;
+        return matchIndex;
     }
 
     /**
-     * Whether it has synced all that the log held when the leader began to send it, or when it was last heard again. An
-     * index that stands still, since one that takes entries all the time may never have all that is committed.
+     * Returns whether the member has synced everything up to the end of the log at the time when replication to it
+     * started, or resumed after it had been unresponsive. The target index is fixed because a member that receives
+     * entries continuously may never hold everything that is committed.
      */
     public boolean caughtUp() {
-        return match > 0 && match >= target;
+        return matchIndex > 0 && matchIndex >= catchUpIndex;
     }
 
-    /** When it last said anything, in the machine's milliseconds. */
+    /** Returns when the last message from the member was received, in the leader's steady milliseconds. */
     public long lastReceivedMillis() {
-        return heardAt;
+        return lastReceivedMillis;
     }
 }
--- a/src/main/java/tinworks/raft/Raft.java
+++ b/src/main/java/tinworks/raft/Raft.java
@@ -22,33 +22,40 @@
 import tinworks.raft.Output.Envelope;
 
 /**
- * One member's part in the agreement. Events come by {@link #tick}, {@link #receive} and the calls of a leader; what is
- * to be done about them is collected by {@link #drain}. Messages may be lost, doubled and late; nothing here reads a
- * clock, and time is the caller's steady milliseconds.
+ * The Raft state machine of one member. Events arrive through {@link #tick}, {@link #receive} and the methods for a
+ * leader; {@link #drain} returns the resulting actions. Messages may be lost, duplicated and delayed. This class reads
+ * no clock and does no I/O; the caller passes steady milliseconds.
  *
- * <p>What keeps an acknowledged entry: a vote and an entry are told to others only once they are synced (the
- * {@link Output}'s order), an entry counts as committed once a majority of the voters has it and one of the leader's
- * own term is among them, and a vote goes only to who has all that the voter has. Voters change by joint consensus: the
- * first entry of a change names those to come and those before, and counts from when it is in the log. From then on a
- * majority of each is needed, so no majority of either can decide alone; the second entry, of those to come, is written
- * only once the first is committed, so by then a majority of them has all that is committed.
+ * <p>Acknowledged entries survive because of three rules. Votes and entries are confirmed to others only after they are
+ * synced (see the order in {@link Output}). An entry is committed once a majority of the voters stores it and an entry
+ * of the leader's own term at or after it. A vote goes only to a candidate whose log is at least as up to date as the
+ * voter's. Voters change by joint consensus: the first entry of a change names the new and the old voters, and applies
+ * as soon as it is in the log. From then on a majority of each list is needed, so neither can decide alone. The second
+ * entry, with the new voters only, is written once the first is committed; by then a majority of the new voters stores
+ * everything that is committed.
  */
 public class Raft {
-    /** What a member is at the moment. */
+    /** The role of a member. A pre-candidate requests pre-votes before it starts an election. */
     public enum Role {
         FOLLOWER,
         PRE_CANDIDATE,
         CANDIDATE,
-        LEADER
+        LEADER;
+
+        /** Returns the name shown in the status page and in logs, where the pre-candidate is {@code ASKING}. */
+        @Override
+        public String toString() {
+            return this == PRE_CANDIDATE ? "ASKING" : name();
+        }
     }
 
-    /** Entries of one message: enough for a batch, little enough not to hold up heartbeats. */
-    private static final int MESSAGE_BYTES = 128 << 10;
-    /** What one follower may be sent ahead of its answers; one entry may lie over it. */
-    static final int MOST_IN_FLIGHT = 512 << 10;
-    /** What a leader may write ahead of its commit index, the first entry always. */
-    static final int MOST_UNCOMMITTED = 2 << 20;
-    /** Entries that a snapshot covers and that are kept for followers a little behind. */
+    /** Maximum size of the entries in one message: enough for a batch, small enough not to delay heartbeats. */
+    private static final int MAX_APPEND_BYTES = 128 << 10;
+    /** Unacknowledged bytes beyond which a follower is sent no further entries. */
+    static final int MAX_IN_FLIGHT_BYTES = 512 << 10;
+    /** Maximum size of a leader's uncommitted entries; a first uncommitted entry is always allowed. */
+    static final int MAX_UNCOMMITTED_BYTES = 2 << 20;
+    /** Size of the entries that are kept below a snapshot for slightly lagging followers. */
     static final int TAIL_BYTES = 1 << 20;
 
     private final long self;
@@ -56,54 +63,54 @@
     private final SplittableRandom random;
     private final Log log;
     private final Map<Long, Progress> progress = new LinkedHashMap<>();
-    private final Set<Long> granted = new HashSet<>();
-    private final Map<Long, Long> reads = new LinkedHashMap<>();
-    /** When each of the leader's latest rounds was sent. */
-    private final Map<Long, Long> rounds = new LinkedHashMap<>();
+    private final Set<Long> votesGranted = new HashSet<>();
+    private final Map<Long, Long> pendingReads = new LinkedHashMap<>();
+    /** Send times of the leader's recent heartbeat rounds, by round. */
+    private final Map<Long, Long> roundSentAt = new LinkedHashMap<>();
 
     private final long startedAt;
-    /** Drawn at each start, so that answers to what an earlier life of this member sent mean nothing. */
-    private final long life;
+    /** Random number drawn at each start; replies to messages from before a restart do not match it. */
+    private final long incarnation;
 
     private long term;
     private long votedFor;
     /**
-     * The leader that this member followed, or was, last: the only one whose lease an earlier life may have promised to
-     * keep.
+     * The last leader that this member followed, or this member if it led last. It is the only leader whose lease this
+     * member may have supported before a restart.
      */
     private long lastLeader;
-    /** Whether {@link #lastLeader} has neither been heard in this life nor said that its lease is over. */
-    private boolean promiseOpen;
+    /** Whether, since the start, no leader made contact and {@link #lastLeader} has not ended its lease. */
+    private boolean priorLeasePending;
 
     private Role role = Role.FOLLOWER;
     private long leader;
-    private long commit;
-    private long applied;
+    private long commitIndex;
+    private long appliedIndex;
     private long now;
-    private long heardLeaderAt;
-    private long electionAt;
-    private long heartbeatAt;
-    private long firstOfTerm;
+    private long leaderContactAt;
+    private long electionTimeoutAt;
+    private long nextHeartbeatAt;
+    private long firstIndexOfTerm;
     private long round;
-    private long roundAt;
-    private long tickets;
-    /** When a leader that has handed over steps down if nobody took the lead, 0 where it hasn't. */
-    private long leavesAt;
+    private long roundStartedAt;
+    private long lastReadTicket;
+    /** When a leader that transfers its leadership steps down if no other has taken over; 0 without a transfer. */
+    private long transferDeadline;
 
     private long freshUntil;
     private long freshIndex;
     private Voters voters;
 
-    private HardState written;
-    private long unwrittenFrom;
-    private Snapshot unwrittenSnapshot;
-    private Snapshot restore;
-    private SnapshotAssembler gathering;
-    private long installs;
+    private HardState drainedHardState;
+    private long unstableFrom;
+    private Snapshot unstableSnapshot;
+    private Snapshot snapshotToRestore;
+    private SnapshotAssembler incomingSnapshot;
+    private long lastInstallSequence;
     private List<Envelope> outbox = new ArrayList<>();
-    private final List<Long> readable = new ArrayList<>();
+    private final List<Long> confirmedReads = new ArrayList<>();
 
-    /** A member with what its disk holds; whoever isn't among the voters listens until a leader makes it one. */
+    /** Creates a member from its stored state. A member that is not a voter stays passive until a leader adds it. */
     public Raft(long self, PersistentState stored, Timing timing, long seed, long now) {
         this.self = self;
         this.timing = timing;
@@ -113,125 +120,129 @@
         term = stored.hardState().term();
         votedFor = stored.hardState().votedFor();
         lastLeader = stored.hardState().lastLeader();
-        written = stored.hardState();
-        commit = stored.snapshot().index();
-        restore = commit > 0 ? stored.snapshot() : null;
-        applied = commit;
+        drainedHardState = stored.hardState();
+        commitIndex = stored.snapshot().index();
+        snapshotToRestore = commitIndex > 0 ? stored.snapshot() : null;
+        appliedIndex = commitIndex;
         voters = log.votersAt(log.lastIndex());
         startedAt = now;
-        life = random.nextLong();
-        promiseOpen = term > 0 && lastLeader != self;
-        heardLeaderAt = now - timing.electionMillis();
-        // All may have lost power at once, so no longer than is needed.
-        long quiet = mayHavePromised() ? timing.electionMillis() : timing.heartbeatMillis();
-        electionAt = now + quiet + random.nextLong(timing.electionMillis() / 2);
+        incarnation = random.nextLong();
+        priorLeasePending = term > 0 && lastLeader != self;
+        leaderContactAt = now - timing.electionTimeoutMillis();
+        // Keeps the first wait short, since all members may have restarted at once after a power failure.
+        long initialWait = isBoundByPriorLease() ? timing.electionTimeoutMillis() : timing.heartbeatIntervalMillis();
+        electionTimeoutAt = now + initialWait + random.nextLong(timing.electionTimeoutMillis() / 2);
     }
 
-    // ---- what is asked of it
+    // ---- events and requests
 
-    /** Lets time pass. */
+    /** Advances time, which may trigger an election or a heartbeat. */
     public void tick(long nowMillis) {
         now = Math.max(now, nowMillis);
         if (role == Role.LEADER) {
-            if ((leaves() && now >= leavesAt) || !isAnswered()) {
+            if ((isTransferringLeadership() && now >= transferDeadline) || !hasQuorumContact()) {
                 stepDown();
-            } else if (now >= heartbeatAt) {
-                broadcast();
+            } else if (now >= nextHeartbeatAt) {
+                broadcastAppend();
             }
             return;
         }
-        if (mayHavePromised()) {
-            askLastLeader();
+        if (isBoundByPriorLease()) {
+            queryLastLeader();
         }
-        if (now >= electionAt) {
-            ask();
+        if (now >= electionTimeoutAt) {
+            startPreVote();
         }
     }
 
-    /** Takes a message that another member sent. */
+    /** Handles a message from another member. */
     public void receive(long nowMillis, long from, Message message) {
         now = Math.max(now, nowMillis);
         if (message instanceof VoteRequest m) {
-            voteRequested(from, m);
+            handleVoteRequest(from, m);
         } else if (message instanceof VoteReply m) {
-            voteReplied(from, m);
+            handleVoteReply(from, m);
         } else if (message instanceof Append m) {
-            if (leads(from, m.term(), m.round())) {
-                append(from, m);
-                toldLease(m);
+            if (acceptLeader(from, m.term(), m.round())) {
+                handleAppend(from, m);
+                extendFreshness(m);
             }
         } else if (message instanceof InstallSnapshot m) {
-            if (leads(from, m.term(), m.round())) {
-                install(from, m);
+            if (acceptLeader(from, m.term(), m.round())) {
+                handleInstallSnapshot(from, m);
             }
         } else if (message instanceof AppendReply m) {
-            roundAnswered(from, m.term(), m.round());
-            appendReplied(from, m);
+            recordRoundAck(from, m.term(), m.round());
+            handleAppendReply(from, m);
         } else if (message instanceof InstallSnapshotReply m) {
-            roundAnswered(from, m.term(), m.round());
-            installReplied(from, m);
+            recordRoundAck(from, m.term(), m.round());
+            handleInstallSnapshotReply(from, m);
         } else if (message instanceof LeaseQuery m) {
-            leaseAsked(from, m);
+            handleLeaseQuery(from, m);
         } else if (message instanceof LeaseEnded m) {
-            leaseEnded(from, m);
+            handleLeaseEnded(from, m);
         } else if (message instanceof TimeoutNow m && m.term() == term && isVoter(self)) {
-            stand(true);
+            startElection(true);
         }
     }
 
-    /** Writes a command to the log and returns its index, or 0 where this member doesn't lead or has handed over. */
+    /**
+     * Appends a command to the log and returns its index, or 0 if this member does not lead or transfers leadership.
+     */
     public long propose(byte[] command) {
-        return role == Role.LEADER && !leaves() ? write(Kind.COMMAND, command) : 0;
+        return role == Role.LEADER && !isTransferringLeadership() ? appendOwnEntry(Kind.COMMAND, command) : 0;
     }
 
     /**
-     * Whether a command of so many bytes may be written ahead of the commit index: one at least, and then by their
-     * bytes.
+     * Returns whether a command of this size stays within the limit for uncommitted entries, which always admits at
+     * least one entry.
      */
     public boolean fitsUncommittedLimit(int bytes) {
-        long uncommitted = log.bytes(commit, log.lastIndex());
-        return commit == log.lastIndex() || uncommitted + bytes <= MOST_UNCOMMITTED;
+        long uncommitted = log.bytes(commitIndex, log.lastIndex());
+        return commitIndex == log.lastIndex() || uncommitted + bytes <= MAX_UNCOMMITTED_BYTES;
     }
 
     /**
-     * Makes these the voters, any number of them others than now; false where this member doesn't lead, an earlier
-     * change isn't done yet, nothing would change, or the list is empty or names an id twice.
+     * Starts a change to these voters, any number of which may be new. Returns false if this member does not lead, an
+     * earlier change is not complete, nothing would change, or the list is empty or names an id twice.
      *
-     * <p>One that leaves may hold the only other copy of an entry: logs have no gaps, so the change's first entry
-     * commits only once a majority of those to come has synced all that stands before it. Whatever commits after that
-     * needs a majority of those to come as well, so when those before lose their say everything committed is on such a
-     * majority.
+     * <p>A removed voter may hold the only other copy of an entry. Logs have no gaps, so the first entry of the change
+     * commits only once a majority of the new voters has synced everything before it. Later entries need that majority
+     * too. When the old voters no longer count, everything committed is therefore on a majority of the new ones.
      */
-    public boolean changeMembers(List<Member> wanted) {
-        boolean distinct = wanted.stream().mapToLong(Member::id).distinct().count() == wanted.size();
+    public boolean changeMembers(List<Member> newVoters) {
+        boolean distinct = newVoters.stream().mapToLong(Member::id).distinct().count() == newVoters.size();
         if (!mayChangeMembers()
-                || wanted.isEmpty()
+                || newVoters.isEmpty()
                 || !distinct
-                || Set.copyOf(wanted).equals(Set.copyOf(voters.current()))) {
+                || Set.copyOf(newVoters).equals(Set.copyOf(voters.current()))) {
             return false;
         }
-        write(Kind.MEMBERSHIP, new Voters(wanted, voters.current()).encode());
+        appendOwnEntry(Kind.MEMBERSHIP, new Voters(newVoters, voters.current()).encode());
         return true;
     }
 
-    /** Whether a change of voters may be written now. */
+    /** Returns whether a membership change can start now. */
     public boolean mayChangeMembers() {
-        return hasCommittedInCurrentTerm() && !leaves() && !voters.joint() && commit >= log.membersIndex();
+        return hasCommittedInCurrentTerm()
+                && !isTransferringLeadership()
+                && !voters.isJoint()
+                && commitIndex >= log.lastMembershipIndex();
     }
 
-    /** Sends the log to one who doesn't vote. */
+    /** Starts replication to a learner, which does not vote. */
     public void addLearner(Member learner) {
         if (role == Role.LEADER && !isVoter(learner.id()) && learner.id() != self) {
             Progress known = progress.get(learner.id());
             if (known == null || !known.member.equals(learner)) {
                 progress.put(learner.id(), new Progress(learner, log.lastIndex() + 1, now));
-            } else if (now - known.heardAt > 2 * timing.electionMillis()) {
-                known.target = log.lastIndex();
+            } else if (now - known.lastReceivedMillis > 2 * timing.electionTimeoutMillis()) {
+                known.catchUpIndex = log.lastIndex();
             }
         }
     }
 
-    /** Stops sending to a learner. */
+    /** Stops replication to a learner. */
     public void removeLearner(long id) {
         if (!isVoter(id)) {
             progress.remove(id);
@@ -239,36 +250,39 @@
     }
 
     /**
-     * Asks for the right to answer a read from the applied state, and returns its ticket, or 0 where this member
-     * doesn't lead. The ticket comes out of {@link #drain} once a majority has confirmed the leader since.
+     * Requests a linearizable read (a read index request) and returns its ticket, or 0 if this member does not lead.
+     * {@link #drain} returns the ticket once a majority has confirmed the leader in a later heartbeat round.
      */
     public long read() {
         if (role != Role.LEADER) {
             return 0;
         }
-        tickets++;
-        beginRound();
-        reads.put(tickets, round);
-        broadcast();
-        answerReads();
-        return tickets;
+        lastReadTicket++;
+        startRound();
+        pendingReads.put(lastReadTicket, round);
+        broadcastAppend();
+        confirmReads();
+        return lastReadTicket;
     }
 
     /**
-     * Hands the lead to a voter that has all of the log, so that an end in good order costs no election. False where
-     * this member leads and nobody has all yet, or there are entries that aren't committed: it goes on and may be asked
-     * again. Once it has handed over it takes no proposals, has no lease, and steps down if nobody leads an election
-     * time later.
+     * Transfers leadership to a voter with a complete log, so that a graceful shutdown does not leave the cluster
+     * without a leader for an election timeout. Returns false if this member leads and no voter is up to date yet or
+     * entries are uncommitted; it then goes on leading, and the caller may try again. During a transfer the leader
+     * accepts no proposals and holds no lease, and it steps down if there is no new leader within an election timeout.
      */
     public boolean transferLeadership() {
-        if (role != Role.LEADER || leaves()) {
+        if (role != Role.LEADER || isTransferringLeadership()) {
             return true;
         }
         for (Member member : voters.current()) {
             Progress p = progress.get(member.id());
-            if (member.id() != self && p != null && now - p.heardAt < timing.electionMillis() && hasAll(p)) {
-                // A vote that is handed over breaks the promises that a lease stands on.
-                leavesAt = now + timing.electionMillis();
+            if (member.id() != self
+                    && p != null
+                    && now - p.lastReceivedMillis < timing.electionTimeoutMillis()
+                    && isFullyReplicated(p)) {
+                // Votes for a leadership transfer are granted even while a lease lasts, so the lease ends here.
+                transferDeadline = now + timing.electionTimeoutMillis();
                 send(member.id(), new TimeoutNow(term));
                 return true;
             }
@@ -277,163 +291,163 @@
     }
 
     /**
-     * Guards against a successor whom the others deny their votes, or who takes the lead without what is acknowledged
-     * next.
+     * Guards against a transfer to a member that the others deny their votes, or that would lead without an entry
+     * acknowledged during the transfer.
      */
-    boolean hasAll(Progress p) {
-        return p.match == log.lastIndex() && commit == log.lastIndex();
+    boolean isFullyReplicated(Progress p) {
+        return p.matchIndex == log.lastIndex() && commitIndex == log.lastIndex();
     }
 
-    /**
-     * Puts the applied state in place of the log up to an index that has been applied; not in the middle of a change of
-     * voters.
-     */
+    /** Replaces the log up to an applied index by a snapshot of the applied state; no-op during a membership change. */
     public void compact(long index, byte[] state) {
-        if (index > log.base().index()
-                && index <= applied
-                && !log.votersAt(index).joint()) {
-            Snapshot snapshot = new Snapshot(index, log.term(index), log.membersAt(index), state);
-            log.rebase(snapshot, tailBytes());
-            unwrittenSnapshot = snapshot;
-            unwrittenFrom = unwrittenFrom > 0 ? Math.max(unwrittenFrom, index + 1) : 0;
+        if (index > log.baseSnapshot().index()
+                && index <= appliedIndex
+                && !log.votersAt(index).isJoint()) {
+            Snapshot snapshot = new Snapshot(index, log.term(index), log.currentVotersAt(index), state);
+            log.installSnapshot(snapshot, retainedTailBytes());
+            unstableSnapshot = snapshot;
+            unstableFrom = unstableFrom > 0 ? Math.max(unstableFrom, index + 1) : 0;
         }
     }
 
-    /** What came of the events since the last call. */
+    /** Returns the actions that result from the events since the last call. */
     public Output drain() {
         HardState hard = new HardState(term, votedFor, lastLeader);
-        boolean hardChanged = !hard.equals(written);
-        written = hard;
-        List<Entry> entries = unwrittenFrom > 0 ? log.from(unwrittenFrom, Integer.MAX_VALUE) : List.of();
+        boolean hardChanged = !hard.equals(drainedHardState);
+        drainedHardState = hard;
+        List<Entry> entries = unstableFrom > 0 ? log.entriesFrom(unstableFrom, Integer.MAX_VALUE) : List.of();
         List<Entry> committed = new ArrayList<>();
-        while (applied < commit) {
-            committed.add(log.entry(++applied));
+        while (appliedIndex < commitIndex) {
+            committed.add(log.entry(++appliedIndex));
         }
         Output output = new Output(
                 term,
                 hardChanged ? hard : null,
-                unwrittenSnapshot,
-                unwrittenFrom,
+                unstableSnapshot,
+                unstableFrom,
                 entries,
                 log.lastIndex(),
                 outbox,
-                restore,
+                snapshotToRestore,
                 committed,
-                List.copyOf(readable));
-        unwrittenFrom = 0;
-        unwrittenSnapshot = null;
-        restore = null;
+                List.copyOf(confirmedReads));
+        unstableFrom = 0;
+        unstableSnapshot = null;
+        snapshotToRestore = null;
         outbox = new ArrayList<>();
-        readable.clear();
+        confirmedReads.clear();
         return output;
     }
 
-    /** Tells that all of an output is on the disk: from now on the leader's own copy counts. */
+    /** Reports that an output is synced to disk. From then on the leader's own copy of its entries counts. */
     public void persisted(Output output) {
         if (role == Role.LEADER && output.term() == term) {
             Progress own = progress.get(self);
             if (own != null) {
-                own.match = Math.max(own.match, Math.min(output.lastIndex(), log.lastIndex()));
+                own.matchIndex = Math.max(own.matchIndex, Math.min(output.lastIndex(), log.lastIndex()));
             }
-            advance();
+            advanceCommitIndex();
         }
     }
 
-    // ---- what it tells
+    // ---- state
 
-    /** What this member is. */
+    /** Returns the role of this member. */
     public Role role() {
         return role;
     }
 
-    /** The leader's id as far as it is known, 0 where it isn't. */
+    /** Returns the leader's id, 0 if unknown. */
     public long leader() {
         return leader;
     }
 
-    /** The present term. */
+    /** Returns the current term. */
     public long term() {
         return term;
     }
 
-    /** The last index known to be committed. */
+    /** Returns the last index known to be committed. */
     public long commitIndex() {
-        return commit;
+        return commitIndex;
     }
 
-    /** The log's last index. */
+    /** Returns the last index of the log. */
     public long lastIndex() {
         return log.lastIndex();
     }
 
-    /** How many entries the log holds behind its snapshot. */
+    /** Returns the number of entries after the snapshot. */
     public long logLength() {
-        return log.lastIndex() - log.base().index();
+        return log.lastIndex() - log.baseSnapshot().index();
     }
 
-    /** The last index that the snapshot covers. */
+    /** Returns the last index that the snapshot covers. */
     public long snapshotIndex() {
-        return log.base().index();
+        return log.baseSnapshot().index();
     }
 
-    /** What the entries behind the snapshot and up to an index take in memory. */
+    /** Returns the memory taken by the entries after the snapshot and up to an index. */
     public long logBytes(long upTo) {
-        return log.bytes(log.base().index(), upTo);
+        return log.bytes(log.baseSnapshot().index(), upTo);
     }
 
-    /** The voters as this member's log has them, committed or not; during a change those to come and those before. */
+    /** Returns the voters in this member's log, committed or not; during a change both the new and the old ones. */
     public List<Member> voters() {
         return voters.all();
     }
 
     /**
-     * Until when, on this member's clock, no other can lead, in steady milliseconds; 0 where that isn't known. A lease
-     * runs from the sending of the latest round that a majority answered: each of these voters heard the leader after
-     * that, and denies its vote for an election time.
+     * Returns the end of the leader lease on this member's clock in steady milliseconds, 0 if it holds none. Until then
+     * no other member can lead. The lease starts when the latest round that a majority acknowledged was sent: each of
+     * these voters received it after that, and withholds its vote from others for an election timeout.
      */
     public long leaseUntil() {
-        return hasCommittedInCurrentTerm() && !leaves() ? Math.max(0, confirmedFrom() + timing.leaseMillis()) : 0;
+        return hasCommittedInCurrentTerm() && !isTransferringLeadership()
+                ? Math.max(0, lastAckedRoundSentAt() + timing.leaseMillis())
+                : 0;
     }
 
-    /** Whether this member leads and no other can at the time of the last event. */
+    /** Returns whether this member holds the leader lease at the time of the last event. */
     public boolean holdsLease() {
         return holdsLease(now);
     }
 
-    /** Whether this member leads and no other can; a caller that may have been frozen gives the time as it is. */
+    /** Returns whether this member holds the leader lease at a time, which guards callers against process pauses. */
     public boolean holdsLease(long nowMillis) {
         return Math.max(now, nowMillis) < leaseUntil();
     }
 
     /**
-     * Until when, on this member's clock, a follower that has applied {@link #freshIndex} may say that it is in touch,
-     * in steady milliseconds; at a leader its lease. What was acknowledged a lease before that is in its state.
+     * Returns until when, in steady milliseconds of this member's clock, the state counts as fresh if
+     * {@link #freshIndex} is applied; for a leader this is the end of its lease. Fresh state contains everything that
+     * was acknowledged up to one lease duration before (bounded staleness).
      */
     public long freshUntil() {
         return role == Role.LEADER ? leaseUntil() : freshUntil;
     }
 
-    /** What has to be applied before the state is as new as {@link #freshUntil} says. */
+    /** Returns the index that has to be applied for {@link #freshUntil} to hold. */
     public long freshIndex() {
-        return role == Role.LEADER ? firstOfTerm : freshIndex;
+        return role == Role.LEADER ? firstIndexOfTerm : freshIndex;
     }
 
-    /** Whether the state that the last {@link #drain} led to was the agreed one within the last lease. */
+    /** Returns whether the state after the last {@link #drain} is fresh, see {@link #freshUntil}. */
     public boolean fresh() {
         return fresh(now);
     }
 
-    /** As {@link #fresh()}; a caller that may have been frozen gives the time as it is. */
+    /** Returns whether the state is fresh at a time, which guards callers against process pauses. */
     public boolean fresh(long nowMillis) {
-        return Math.max(now, nowMillis) < freshUntil() && applied >= freshIndex();
+        return Math.max(now, nowMillis) < freshUntil() && appliedIndex >= freshIndex();
     }
 
-    /** Whether this member leads and all of its predecessors' commitments are known to it. */
+    /** Returns whether this member leads and has committed an entry of its term, so it knows all earlier commits. */
     public boolean hasCommittedInCurrentTerm() {
-        return role == Role.LEADER && commit >= firstOfTerm;
+        return role == Role.LEADER && commitIndex >= firstIndexOfTerm;
     }
 
-    /** Whom a leader sends to, itself left out; empty at others. */
+    /** Returns the members that a leader replicates to, without itself; empty if this member does not lead. */
     public List<Progress> followers() {
         List<Progress> others = new ArrayList<>();
         if (role == Role.LEADER) {
@@ -442,61 +456,63 @@
         return others;
     }
 
-    /** Whether an id is among the voters. */
+    /** Returns whether an id is among the voters. */
     public boolean isVoter(long id) {
         return voters.all().stream().anyMatch(m -> m.id() == id);
     }
 
     /**
-     * Whether no leader may be sending to this member: it has no vote, or has heard none for two election times. One
-     * that was voted out while it was away doesn't know it, so it has to ask to be sent the log whether or not it has a
-     * vote.
+     * Returns whether this member should ask to be added as a learner: it is not a voter, or no leader has contacted it
+     * for two election timeouts. A voter that was removed while it was disconnected does not know of its removal, so it
+     * has to ask too.
      */
     public boolean shouldRequestJoin() {
-        return role != Role.LEADER && (!isVoter(self) || now - heardLeaderAt >= 2 * timing.electionMillis());
+        return role != Role.LEADER && (!isVoter(self) || now - leaderContactAt >= 2 * timing.electionTimeoutMillis());
     }
 
     // ---- leases
 
-    private void beginRound() {
+    private void startRound() {
         round++;
-        roundAt = now;
-        rounds.values().removeIf(sentAt -> now - sentAt >= timing.leaseMillis());
-        rounds.put(round, now);
+        roundStartedAt = now;
+        roundSentAt.values().removeIf(sentAt -> now - sentAt >= timing.leaseMillis());
+        roundSentAt.put(round, now);
     }
 
-    /** Guards against a lease that counts from when an answer came: it may have lain in a frozen machine. */
-    private void roundAnswered(long from, long itsTerm, long itsRound) {
+    /** Guards against a lease that starts when a reply is processed, which may be long after a process pause. */
+    private void recordRoundAck(long from, long messageTerm, long messageRound) {
         Progress p = progress.get(from);
-        if (role == Role.LEADER && itsTerm == term && p != null) {
-            p.askedAt = Math.max(p.askedAt, rounds.getOrDefault(itsRound, Progress.NEVER));
+        if (role == Role.LEADER && messageTerm == term && p != null) {
+            p.ackedRoundSentAt = Math.max(p.ackedRoundSentAt, roundSentAt.getOrDefault(messageRound, Progress.NEVER));
         }
     }
 
-    /** When the latest round was sent that this one answered. */
-    long confirmedFrom(Progress p) {
-        return p.askedAt;
+    /** Returns the send time of the latest round that a member acknowledged. */
+    long lastAckedRoundSentAt(Progress p) {
+        return p.ackedRoundSentAt;
     }
 
-    private long confirmedFrom() {
-        return quorum().agreed(m -> m.id() == self
-                ? now
-                : progress.containsKey(m.id()) ? confirmedFrom(progress.get(m.id())) : Progress.NEVER);
+    private long lastAckedRoundSentAt() {
+        return quorumVoters()
+                .quorumValue(m -> m.id() == self
+                        ? now
+                        : progress.containsKey(m.id()) ? lastAckedRoundSentAt(progress.get(m.id())) : Progress.NEVER);
     }
 
     /**
-     * Whether this leader has given up its lease for the rest of its term: who it asked to stand may do so at any time.
+     * Returns whether this leader gave up its lease for the rest of its term, since a successor may start an election.
      */
-    boolean leaves() {
-        return leavesAt != 0;
+    boolean isTransferringLeadership() {
+        return transferDeadline != 0;
     }
 
     /**
-     * Takes a leader's word on its lease: the leader counts what is left from when it got this member's echo, so on
-     * this member's clock the lease lasts at least as long from when the echo was sent, however slow the network is.
+     * Extends the freshness of a follower by the leader's lease. The leader counts the remaining lease from when it
+     * received this member's reply, which is after this member sent it. On this member's clock the lease thus lasts at
+     * least that long from the send time, independent of network delay.
      */
-    private void toldLease(Append m) {
-        long echoed = m.echo() - life;
+    private void extendFreshness(Append m) {
+        long echoed = m.echo() - incarnation;
         if (m.leaseMillis() > 0 && echoed >= startedAt && echoed <= now && echoed + m.leaseMillis() > freshUntil) {
             freshUntil = echoed + m.leaseMillis();
             freshIndex = Math.max(freshIndex, m.leaderCommit());
@@ -504,106 +520,109 @@
     }
 
     /**
-     * Guards against breaking a lease by forgetting it: what was heard isn't on the disk, so a member that may have
-     * answered a leader before its start takes that for the last time that it heard one, until the leader says that its
-     * lease is over. No answer to a leader goes out before its id is synced; one that led itself has lost its own
-     * lease.
+     * Guards against breaking a lease after a restart. The time of the last contact with a leader is not on disk, so a
+     * member that may have supported a lease before the restart takes its start time for that contact, until the leader
+     * reports the lease over. A member replies to a leader only once the leader's id is synced. A member that itself
+     * led last has lost its own lease.
      */
-    boolean mayHavePromised() {
-        return promiseOpen && now - startedAt < timing.electionMillis();
+    boolean isBoundByPriorLease() {
+        return priorLeasePending && now - startedAt < timing.electionTimeoutMillis();
     }
 
-    /** Asks whether the promise that an earlier life may have given still binds anybody. */
-    void askLastLeader() {
+    /** Asks the last leader whether a lease that this member may have supported before its restart is over. */
+    void queryLastLeader() {
         if (lastLeader != 0) {
-            send(lastLeader, new LeaseQuery(term, life));
+            send(lastLeader, new LeaseQuery(term, incarnation));
         }
     }
 
-    private void leaseAsked(long from, LeaseQuery m) {
+    private void handleLeaseQuery(long from, LeaseQuery m) {
         if (hasNoLease()) {
             send(from, new LeaseEnded(term, m.incarnation()));
         }
     }
 
     /**
-     * Guards against freeing a voter while its leader counts on it. A lease to which an earlier life of the asking
-     * member promised anything began before that member's start, in a term that ends with this member's lead.
+     * Guards against releasing a voter whose support the lease relies on. A lease that the sender supported before its
+     * restart belongs to a term that is over once this member no longer leads.
      */
     boolean hasNoLease() {
         return role != Role.LEADER;
     }
 
-    private void leaseEnded(long from, LeaseEnded m) {
-        if (promiseOpen && from == lastLeader && answersThisLife(m)) {
-            promiseOpen = false;
-            electionAt = Math.min(electionAt, now + random.nextLong(timing.heartbeatMillis()));
+    private void handleLeaseEnded(long from, LeaseEnded m) {
+        if (priorLeasePending && from == lastLeader && isForThisIncarnation(m)) {
+            priorLeasePending = false;
+            electionTimeoutAt = Math.min(electionTimeoutAt, now + random.nextLong(timing.heartbeatIntervalMillis()));
         }
     }
 
-    /** Guards against an answer from before this member's start: its next leader may have been followed since. */
-    boolean answersThisLife(LeaseEnded m) {
-        return m.incarnation() == life;
+    /**
+     * Guards against a reply to a query from before the restart: the leader may have been elected and followed since.
+     */
+    boolean isForThisIncarnation(LeaseEnded m) {
+        return m.incarnation() == incarnation;
     }
 
-    /** The message with what all messages of its kind tell of time. */
-    private Message stamped(long to, Message message) {
+    /** Adds the send time to a reply, or the remaining lease to an append message. */
+    private Message withLeaseTimestamps(long to, Message message) {
         if (message instanceof AppendReply m) {
-            return m.sent(now + life);
+            return m.withSentAt(now + incarnation);
         } else if (message instanceof Append m && holdsLease()) {
             Progress p = progress.get(to);
-            return p.echo == 0 ? m : m.leased(p.echo, Math.max(0, leaseUntil() - p.echoAt));
+            return p.peerSentAt == 0 ? m : m.withLease(p.peerSentAt, Math.max(0, leaseUntil() - p.peerSentReceivedAt));
         }
         return message;
     }
 
     // ---- elections
 
-    private void electionLater() {
-        electionAt = now + timing.electionMillis() + random.nextLong(timing.electionMillis());
+    private void resetElectionTimeout() {
+        electionTimeoutAt = now + timing.electionTimeoutMillis() + random.nextLong(timing.electionTimeoutMillis());
     }
 
-    /** Guards against a member that was cut off raising the term of all when it comes back: first it asks. */
-    void ask() {
-        electionAt = now + timing.electionMillis() / 2 + random.nextLong(timing.electionMillis() / 2);
-        if (!isVoter(self) && !isNeeded()) {
+    /** Pre-vote: guards against a reconnecting member that raises the term of all others. */
+    void startPreVote() {
+        electionTimeoutAt =
+                now + timing.electionTimeoutMillis() / 2 + random.nextLong(timing.electionTimeoutMillis() / 2);
+        if (!isVoter(self) && !isVoterUntilRemovalCommits()) {
             leader = 0;
             return;
         }
         role = Role.PRE_CANDIDATE;
         leader = 0;
-        granted.clear();
-        granted.add(self);
-        askAll(new VoteRequest(term + 1, true, log.lastIndex(), log.lastTerm(), false));
-        if (majority(granted)) {
-            stand(false);
+        votesGranted.clear();
+        votesGranted.add(self);
+        requestVotes(new VoteRequest(term + 1, true, log.lastIndex(), log.lastTerm(), false));
+        if (hasQuorum(votesGranted)) {
+            startElection(false);
         }
     }
 
     /**
-     * Guards against a standstill: until the entry that votes it out is committed, this member may be the only one with
-     * all that is committed, and its vote may be needed by those who don't have that entry.
+     * Guards against loss of availability. Until the entry that removes this member commits, it may be the only one
+     * that stores everything committed, and members without that entry may need its vote.
      */
-    private boolean isNeeded() {
-        long changed = log.membersIndex();
-        return commit < changed && log.votersAt(changed - 1).all().stream().anyMatch(m -> m.id() == self);
+    private boolean isVoterUntilRemovalCommits() {
+        long changed = log.lastMembershipIndex();
+        return commitIndex < changed && log.votersAt(changed - 1).all().stream().anyMatch(m -> m.id() == self);
     }
 
-    void stand(boolean handedOver) {
+    void startElection(boolean leadershipTransfer) {
         term++;
         votedFor = self;
         role = Role.CANDIDATE;
         leader = 0;
-        granted.clear();
-        granted.add(self);
-        electionLater();
-        askAll(new VoteRequest(term, false, log.lastIndex(), log.lastTerm(), handedOver));
-        if (majority(granted)) {
-            lead();
+        votesGranted.clear();
+        votesGranted.add(self);
+        resetElectionTimeout();
+        requestVotes(new VoteRequest(term, false, log.lastIndex(), log.lastTerm(), leadershipTransfer));
+        if (hasQuorum(votesGranted)) {
+            becomeLeader();
         }
     }
 
-    private void askAll(VoteRequest request) {
+    private void requestVotes(VoteRequest request) {
         for (Member member : voters.all()) {
             if (member.id() != self) {
                 send(member.id(), request);
@@ -611,58 +630,58 @@
         }
     }
 
-    private void voteRequested(long from, VoteRequest m) {
+    private void handleVoteRequest(long from, VoteRequest m) {
         boolean upToDate =
                 m.lastTerm() > log.lastTerm() || (m.lastTerm() == log.lastTerm() && m.lastIndex() >= log.lastIndex());
-        boolean content = !m.leadershipTransfer() && content();
+        boolean leaderActive = !m.leadershipTransfer() && hasActiveLeader();
         if (m.preVote()) {
-            boolean would = m.term() > term && upToDate && !content;
-            send(from, new VoteReply(would ? m.term() : term, true, would));
+            boolean granted = m.term() > term && upToDate && !leaderActive;
+            send(from, new VoteReply(granted ? m.term() : term, true, granted));
             return;
         }
-        // Also where something else has raised the term here meanwhile: a promise to a leader holds for its time.
-        if (content) {
+        // Applies even if another message has raised the term meanwhile: support for a lease is not bound to the term.
+        if (leaderActive) {
             send(from, new VoteReply(term, false, false));
             return;
         }
-        follow(m.term());
-        boolean may = m.term() == term && (votedFor == 0 || votedFor == from) && upToDate;
-        if (may) {
+        advanceTerm(m.term());
+        boolean granted = m.term() == term && (votedFor == 0 || votedFor == from) && upToDate;
+        if (granted) {
             role = Role.FOLLOWER;
             votedFor = from;
-            electionLater();
+            resetElectionTimeout();
         }
-        send(from, new VoteReply(term, false, may));
+        send(from, new VoteReply(term, false, granted));
     }
 
-    /** Guards against one that has been removed, or hears nothing, unseating a leader that others hear. */
-    boolean content() {
-        return role == Role.LEADER || mayHavePromised() || now - heardLeaderAt < timing.electionMillis();
+    /** Guards against a removed or disconnected member that would depose a leader which others still follow. */
+    boolean hasActiveLeader() {
+        return role == Role.LEADER || isBoundByPriorLease() || now - leaderContactAt < timing.electionTimeoutMillis();
     }
 
-    private void voteReplied(long from, VoteReply m) {
+    private void handleVoteReply(long from, VoteReply m) {
         if (m.preVote() && m.granted()) {
             if (role == Role.PRE_CANDIDATE && m.term() == term + 1) {
-                granted.add(from);
-                if (majority(granted)) {
-                    stand(false);
+                votesGranted.add(from);
+                if (hasQuorum(votesGranted)) {
+                    startElection(false);
                 }
             }
             return;
         }
-        follow(m.term());
+        advanceTerm(m.term());
         if (role == Role.CANDIDATE && m.term() == term && m.granted()) {
-            granted.add(from);
-            if (majority(granted)) {
-                lead();
+            votesGranted.add(from);
+            if (hasQuorum(votesGranted)) {
+                becomeLeader();
             }
         }
     }
 
-    /** Follows into a later term. */
-    private void follow(long later) {
-        if (later > term) {
-            term = later;
+    /** Steps down and moves to a term if it is later than the current one. */
+    private void advanceTerm(long newTerm) {
+        if (newTerm > term) {
+            term = newTerm;
             votedFor = 0;
             stepDown();
         }
@@ -670,131 +689,135 @@
 
     private void stepDown() {
         if (role == Role.LEADER) {
-            electionLater();
+            resetElectionTimeout();
         }
         role = Role.FOLLOWER;
         leader = 0;
         progress.clear();
-        reads.clear();
+        pendingReads.clear();
     }
 
-    private void lead() {
+    private void becomeLeader() {
         role = Role.LEADER;
         leader = self;
         lastLeader = self;
-        promiseOpen = false;
+        priorLeasePending = false;
         progress.clear();
-        reads.clear();
-        rounds.clear();
-        leavesAt = 0;
-        gathering = null;
-        syncProgress();
-        progress.values().forEach(p -> p.heardAt = now);
-        firstOfTerm = log.lastIndex() + 1;
-        beginRound();
-        write(Kind.NO_OP, new byte[0]);
-        if (log.membersIndex() == 0) {
-            // The first voters are known to themselves alone until the log tells of them.
-            write(Kind.MEMBERSHIP, voters.encode());
+        pendingReads.clear();
+        roundSentAt.clear();
+        transferDeadline = 0;
+        incomingSnapshot = null;
+        addMissingProgress();
+        progress.values().forEach(p -> p.lastReceivedMillis = now);
+        firstIndexOfTerm = log.lastIndex() + 1;
+        startRound();
+        appendOwnEntry(Kind.NO_OP, new byte[0]);
+        if (log.lastMembershipIndex() == 0) {
+            // Only the first voters know the initial membership until the log contains it.
+            appendOwnEntry(Kind.MEMBERSHIP, voters.encode());
         }
     }
 
-    private boolean majority(Set<Long> ids) {
-        return quorum().agreed(m -> ids.contains(m.id()) ? 1 : 0) == 1;
+    private boolean hasQuorum(Set<Long> ids) {
+        return quorumVoters().quorumValue(m -> ids.contains(m.id()) ? 1 : 0) == 1;
     }
 
-    /** By whom votes, copies, reads and leases are counted. */
-    Voters quorum() {
+    /** Returns the voters whose majority decides on votes, commits, reads and leases. */
+    Voters quorumVoters() {
         return voters;
     }
 
-    /** Guards against a leader that was cut off and doesn't know it: it goes on only while a majority answers. */
-    private boolean isAnswered() {
-        Set<Long> heard = new HashSet<>();
-        heard.add(self);
+    /** Check quorum: a leader steps down unless a majority has replied within two election timeouts. */
+    private boolean hasQuorumContact() {
+        Set<Long> responsive = new HashSet<>();
+        responsive.add(self);
         progress.values().stream()
-                .filter(p -> now - p.heardAt < 2 * timing.electionMillis())
-                .forEach(p -> heard.add(p.member.id()));
-        return majority(heard);
+                .filter(p -> now - p.lastReceivedMillis < 2 * timing.electionTimeoutMillis())
+                .forEach(p -> responsive.add(p.member.id()));
+        return hasQuorum(responsive);
     }
 
-    // ---- the log
+    // ---- log replication
 
-    private long write(Kind kind, byte[] body) {
+    private long appendOwnEntry(Kind kind, byte[] body) {
         Entry entry = new Entry(log.lastIndex() + 1, term, kind, body);
         log.append(entry);
-        unwrittenFrom = unwrittenFrom > 0 ? Math.min(unwrittenFrom, entry.index()) : entry.index();
+        unstableFrom = unstableFrom > 0 ? Math.min(unstableFrom, entry.index()) : entry.index();
         if (kind == Kind.MEMBERSHIP) {
             voters = Voters.decode(body);
-            syncProgress();
+            addMissingProgress();
         }
-        broadcast();
-        advance();
+        broadcastAppend();
+        advanceCommitIndex();
         return entry.index();
     }
 
-    /** One progress for each voter; learners keep theirs. */
-    private void syncProgress() {
+    /** Creates the progress of voters that have none yet; learners keep theirs. */
+    private void addMissingProgress() {
         for (Member member : voters.all()) {
             progress.computeIfAbsent(member.id(), id -> new Progress(member, log.lastIndex() + 1, now));
         }
     }
 
-    private void broadcast() {
-        heartbeatAt = now + timing.heartbeatMillis();
-        if (now - roundAt >= timing.heartbeatMillis() / 2) {
-            beginRound();
+    private void broadcastAppend() {
+        nextHeartbeatAt = now + timing.heartbeatIntervalMillis();
+        if (now - roundStartedAt >= timing.heartbeatIntervalMillis() / 2) {
+            startRound();
         }
         for (Progress p : progress.values()) {
             if (p.member.id() != self) {
-                sendLog(p);
+                sendAppend(p);
             }
         }
     }
 
-    private void sendLog(Progress p) {
-        if (p.next <= log.start()) {
+    private void sendAppend(Progress p) {
+        if (p.nextIndex <= log.precedingIndex()) {
             sendSnapshot(p);
             return;
         }
         p.transfer = null;
-        List<Entry> entries = mayFly(log.bytes(p.match, p.next - 1)) ? log.from(p.next, MESSAGE_BYTES) : List.of();
-        send(p.member.id(), new Append(term, p.next - 1, log.term(p.next - 1), commit, round, entries));
-        p.next += entries.size();
+        List<Entry> entries = hasInFlightCapacity(log.bytes(p.matchIndex, p.nextIndex - 1))
+                ? log.entriesFrom(p.nextIndex, MAX_APPEND_BYTES)
+                : List.of();
+        send(p.member.id(), new Append(term, p.nextIndex - 1, log.term(p.nextIndex - 1), commitIndex, round, entries));
+        p.nextIndex += entries.size();
     }
 
     /**
-     * Guards against filling the memory with what a slow follower doesn't take: with so many bytes unanswered it is
-     * sent heartbeats alone, and whichever of them it refuses tells from where to send again.
+     * Flow control: guards against filling memory with entries for a slow follower. With too many unacknowledged bytes
+     * it receives heartbeats only. If it rejects one, the rejection says where to resume.
      */
-    boolean mayFly(long unanswered) {
-        return unanswered < MOST_IN_FLIGHT;
+    boolean hasInFlightCapacity(long unacknowledgedBytes) {
+        return unacknowledgedBytes < MAX_IN_FLIGHT_BYTES;
     }
 
-    /** Guards against sending everything to a follower that lacks an entry or two. */
-    int tailBytes() {
+    /** Guards against sending a whole snapshot to a follower that lacks only a few entries. */
+    int retainedTailBytes() {
         return TAIL_BYTES;
     }
 
-    /** The next piece of the snapshot, or while one is under way a heartbeat that asks for it. */
+    /** Sends the next chunk of the snapshot, or an empty chunk as a heartbeat while one is in flight. */
     private void sendSnapshot(Progress p) {
         if (p.transfer == null) {
-            p.transfer = Transfer.of(log.base());
+            p.transfer = SnapshotTransfer.start(log.baseSnapshot());
         }
-        Transfer transfer = p.transfer;
-        boolean asks = transfer.awaited() > 0;
-        byte[] piece = asks ? new byte[0] : transfer.piece();
-        send(p.member.id(), new InstallSnapshot(term, transfer.label(), transfer.offset(), piece, ++installs, round));
-        p.transfer = asks ? transfer : transfer.sent(installs);
-    }
-
-    /** Whether the sender leads the present term; one of an earlier term is told so. */
-    private boolean leads(long from, long itsTerm, long itsRound) {
-        if (itsTerm < term) {
-            send(from, new AppendReply(term, false, 0, itsRound));
+        SnapshotTransfer transfer = p.transfer;
+        boolean awaiting = transfer.awaitedSequence() > 0;
+        byte[] chunk = awaiting ? new byte[0] : transfer.chunk();
+        send(
+                p.member.id(),
+                new InstallSnapshot(term, transfer.metadata(), transfer.offset(), chunk, ++lastInstallSequence, round));
+        p.transfer = awaiting ? transfer : transfer.withAwaitedSequence(lastInstallSequence);
+    }
+
+    /** Returns whether the sender leads the current term, and follows it if so. A stale leader gets the newer term. */
+    private boolean acceptLeader(long from, long leaderTerm, long leaderRound) {
+        if (leaderTerm < term) {
+            send(from, new AppendReply(term, false, 0, leaderRound));
             return false;
         }
-        follow(itsTerm);
+        advanceTerm(leaderTerm);
         if (role == Role.LEADER) {
             Invariant.ONE_LEADER.violated(self + " and " + from + " in term " + term);
             throw new IllegalStateException("two leaders in term " + term);
@@ -802,201 +825,209 @@
         role = Role.FOLLOWER;
         leader = from;
         lastLeader = from;
-        heardLeader();
+        recordLeaderContact();
         return true;
     }
 
-    void heardLeader() {
-        heardLeaderAt = now;
-        promiseOpen = false;
-        electionLater();
+    void recordLeaderContact() {
+        leaderContactAt = now;
+        priorLeasePending = false;
+        resetElectionTimeout();
     }
 
-    private void append(long from, Append m) {
-        long termThere = log.term(m.previousIndex());
-        if (m.previousIndex() < log.base().index() || termThere != m.previousTerm()) {
-            // What is committed here is alike there, so nothing below need be asked about.
-            long hint = Math.max(commit, Math.min(log.lastIndex(), m.previousIndex() - 1));
+    private void handleAppend(long from, Append m) {
+        long previousTerm = log.term(m.previousIndex());
+        if (m.previousIndex() < log.baseSnapshot().index() || previousTerm != m.previousTerm()) {
+            // Committed entries match the leader's log, so the search need not go below them.
+            long hint = Math.max(commitIndex, Math.min(log.lastIndex(), m.previousIndex() - 1));
             send(from, new AppendReply(term, false, hint, m.round()));
             return;
         }
         for (Entry entry : m.entries()) {
-            take(entry);
+            appendReceivedEntry(entry);
         }
-        long alike = m.previousIndex() + m.entries().size();
-        commit = Math.max(commit, Math.min(m.leaderCommit(), alike));
-        if (gathering != null && gathering.label().index() <= commit) {
-            gathering = null;
+        long matchIndex = m.previousIndex() + m.entries().size();
+        commitIndex = Math.max(commitIndex, Math.min(m.leaderCommit(), matchIndex));
+        if (incomingSnapshot != null && incomingSnapshot.metadata().index() <= commitIndex) {
+            incomingSnapshot = null;
         }
-        send(from, new AppendReply(term, true, alike, m.round()));
+        send(from, new AppendReply(term, true, matchIndex, m.round()));
     }
 
-    private void take(Entry entry) {
+    private void appendReceivedEntry(Entry entry) {
         if (log.term(entry.index()) == entry.term()) {
             return;
         }
-        if (entry.index() <= commit) {
-            Invariant.COMMITTED_STAYS.violated("entry " + entry.index() + " up to " + commit + " at " + self);
-            throw new IllegalStateException("the leader contradicts the committed entry " + entry.index());
+        if (entry.index() <= commitIndex) {
+            Invariant.COMMITTED_STAYS.violated("entry " + entry.index() + " up to " + commitIndex + " at " + self);
+            throw new IllegalStateException(
+                    "the leader's entry " + entry.index() + " conflicts with a committed entry");
         }
-        boolean cuts = entry.index() <= log.lastIndex();
-        if (cuts) {
-            log.cutFrom(entry.index());
+        boolean truncates = entry.index() <= log.lastIndex();
+        if (truncates) {
+            log.truncateFrom(entry.index());
         }
         log.append(entry);
-        unwrittenFrom = unwrittenFrom > 0 ? Math.min(unwrittenFrom, entry.index()) : entry.index();
-        if (cuts || entry.kind() == Kind.MEMBERSHIP) {
+        unstableFrom = unstableFrom > 0 ? Math.min(unstableFrom, entry.index()) : entry.index();
+        if (truncates || entry.kind() == Kind.MEMBERSHIP) {
             voters = log.votersAt(log.lastIndex());
         }
     }
 
-    private void install(long from, InstallSnapshot m) {
-        if (m.metadata().index() > commit && !gather(from, m)) {
+    private void handleInstallSnapshot(long from, InstallSnapshot m) {
+        if (m.metadata().index() > commitIndex && !assembleSnapshot(from, m)) {
             return;
         }
-        if (m.metadata().index() > commit) {
-            Snapshot snapshot = gathering.snapshot();
-            log.rebase(snapshot, tailBytes());
-            commit = snapshot.index();
-            applied = commit;
+        if (m.metadata().index() > commitIndex) {
+            Snapshot snapshot = incomingSnapshot.snapshot();
+            log.installSnapshot(snapshot, retainedTailBytes());
+            commitIndex = snapshot.index();
+            appliedIndex = commitIndex;
             voters = log.votersAt(log.lastIndex());
-            unwrittenSnapshot = snapshot;
-            // What the log no longer holds must go from the disk too.
-            unwrittenFrom = snapshot.index() + 1;
-            restore = snapshot;
+            unstableSnapshot = snapshot;
+            // Removes from disk the entries that the log no longer holds.
+            unstableFrom = snapshot.index() + 1;
+            snapshotToRestore = snapshot;
         }
-        gathering = null;
+        incomingSnapshot = null;
         send(from, new AppendReply(term, true, m.metadata().index(), m.round()));
     }
 
-    /** Takes a piece; true once all are here. Another snapshot begins anew, and a leader's older one is passed over. */
-    private boolean gather(long from, InstallSnapshot m) {
-        if (m.metadata().length() > SnapshotAssembler.LONGEST || (gathering != null && gathering.overtakes(m))) {
+    /** Adds a chunk and returns whether the snapshot is complete. A different snapshot restarts the assembly. */
+    private boolean assembleSnapshot(long from, InstallSnapshot m) {
+        if (m.metadata().length() > SnapshotAssembler.MAX_SNAPSHOT_BYTES
+                || (incomingSnapshot != null && incomingSnapshot.supersedes(m))) {
             return false;
         }
-        if (gathering == null || !gathering.label().equals(m.metadata())) {
-            gathering = new SnapshotAssembler(m.metadata(), m.term());
+        if (incomingSnapshot == null || !incomingSnapshot.metadata().equals(m.metadata())) {
+            incomingSnapshot = new SnapshotAssembler(m.metadata(), m.term());
         }
-        gathering.add(m.offset(), m.chunk());
-        if (gathering.isComplete() && isSound(gathering)) {
+        incomingSnapshot.add(m.offset(), m.chunk());
+        if (incomingSnapshot.isComplete() && hasValidChecksum(incomingSnapshot)) {
             return true;
         }
-        if (gathering.isComplete()) {
-            gathering = new SnapshotAssembler(m.metadata(), m.term());
+        if (incomingSnapshot.isComplete()) {
+            incomingSnapshot = new SnapshotAssembler(m.metadata(), m.term());
         }
-        send(from, new InstallSnapshotReply(term, m.metadata().index(), gathering.gathered(), m.sequence(), m.round()));
+        send(
+                from,
+                new InstallSnapshotReply(
+                        term, m.metadata().index(), incomingSnapshot.receivedBytes(), m.sequence(), m.round()));
         return false;
     }
 
-    /** Guards against taking for the leader's state what was spoilt or mixed up on its way. */
-    boolean isSound(SnapshotAssembler whole) {
-        return whole.isSound();
+    /** Guards against installing a snapshot that was corrupted or mixed up in transit. */
+    boolean hasValidChecksum(SnapshotAssembler assembler) {
+        return assembler.hasValidChecksum();
     }
 
-    private void installReplied(long from, InstallSnapshotReply m) {
-        follow(m.term());
+    private void handleInstallSnapshotReply(long from, InstallSnapshotReply m) {
+        advanceTerm(m.term());
         Progress p = progress.get(from);
         if (role != Role.LEADER || m.term() != term || p == null) {
             return;
         }
-        p.heardAt = now;
-        p.round = Math.max(p.round, m.round());
-        if (p.transfer != null && p.next <= log.start()) {
-            if (p.transfer.isAnsweredBy(m)) {
-                p.transfer = p.transfer.answered(m);
+        p.lastReceivedMillis = now;
+        p.ackedRound = Math.max(p.ackedRound, m.round());
+        if (p.transfer != null && p.nextIndex <= log.precedingIndex()) {
+            if (p.transfer.isAdvancedBy(m)) {
+                p.transfer = p.transfer.onReply(m);
                 sendSnapshot(p);
             }
         }
-        answerReads();
+        confirmReads();
     }
 
-    private void appendReplied(long from, AppendReply m) {
-        follow(m.term());
+    private void handleAppendReply(long from, AppendReply m) {
+        advanceTerm(m.term());
         Progress p = progress.get(from);
         if (role != Role.LEADER || m.term() != term || p == null) {
             return;
         }
-        p.heardAt = now;
-        p.echo = m.sentAt();
-        p.echoAt = now;
-        p.round = Math.max(p.round, m.round());
+        p.lastReceivedMillis = now;
+        p.peerSentAt = m.sentAt();
+        p.peerSentReceivedAt = now;
+        p.ackedRound = Math.max(p.ackedRound, m.round());
         if (m.success()) {
-            p.match = Math.max(p.match, m.index());
-            p.next = Math.max(p.next, p.match + 1);
-            if (p.transfer != null && p.match >= p.transfer.label().index()) {
+            p.matchIndex = Math.max(p.matchIndex, m.index());
+            p.nextIndex = Math.max(p.nextIndex, p.matchIndex + 1);
+            if (p.transfer != null && p.matchIndex >= p.transfer.metadata().index()) {
                 p.transfer = null;
             }
-            advance();
-            if (p.next <= log.lastIndex()) {
-                sendLog(p);
+            advanceCommitIndex();
+            if (p.nextIndex <= log.lastIndex()) {
+                sendAppend(p);
             }
         } else {
-            rewind(p, Math.max(p.match, Math.min(m.index(), log.lastIndex())) + 1);
+            rewind(p, Math.max(p.matchIndex, Math.min(m.index(), log.lastIndex())) + 1);
         }
-        answerReads();
+        confirmReads();
     }
 
-    /** Guards against a storm of repeats where refusals come doubled or late: the next heartbeat carries on. */
+    /** Guards against a flood of resends after duplicated or late rejections; the next heartbeat resumes. */
     private void rewind(Progress p, long next) {
-        p.next = next;
-        if (now - p.rewoundAt >= timing.heartbeatMillis() / 4) {
-            p.rewoundAt = now;
-            sendLog(p);
+        p.nextIndex = next;
+        if (now - p.lastRewindAt >= timing.heartbeatIntervalMillis() / 4) {
+            p.lastRewindAt = now;
+            sendAppend(p);
         }
     }
 
-    /** Commits what a majority has, once an entry of this term is among it. */
-    private void advance() {
+    /** Advances the commit index to what a majority stores, if that is an entry of this term. */
+    private void advanceCommitIndex() {
         if (role != Role.LEADER) {
             return;
         }
-        long reached = quorum().agreed(m -> progress.containsKey(m.id()) ? progress.get(m.id()).match : 0);
-        if (reached > commit && mayCommit(reached)) {
-            commit = reached;
-            // Followers learn of it at once and not with the next heartbeat: their callers wait for it.
-            broadcast();
-            answerReads();
-            finishChange();
+        long reached =
+                quorumVoters().quorumValue(m -> progress.containsKey(m.id()) ? progress.get(m.id()).matchIndex : 0);
+        if (reached > commitIndex && mayCommit(reached)) {
+            commitIndex = reached;
+            // Notifies followers at once instead of with the next heartbeat, since their callers wait for it.
+            broadcastAppend();
+            confirmReads();
+            finishMembershipChange();
         }
     }
 
-    /** Guards against counting copies of an earlier term's entry, which a later leader may yet overwrite. */
+    /** Guards against committing an entry of an earlier term by its replica count: a later leader may overwrite it. */
     boolean mayCommit(long index) {
         return log.term(index) == term;
     }
 
     /**
-     * Ends a change whose first entry is committed, whoever began it; one that leaves goes once the second is
-     * committed.
+     * Completes a membership change whose first entry is committed, even if another leader started it. A leader that is
+     * removed steps down once the second entry is committed.
      */
-    private void finishChange() {
-        if (commit < log.membersIndex()) {
+    private void finishMembershipChange() {
+        if (commitIndex < log.lastMembershipIndex()) {
             return;
         }
-        if (voters.joint()) {
-            write(Kind.MEMBERSHIP, Voters.of(voters.current()).encode());
+        if (voters.isJoint()) {
+            appendOwnEntry(Kind.MEMBERSHIP, Voters.of(voters.current()).encode());
         } else if (!isVoter(self)) {
             stepDown();
         }
     }
 
-    private void answerReads() {
-        if (reads.isEmpty() || commit < firstOfTerm) {
+    private void confirmReads() {
+        if (pendingReads.isEmpty() || commitIndex < firstIndexOfTerm) {
             return;
         }
-        Map<Long, Long> open = new HashMap<>(reads);
-        open.forEach((ticket, needed) -> {
+        Map<Long, Long> unconfirmed = new HashMap<>(pendingReads);
+        unconfirmed.forEach((ticket, requiredRound) -> {
             Set<Long> confirmed = new HashSet<>();
             confirmed.add(self);
-            progress.values().stream().filter(p -> p.round >= needed).forEach(p -> confirmed.add(p.member.id()));
-            if (majority(confirmed)) {
-                reads.remove(ticket);
-                readable.add(ticket);
+            progress.values().stream()
+                    .filter(p -> p.ackedRound >= requiredRound)
+                    .forEach(p -> confirmed.add(p.member.id()));
+            if (hasQuorum(confirmed)) {
+                pendingReads.remove(ticket);
+                confirmedReads.add(ticket);
             }
         });
     }
 
     private void send(long to, Message message) {
-        outbox.add(new Envelope(to, stamped(to, message)));
+        outbox.add(new Envelope(to, withLeaseTimestamps(to, message)));
     }
 }
--- a/src/main/java/tinworks/raft/Snapshot.java
+++ b/src/main/java/tinworks/raft/Snapshot.java
@@ -4,38 +4,38 @@
 import java.util.zip.CRC32C;
 
 /**
- * What the log up to {@code index} came to: the voters and the state machine's bytes. No snapshot is made in the middle
- * of a change of voters.
+ * The result of applying the log up to {@code index}: the voters and the state machine's state. No snapshot is taken
+ * during a membership change.
  *
- * @param term the term of the entry at {@code index}, 0 where there was none
+ * @param term the term of the entry at {@code index}, 0 if there is none
+ * @param members the voters
  */
 public record Snapshot(long index, long term, List<Member> members, byte[] state) {
-    /** Before the first entry. */
+    /** The snapshot before the first entry. */
     public static final Snapshot NONE = new Snapshot(0, 0, List.of(), new byte[0]);
 
-    /** Keeps its own list of voters. */
+    /** Copies the list of voters. */
     public Snapshot {
         members = List.copyOf(members);
     }
 
     /**
-     * What tells a snapshot from others, and by which it is known to have come whole.
+     * Identifies a snapshot and allows a receiver to verify that it is complete and intact.
      *
-     * @param length how many bytes of state there are, 0 or more
-     * @param checksum their CRC-32C
+     * @param length size of the state in bytes, 0 or more
+     * @param checksum CRC-32C of the state
      */
     public record Metadata(long index, long term, List<Member> members, int length, int checksum) {
-        /** Keeps its own list of voters; a negative length is an {@link IllegalArgumentException}. */
+        /** Copies the list of voters; throws an {@link IllegalArgumentException} if the length is negative. */
         public Metadata {
             members = List.copyOf(members);
             if (length < 0) {
-                throw new IllegalArgumentException("snapshot: a length of " + length);
+                throw new IllegalArgumentException("snapshot: negative length " + length);
             }
         }
     }
 
-    /** Its label. */
-    Metadata label() {
+    Metadata metadata() {
         return new Metadata(index, term, members, state.length, checksum(state));
     }
 
--- a/src/main/java/tinworks/raft/SnapshotAssembler.java
+++ b/src/main/java/tinworks/raft/SnapshotAssembler.java
@@ -1,56 +1,55 @@
 package tinworks.raft;
 
-/** The pieces of a leader's snapshot that have come so far: from its beginning on, without a gap. */
+/** Assembles a leader's snapshot from its chunks, which it accepts in order only. */
 final class SnapshotAssembler {
-    /** More than any snapshot holds. Guards against a length that lies. */
-    static final int LONGEST = 8 << 20;
+    /** More than any snapshot holds. Guards against allocating memory for a false length. */
+    static final int MAX_SNAPSHOT_BYTES = 8 << 20;
 
-    private final Snapshot.Metadata label;
+    private final Snapshot.Metadata metadata;
     private final long term;
     private final byte[] state;
-    private int gathered;
+    private int receivedBytes;
 
-    /** Nothing of it is here yet; {@code term} is that of the leader which sends it. */
+    /** Starts empty; {@code term} is the term of the sending leader. */
     SnapshotAssembler(Snapshot.Metadata label, long term) {
-        this.label = label;
+        this.metadata = label;
         this.term = term;
         state = new byte[label.length()];
     }
 
-    Snapshot.Metadata label() {
-        return label;
+    Snapshot.Metadata metadata() {
+        return metadata;
     }
 
-    /** How many bytes are here. */
-    int gathered() {
-        return gathered;
+    /** Returns the number of contiguous bytes received. */
+    int receivedBytes() {
+        return receivedBytes;
     }
 
-    /** Whether a message belongs to a snapshot that the same leader no longer sends. */
-    boolean overtakes(Message.InstallSnapshot m) {
-        return m.term() == term && m.metadata().index() < label.index();
+    /** Returns whether a message belongs to an older snapshot of the same leader, which it no longer sends. */
+    boolean supersedes(Message.InstallSnapshot m) {
+        return m.term() == term && m.metadata().index() < metadata.index();
     }
 
-    /** Takes a piece that follows what is here; any other is passed over. */
-    void add(int offset, byte[] piece) {
-        if (offset == gathered && piece.length <= state.length - gathered) {
-            System.arraycopy(piece, 0, state, gathered, piece.length);
-            gathered += piece.length;
+    /** Adds a chunk if it continues the received bytes, and ignores it otherwise. */
+    void add(int offset, byte[] chunk) {
+        if (offset == receivedBytes && chunk.length <= state.length - receivedBytes) {
+            System.arraycopy(chunk, 0, state, receivedBytes, chunk.length);
+            receivedBytes += chunk.length;
         }
     }
 
-    /** Whether all bytes are here. */
+    /** Returns whether all bytes are received. */
     boolean isComplete() {
-        return gathered == state.length;
+        return receivedBytes == state.length;
     }
 
-    /** Whether they are what the leader has. */
-    boolean isSound() {
-        return Snapshot.checksum(state) == label.checksum();
+    /** Returns whether the received bytes match the leader's checksum. */
+    boolean hasValidChecksum() {
+        return Snapshot.checksum(state) == metadata.checksum();
     }
 
-    /** The snapshot. */
     Snapshot snapshot() {
-        return new Snapshot(label.index(), label.term(), label.members(), state);
+        return new Snapshot(metadata.index(), metadata.term(), metadata.members(), state);
     }
 }
--- a/src/main/java/tinworks/raft/Timing.java
+++ b/src/main/java/tinworks/raft/Timing.java
@@ -1,23 +1,23 @@
 package tinworks.raft;
 
 /**
- * Spans in milliseconds. An election starts after a silence between {@code electionMillis} and twice that, so it has to
- * outlast several heartbeats and a slow disk's syncs.
+ * Durations in milliseconds. A member that hears from no leader starts an election after a random time between
+ * {@code electionTimeoutMillis} and twice that, which has to outlast several heartbeats and the syncs of a slow disk.
  */
-public record Timing(long heartbeatMillis, long electionMillis) {
-    /** Checks that heartbeats can keep an election away. */
+public record Timing(long heartbeatIntervalMillis, long electionTimeoutMillis) {
+    /** Checks that at least two heartbeats fit into an election timeout. */
     public Timing {
-        if (heartbeatMillis <= 0 || electionMillis < 2 * heartbeatMillis) {
+        if (heartbeatIntervalMillis <= 0 || electionTimeoutMillis < 2 * heartbeatIntervalMillis) {
             throw new IllegalArgumentException(
-                    "timing: heartbeat " + heartbeatMillis + " ms, election " + electionMillis + " ms");
+                    "timing: heartbeat " + heartbeatIntervalMillis + " ms, election " + electionTimeoutMillis + " ms");
         }
     }
 
     /**
-     * How long a leader may count on the voters that answered it: shorter than their silence, for clocks of unlike
-     * rates.
+     * Returns the duration of a leader lease. It is shorter than the time for which voters withhold their votes from
+     * others, to allow for clocks that run at different rates.
      */
     long leaseMillis() {
-        return electionMillis - electionMillis / 10;
+        return electionTimeoutMillis - electionTimeoutMillis / 10;
     }
 }
--- a/src/main/java/tinworks/raft/Voters.java
+++ b/src/main/java/tinworks/raft/Voters.java
@@ -6,35 +6,35 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Who votes. While a change is under way, both the voters to come and those before have to agree, each by a majority of
- * its own; whoever stands in both lists counts in both.
+ * The voters of the cluster. During a membership change by joint consensus, decisions need a majority of the new voters
+ * and a majority of the old ones; a member of both lists counts in both.
  *
- * <p>Its bytes are a list as {@link MemberListCodec} writes it, and while a change is under way a second one behind it,
- * of those before. The bytes of an entry from before there were two lists are therefore read as ever.
+ * <p>The encoding is the current list as written by {@link MemberListCodec}, followed during a change by the outgoing
+ * list. Entries that were written before joint consensus was introduced have one list only and remain readable.
  *
- * @param current who votes, or is about to
- * @param outgoing who voted before the change that is under way, empty where none is
+ * @param current the voters, or during a change the new voters
+ * @param outgoing the old voters during a change, otherwise empty
  */
 public record Voters(List<Member> current, List<Member> outgoing) {
-    /** Keeps its own lists. */
+    /** Copies the lists. */
     public Voters {
         current = List.copyOf(current);
         outgoing = List.copyOf(outgoing);
     }
 
-    /** With no change under way. */
+    /** Creates voters without a change in progress. */
     static Voters of(List<Member> current) {
         return new Voters(current, List.of());
     }
 
-    /** Whether a change is under way. */
-    public boolean joint() {
+    /** Returns whether a membership change is in progress. */
+    public boolean isJoint() {
         return !outgoing.isEmpty();
     }
 
-    /** All that have a vote, each once. */
+    /** Returns the members of both lists, each once. */
     List<Member> all() {
-        if (!joint()) {
+        if (!isJoint()) {
             return current;
         }
         List<Member> all = new ArrayList<>(current);
@@ -42,21 +42,21 @@
         return List.copyOf(all);
     }
 
-    /** The highest value that a majority has reached, of either list while a change is under way. */
-    long agreed(ToLongFunction<Member> value) {
-        long reached = agreed(current, value);
-        return joint() ? Math.min(reached, agreed(outgoing, value)) : reached;
+    /** Returns the highest value that a majority has reached; during a change, a majority of each list. */
+    long quorumValue(ToLongFunction<Member> value) {
+        long reached = quorumValue(current, value);
+        return isJoint() ? Math.min(reached, quorumValue(outgoing, value)) : reached;
     }
 
-    private static long agreed(List<Member> members, ToLongFunction<Member> value) {
+    private static long quorumValue(List<Member> members, ToLongFunction<Member> value) {
         long[] values = members.stream().mapToLong(value).sorted().toArray();
         return values.length == 0 ? Long.MIN_VALUE : values[(values.length - 1) / 2];
     }
 
-    /** As bytes. */
+    /** Encodes the voters. */
     public byte[] encode() {
         byte[] first = MemberListCodec.encode(current);
-        if (!joint()) {
+        if (!isJoint()) {
             return first;
         }
         byte[] second = MemberListCodec.encode(outgoing);
@@ -66,7 +66,7 @@
                 .array();
     }
 
-    /** Reads what {@link #encode} wrote; anything else is an {@link IllegalArgumentException}. */
+    /** Decodes the output of {@link #encode}; any other input throws an {@link IllegalArgumentException}. */
     public static Voters decode(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         List<Member> current = MemberListCodec.decode(in);
@@ -76,7 +76,7 @@
         List<Member> outgoing = MemberListCodec.decode(in);
         if (outgoing.isEmpty() || in.hasRemaining()) {
             throw new IllegalArgumentException(
-                    "voters: " + outgoing.size() + " outgoing, " + in.remaining() + " bytes left over");
+                    "voters: " + outgoing.size() + " outgoing, " + in.remaining() + " trailing bytes");
         }
         return new Voters(current, outgoing);
     }
--- a/src/main/java/tinworks/raft/package-info.java
+++ b/src/main/java/tinworks/raft/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Agreement on a replicated log among the core machines: terms, quorums, pre-vote, snapshots and changes of membership
- * by joint consensus. A pure state machine: messages and time go in, messages and writes come out. It holds no sockets,
- * clock, threads or files; {@link tinworks.control} drives it and {@link tinworks.store} keeps it.
+ * The Raft consensus algorithm, by which the core nodes agree on a replicated log: elections with pre-vote and check
+ * quorum, leader leases, read index, snapshots, learners, and membership changes by joint consensus. It is a pure state
+ * machine: messages and time go in, messages and writes come out. It uses no sockets, clocks, threads or files;
+ * {@link tinworks.control} drives it and {@link tinworks.store} persists its state.
  */
 package tinworks.raft;
--- a/src/test/java/tinworks/raft/Cluster.java
+++ b/src/test/java/tinworks/raft/Cluster.java
@@ -27,95 +27,95 @@
     }
 
     /** Makes a member; a flawed one is caught by the invariants. */
-    interface Maker {
-        Raft make(long id, PersistentState stored, Timing timing, long seed, long now);
+    interface RaftFactory {
+        Raft create(long id, PersistentState stored, Timing timing, long seed, long now);
     }
 
     /** What a broken invariant ends as. */
-    static final class Broken extends AssertionError {
+    static final class InvariantViolation extends AssertionError {
         private static final long serialVersionUID = 1L;
 
-        Broken(String what) {
+        InvariantViolation(String what) {
             super(what);
         }
     }
 
     static final Timing TIMING = new Timing(50, 200);
-    private static final int STEP = 5;
-    private static final int MOST_EVENTS = 200_000;
+    private static final int STEP_MILLIS = 5;
+    private static final int MAX_EVENTS = 200_000;
     /** What clocks may be off by, of 1,000; a lease bears five parts of 100. */
-    private static final int DRIFT = 45;
+    private static final int CLOCK_DRIFT_PER_MILLE = 45;
 
     final SplittableRandom random;
     final List<Node> nodes = new ArrayList<>();
     final Set<Integer> acknowledged = new HashSet<>();
     private final Flaw flaw;
     private final Timing timing;
-    private final Maker maker;
+    private final RaftFactory factory;
     /** Acknowledged entries: when, and the highest index until then. */
     private final ArrayDeque<long[]> acknowledgedAt = new ArrayDeque<>();
 
-    private long newestAcknowledged;
-    private long oldAcknowledged;
-    private long newestTerm;
+    private long highestAcknowledgedIndex;
+    private long acknowledgedBeforeLease;
+    private long latestLeaderTerm;
     /** How often a member held a lease, and a follower was fresh, as the checks saw them. */
-    long leases;
+    long leaseObservations;
 
-    long freshFollowers;
+    long freshFollowerObservations;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparing(Event::order));
-    private final Map<Long, Long> leaders = new HashMap<>();
-    private final Map<Long, Entry> applied = new HashMap<>();
-    private final Set<Set<Integer>> cuts = new HashSet<>();
-    double loss;
+    private final Map<Long, Long> leaderByTerm = new HashMap<>();
+    private final Map<Long, Entry> appliedByIndex = new HashMap<>();
+    private final Set<Set<Integer>> disconnected = new HashSet<>();
+    double lossProbability;
     long now;
-    private long order;
-    private long ids = 100;
-    private int commands;
-    private int handled;
+    private long nextEventOrder;
+    private long lastId = 100;
+    private int lastCommand;
+    private int eventsHandled;
 
-    private record Event(long at, long order, Runnable work) {}
+    private record Event(long at, long order, Runnable action) {}
 
     Cluster(long seed, int voters, Flaw flaw) {
         this(seed, voters, flaw, TIMING, Raft::new);
     }
 
-    Cluster(long seed, int voters, Flaw flaw, Timing timing, Maker maker) {
+    Cluster(long seed, int voters, Flaw flaw, Timing timing, RaftFactory maker) {
         random = new SplittableRandom(seed);
         this.flaw = flaw;
         this.timing = timing;
-        this.maker = maker;
+        this.factory = maker;
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < voters; i++) {
             members.add(new Member(i + 1, "m" + i));
         }
         for (int i = 0; i < voters; i++) {
             Node node = new Node(i, i + 1);
-            node.synced = new PersistentState(HardState.NONE, new Snapshot(0, 0, members, new byte[0]), List.of());
+            node.disk = new PersistentState(HardState.NONE, new Snapshot(0, 0, members, new byte[0]), List.of());
             nodes.add(node);
             node.start();
         }
     }
 
     /** A further machine, with an empty disk. */
-    Node addEmpty() {
-        Node node = new Node(nodes.size(), ++ids);
+    Node addEmptyNode() {
+        Node node = new Node(nodes.size(), ++lastId);
         nodes.add(node);
         node.start();
         return node;
     }
 
-    void later(long delay, Runnable work) {
-        events.add(new Event(now + delay, order++, work));
+    void schedule(long delay, Runnable work) {
+        events.add(new Event(now + delay, nextEventOrder++, work));
     }
 
     void run(long until) {
         while (now < until) {
-            now += STEP;
+            now += STEP_MILLIS;
             while (!events.isEmpty() && events.peek().at() <= now) {
-                events.poll().work().run();
-                if (++handled > MOST_EVENTS) {
-                    throw new Broken("the network never comes to rest");
+                events.poll().action().run();
+                if (++eventsHandled > MAX_EVENTS) {
+                    throw new InvariantViolation("the network never comes to rest");
                 }
             }
             for (Node node : nodes) {
@@ -133,34 +133,35 @@
      * ago.
      */
     private void checkLeases() {
-        long old = now - timing.leaseMillis() * (1_000 + DRIFT) / 1_000 - STEP;
+        long old = now - timing.leaseMillis() * (1_000 + CLOCK_DRIFT_PER_MILLE) / 1_000 - STEP_MILLIS;
         while (!acknowledgedAt.isEmpty() && acknowledgedAt.peek()[0] < old) {
-            oldAcknowledged = acknowledgedAt.poll()[1];
+            acknowledgedBeforeLease = acknowledgedAt.poll()[1];
         }
         for (Node node : nodes) {
             if (node.raft == null) {
                 continue;
             }
             boolean leads = node.raft.holdsLease(node.clock());
-            if (leads && newestTerm > node.raft.term()) {
-                throw new Broken("a lease of term " + node.raft.term() + " while one leads in term " + newestTerm);
+            if (leads && latestLeaderTerm > node.raft.term()) {
+                throw new InvariantViolation(
+                        "a lease of term " + node.raft.term() + " while one leads in term " + latestLeaderTerm);
             }
             if (node.raft.fresh(node.clock()) && node.appliedIndex >= node.raft.freshIndex()) {
-                leases += leads ? 1 : 0;
-                freshFollowers += leads ? 0 : 1;
-                if (node.appliedIndex < (leads ? newestAcknowledged : oldAcknowledged)) {
-                    throw new Broken("a fresh member lacks what was acknowledged");
+                leaseObservations += leads ? 1 : 0;
+                freshFollowerObservations += leads ? 0 : 1;
+                if (node.appliedIndex < (leads ? highestAcknowledgedIndex : acknowledgedBeforeLease)) {
+                    throw new InvariantViolation("a fresh member lacks what was acknowledged");
                 }
             }
         }
     }
 
-    void cut(int a, int b) {
-        cuts.add(Set.of(a, b));
+    void disconnect(int a, int b) {
+        disconnected.add(Set.of(a, b));
     }
 
-    void join() {
-        cuts.clear();
+    void reconnectAll() {
+        disconnected.clear();
     }
 
     Node leader() {
@@ -181,32 +182,32 @@
                 .filter(n -> n.raft != null && !n.isFrozen() && n.raft.role() == Raft.Role.LEADER)
                 .toList();
         if (!leading.isEmpty()) {
-            leading.get(random.nextInt(leading.size())).propose(++commands);
+            leading.get(random.nextInt(leading.size())).propose(++lastCommand);
         }
     }
 
     /** All acknowledged commands must be in what a member has applied. */
-    void checkKept(Node node) {
+    void checkRetainsAcknowledged(Node node) {
         Set<Integer> has = new HashSet<>(node.state);
         for (int command : acknowledged) {
             if (!has.contains(command)) {
-                throw new Broken("command " + command + " was acknowledged and is gone at " + node.number);
+                throw new InvariantViolation("command " + command + " was acknowledged and is gone at " + node.number);
             }
         }
     }
 
     private void checkApplied(Entry entry) {
-        Entry before = applied.putIfAbsent(entry.index(), entry);
+        Entry before = appliedByIndex.putIfAbsent(entry.index(), entry);
         if (before != null && !before.equals(entry)) {
-            throw new Broken("two entries were applied at index " + entry.index());
+            throw new InvariantViolation("two entries were applied at index " + entry.index());
         }
     }
 
     private void checkLeader(long term, long id) {
-        Long before = leaders.putIfAbsent(term, id);
-        newestTerm = Math.max(newestTerm, term);
+        Long before = leaderByTerm.putIfAbsent(term, id);
+        latestLeaderTerm = Math.max(latestLeaderTerm, term);
         if (before != null && before != id) {
-            throw new Broken("two leaders in term " + term);
+            throw new InvariantViolation("two leaders in term " + term);
         }
     }
 
@@ -215,19 +216,20 @@
         final int number;
         long id;
         Raft raft;
-        PersistentState synced = PersistentState.EMPTY;
+        PersistentState disk = PersistentState.EMPTY;
         /** The commands that have been applied, in order. */
         List<Integer> state = new ArrayList<>();
 
         private final ArrayDeque<Output> unsynced = new ArrayDeque<>();
-        private final Map<Long, Integer> open = new HashMap<>();
+        private final Map<Long, Integer> pendingProposals = new HashMap<>();
         /** How far the state is. */
         long appliedIndex;
 
-        private final int rate = 1_000 - DRIFT + random.nextInt(2 * DRIFT + 1);
-        private long clockBegan;
+        private final int clockRatePerMille =
+                1_000 - CLOCK_DRIFT_PER_MILLE + random.nextInt(2 * CLOCK_DRIFT_PER_MILLE + 1);
+        private long clockOffset;
         private long frozenUntil;
-        private long life;
+        private long incarnation;
         private long diskFreeAt;
 
         Node(int number, long id) {
@@ -237,7 +239,7 @@
 
         /** Its steady clock, in milliseconds. */
         long clock() {
-            return clockBegan + now * rate / 1_000;
+            return clockOffset + now * clockRatePerMille / 1_000;
         }
 
         boolean isFrozen() {
@@ -249,10 +251,10 @@
         }
 
         /** Does something once the process runs, if it is still the same one. */
-        private void whenAwake(long mine, Runnable work) {
-            if (life == mine && isFrozen()) {
-                later(frozenUntil - now, () -> whenAwake(mine, work));
-            } else if (life == mine) {
+        private void runWhenThawed(long mine, Runnable work) {
+            if (incarnation == mine && isFrozen()) {
+                schedule(frozenUntil - now, () -> runWhenThawed(mine, work));
+            } else if (incarnation == mine) {
                 work.run();
             }
         }
@@ -262,35 +264,35 @@
         }
 
         void start() {
-            life++;
+            incarnation++;
             state = new ArrayList<>();
             appliedIndex = 0;
             frozenUntil = 0;
-            clockBegan = random.nextInt(5_000);
-            raft = maker.make(id, synced, timing, random.nextLong(), clock());
+            clockOffset = random.nextInt(5_000);
+            raft = factory.create(id, disk, timing, random.nextLong(), clock());
             pump();
         }
 
         /** The process ends; of what was not synced, some first part has reached the disk. */
         void crash() {
             raft = null;
-            life++;
-            open.clear();
+            incarnation++;
+            pendingProposals.clear();
             int kept = flaw == Flaw.SYNC_SKIPPED ? 0 : random.nextInt(unsynced.size() + 1);
             for (Output output : unsynced) {
                 if (kept-- <= 0) {
                     break;
                 }
-                synced = written(synced, output);
+                disk = persist(disk, output);
             }
             unsynced.clear();
         }
 
         /** The machine comes back without its disk, as somebody else. */
-        void wipe() {
+        void restartWithoutDisk() {
             crash();
-            synced = PersistentState.EMPTY;
-            id = ++ids;
+            disk = PersistentState.EMPTY;
+            id = ++lastId;
             start();
         }
 
@@ -298,7 +300,7 @@
             long index = raft.propose(
                     ByteBuffer.allocate(Integer.BYTES).putInt(command).array());
             if (index > 0) {
-                open.put(index, command);
+                pendingProposals.put(index, command);
             }
             pump();
         }
@@ -309,32 +311,32 @@
             if (raft.role() == Raft.Role.LEADER) {
                 checkLeader(raft.term(), id);
             } else {
-                open.clear();
+                pendingProposals.clear();
             }
             if (output.isEmpty()) {
                 return;
             }
-            long mine = life;
+            long mine = incarnation;
             // The flaw of a skipped sync: what is said to be on the disk reaches it much later.
             diskFreeAt = Math.max(diskFreeAt, now) + (output.mustSync() ? random.nextInt(8) : 0);
             unsynced.add(output);
-            later(
+            schedule(
                     diskFreeAt - now,
-                    () -> whenAwake(mine, () -> {
+                    () -> runWhenThawed(mine, () -> {
                         if (flaw != Flaw.SYNC_SKIPPED || random.nextInt(4) == 0) {
                             while (!unsynced.isEmpty()) {
                                 Output first = unsynced.poll();
-                                synced = written(synced, first);
+                                disk = persist(disk, first);
                                 if (first == output) {
                                     break;
                                 }
                             }
                         }
-                        carryOut(output);
+                        complete(output);
                     }));
         }
 
-        private void carryOut(Output output) {
+        private void complete(Output output) {
             raft.persisted(output);
             output.messages().forEach(this::send);
             if (output.restored() != null) {
@@ -353,11 +355,11 @@
                 if (entry.kind() == Entry.Kind.COMMAND) {
                     int command = ByteBuffer.wrap(entry.body()).getInt();
                     state.add(command);
-                    Integer mine = open.remove(entry.index());
+                    Integer mine = pendingProposals.remove(entry.index());
                     if (mine != null && mine == command && entry.term() == raft.term()) {
                         acknowledged.add(command);
-                        newestAcknowledged = Math.max(newestAcknowledged, entry.index());
-                        acknowledgedAt.add(new long[] {now, newestAcknowledged});
+                        highestAcknowledgedIndex = Math.max(highestAcknowledgedIndex, entry.index());
+                        acknowledgedAt.add(new long[] {now, highestAcknowledgedIndex});
                     }
                 }
             }
@@ -372,14 +374,14 @@
         private void send(Envelope envelope) {
             for (Node other : nodes) {
                 if (other.id == envelope.to()
-                        && !cuts.contains(Set.of(number, other.number))
-                        && random.nextDouble() >= loss) {
+                        && !disconnected.contains(Set.of(number, other.number))
+                        && random.nextDouble() >= lossProbability) {
                     int copies = random.nextInt(20) == 0 ? 2 : 1;
                     for (int i = 0; i < copies; i++) {
                         long from = id;
-                        later(1 + random.nextInt(random.nextInt(10) == 0 ? 120 : 10), () -> {
+                        schedule(1 + random.nextInt(random.nextInt(10) == 0 ? 120 : 10), () -> {
                             if (other.raft != null && other.id == envelope.to()) {
-                                other.whenAwake(other.life, () -> {
+                                other.runWhenThawed(other.incarnation, () -> {
                                     other.raft.receive(other.clock(), from, envelope.message());
                                     other.pump();
                                 });
@@ -391,7 +393,7 @@
         }
     }
 
-    static PersistentState written(PersistentState before, Output output) {
+    static PersistentState persist(PersistentState before, Output output) {
         HardState hard = output.hardState() != null ? output.hardState() : before.hardState();
         Snapshot snapshot = output.snapshot() != null ? output.snapshot() : before.snapshot();
         List<Entry> entries = new ArrayList<>(before.entries());
--- a/src/test/java/tinworks/raft/LeaseTest.java
+++ b/src/test/java/tinworks/raft/LeaseTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import tinworks.raft.Cluster.Flaw;
-import tinworks.raft.Cluster.Maker;
 import tinworks.raft.Cluster.Node;
+import tinworks.raft.Cluster.RaftFactory;
 import tinworks.raft.Message.Append;
 import tinworks.raft.Message.AppendReply;
 import tinworks.raft.Message.VoteReply;
@@ -19,16 +19,16 @@
  * out.
  */
 class LeaseTest {
-    private static final int DAYS = 1_500;
-    private static final int MUTANT_DAYS = 1_000;
+    private static final int SEEDS = 1_500;
+    private static final int MUTANT_SEEDS = 1_000;
     static final List<Member> VOTERS = List.of(new Member(1, "a"), new Member(2, "b"), new Member(3, "c"));
-    private static final long ELECTION = Cluster.TIMING.electionMillis();
-    private static final long LEASE = Cluster.TIMING.leaseMillis();
+    private static final long ELECTION_TIMEOUT_MILLIS = Cluster.TIMING.electionTimeoutMillis();
+    private static final long LEASE_MILLIS = Cluster.TIMING.leaseMillis();
 
     /** Some seconds in which members are cut off, freeze, start anew and hand over. */
-    private static Cluster day(long seed, Maker maker) {
+    private static Cluster runWithFaults(long seed, RaftFactory maker) {
         Cluster cluster = new Cluster(seed, seed % 4 == 0 ? 5 : 3, Flaw.NONE, Cluster.TIMING, maker);
-        cluster.loss = seed % 3 == 0 ? 0.1 : 0;
+        cluster.lossProbability = seed % 3 == 0 ? 0.1 : 0;
         cluster.run(400);
         for (int round = 0; round < 50; round++) {
             cluster.run(cluster.now + 5 + cluster.random.nextInt(90));
@@ -44,10 +44,11 @@
                 case 2 -> one.freeze(50 + cluster.random.nextInt(600));
                 case 3 -> {
                     if (one != other) {
-                        cluster.cut(one.number, other.number);
+                        cluster.disconnect(one.number, other.number);
                     }
                 }
-                case 4 -> cluster.nodes.stream().filter(n -> n != one).forEach(n -> cluster.cut(n.number, one.number));
+                case 4 ->
+                    cluster.nodes.stream().filter(n -> n != one).forEach(n -> cluster.disconnect(n.number, one.number));
                 case 5 -> {
                     cluster.run(cluster.now + 40);
                     if (leader != null && leader.raft != null && !leader.isFrozen()) {
@@ -62,16 +63,16 @@
                     if (leader != null && leader != one) {
                         cluster.nodes.stream()
                                 .filter(n -> n != leader && n != one)
-                                .forEach(n -> cluster.cut(n.number, leader.number));
-                        cluster.run(cluster.now + ELECTION + cluster.random.nextInt(100));
+                                .forEach(n -> cluster.disconnect(n.number, leader.number));
+                        cluster.run(cluster.now + ELECTION_TIMEOUT_MILLIS + cluster.random.nextInt(100));
                         if (cluster.random.nextBoolean()) {
-                            cluster.cut(one.number, leader.number);
+                            cluster.disconnect(one.number, leader.number);
                         }
                         one.crash();
                         one.start();
                     }
                 }
-                default -> cluster.join();
+                default -> cluster.reconnectAll();
             }
         }
         return cluster;
@@ -81,21 +82,21 @@
     void noOtherLeadsDuringALeaseAndWhoIsFreshHasWhatWasAcknowledged() {
         long leases = 0;
         long followers = 0;
-        for (long seed = 1; seed <= DAYS; seed++) {
-            Cluster cluster = day(seed, Raft::new);
-            leases += cluster.leases;
-            followers += cluster.freshFollowers;
+        for (long seed = 1; seed <= SEEDS; seed++) {
+            Cluster cluster = runWithFaults(seed, Raft::new);
+            leases += cluster.leaseObservations;
+            followers += cluster.freshFollowerObservations;
         }
         assertTrue(
-                leases > 100L * DAYS && followers > 100L * DAYS,
+                leases > 100L * SEEDS && followers > 100L * SEEDS,
                 "too seldom to mean anything: " + leases + ", " + followers);
     }
 
-    private static int firstCaught(Maker mutant) {
-        for (int seed = 1; seed <= MUTANT_DAYS; seed++) {
+    private static int firstSeedCaught(RaftFactory mutant) {
+        for (int seed = 1; seed <= MUTANT_SEEDS; seed++) {
             try {
-                day(seed, mutant);
-            } catch (Cluster.Broken e) {
+                runWithFaults(seed, mutant);
+            } catch (Cluster.InvariantViolation e) {
                 return seed;
             }
         }
@@ -104,10 +105,10 @@
 
     @Test
     void aLeaseFromWhenAnAnswerCameIsCaught() {
-        assertTrue(firstCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+        assertTrue(firstSeedCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
-                    long confirmedFrom(Progress p) {
-                        return p.heardAt;
+                    long lastAckedRoundSentAt(Progress p) {
+                        return p.lastReceivedMillis;
                     }
                 })
                 > 0);
@@ -115,7 +116,7 @@
 
     @Test
     void aLeaseBeforeAnEntryOfItsOwnTermIsCommittedIsCaught() {
-        assertTrue(firstCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+        assertTrue(firstSeedCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
                     public boolean hasCommittedInCurrentTerm() {
                         return role() == Role.LEADER;
@@ -131,9 +132,9 @@
 
     @Test
     void aMemberThatVotesAtOnceAfterItsStartIsCaught() {
-        assertTrue(firstCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+        assertTrue(firstSeedCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
-                    boolean mayHavePromised() {
+                    boolean isBoundByPriorLease() {
                         return false;
                     }
                 })
@@ -142,9 +143,9 @@
 
     @Test
     void aVoterThatVotesWhileItHearsTheLeaderIsCaught() {
-        assertTrue(firstCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+        assertTrue(firstSeedCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
-                    boolean content() {
+                    boolean hasActiveLeader() {
                         return role() == Role.LEADER;
                     }
                 })
@@ -153,9 +154,9 @@
 
     @Test
     void aLeaseThatIsKeptOverAHandOverIsCaught() {
-        assertTrue(firstCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+        assertTrue(firstSeedCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
-                    boolean leaves() {
+                    boolean isTransferringLeadership() {
                         return false;
                     }
                 })
@@ -164,7 +165,7 @@
 
     @Test
     void aLeaderThatSaysThatItsLeaseIsOverIsCaught() {
-        assertTrue(firstCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+        assertTrue(firstSeedCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
                     boolean hasNoLease() {
                         return true;
@@ -203,7 +204,7 @@
         return raft;
     }
 
-    private static long roundTo(long to, Raft raft) {
+    private static long lastRoundSentTo(long to, Raft raft) {
         return raft.drain().messages().stream()
                 .filter(e -> e.to() == to && e.message() instanceof Append)
                 .mapToLong(e -> ((Append) e.message()).round())
@@ -217,16 +218,16 @@
         assertEquals(0, raft.leaseUntil(), "nothing of its term is committed");
         assertFalse(raft.holdsLease() || raft.fresh());
         raft.receive(1_020, 2, new AppendReply(4, true, raft.lastIndex(), 1));
-        assertEquals(1_000 + LEASE, raft.leaseUntil());
+        assertEquals(1_000 + LEASE_MILLIS, raft.leaseUntil());
         raft.tick(1_070);
-        long round = roundTo(2, raft);
+        long round = lastRoundSentTo(2, raft);
         raft.receive(1_110, 2, new AppendReply(4, true, raft.lastIndex(), round - 1));
-        assertEquals(1_000 + LEASE, raft.leaseUntil(), "an answer to the round before tells nothing new");
+        assertEquals(1_000 + LEASE_MILLIS, raft.leaseUntil(), "an answer to the round before tells nothing new");
         raft.receive(1_120, 2, new AppendReply(4, true, raft.lastIndex(), round));
-        assertEquals(1_070 + LEASE, raft.leaseUntil());
+        assertEquals(1_070 + LEASE_MILLIS, raft.leaseUntil());
         raft.tick(1_170);
-        raft.receive(1_180, 2, new Message.InstallSnapshotReply(4, 1, 0, 1, roundTo(2, raft)));
-        assertEquals(1_170 + LEASE, raft.leaseUntil(), "a voter that takes a snapshot has heard the leader too");
+        raft.receive(1_180, 2, new Message.InstallSnapshotReply(4, 1, 0, 1, lastRoundSentTo(2, raft)));
+        assertEquals(1_170 + LEASE_MILLIS, raft.leaseUntil(), "a voter that takes a snapshot has heard the leader too");
         assertTrue(raft.holdsLease() && raft.fresh());
     }
 
@@ -239,10 +240,10 @@
             now += 10;
             raft.tick(now);
             assertTrue(raft.propose(new byte[1]) > 0);
-            raft.receive(now + 1, 2, new AppendReply(4, true, raft.lastIndex(), roundTo(2, raft)));
+            raft.receive(now + 1, 2, new AppendReply(4, true, raft.lastIndex(), lastRoundSentTo(2, raft)));
             assertTrue(raft.holdsLease());
         }
-        long until = now + 2 * ELECTION + 20;
+        long until = now + 2 * ELECTION_TIMEOUT_MILLIS + 20;
         while (now < until) {
             now += 10;
             raft.tick(now);
@@ -252,7 +253,7 @@
     }
 
     /** A leader on a slow clock and a voter on a fast one, which heard its round as it was sent. */
-    private static boolean leasedWhileTheVoterVotes(Timing leaders) {
+    private static boolean holdsLeaseWhenVoterMayVote(Timing leaders) {
         Raft leader = elected(leaders);
         leader.receive(1_000, 2, new AppendReply(4, true, leader.lastIndex(), 1));
         Raft voter = voter(0);
@@ -266,9 +267,9 @@
 
     @Test
     void aLeaseEndsBeforeAVoteThoughTheClocksAreUnlike() {
-        assertFalse(leasedWhileTheVoterVotes(Cluster.TIMING));
+        assertFalse(holdsLeaseWhenVoterMayVote(Cluster.TIMING));
         assertTrue(
-                leasedWhileTheVoterVotes(new Timing(50, ELECTION * 10 / 9)),
+                holdsLeaseWhenVoterMayVote(new Timing(50, ELECTION_TIMEOUT_MILLIS * 10 / 9)),
                 "a lease as long as the voter's silence is caught");
     }
 
@@ -282,7 +283,7 @@
         assertFalse(raft.holdsLease() || raft.fresh(), "an answer that lay there while it was frozen");
         raft.drain();
         raft.tick(30_001);
-        raft.receive(30_010, 2, new AppendReply(4, true, raft.lastIndex(), roundTo(2, raft)));
+        raft.receive(30_010, 2, new AppendReply(4, true, raft.lastIndex(), lastRoundSentTo(2, raft)));
         assertTrue(raft.holdsLease());
     }
 
@@ -311,9 +312,9 @@
         raft.transferLeadership();
         assertFalse(raft.holdsLease());
         raft.tick(1_070);
-        raft.receive(1_075, 2, new AppendReply(4, true, raft.lastIndex(), roundTo(2, raft)));
+        raft.receive(1_075, 2, new AppendReply(4, true, raft.lastIndex(), lastRoundSentTo(2, raft)));
         assertFalse(raft.holdsLease(), "who was asked to stand may do so at any time");
-        raft.tick(1_020 + ELECTION);
+        raft.tick(1_020 + ELECTION_TIMEOUT_MILLIS);
         assertEquals(Raft.Role.FOLLOWER, raft.role());
     }
 
@@ -331,7 +332,7 @@
         raft.receive(1_010, 3, new VoteReply(5, true, false));
         assertEquals(5, raft.term());
         assertFalse(grants(raft, 1_020, 5));
-        assertTrue(grants(raft, 1_000 + ELECTION, 5));
+        assertTrue(grants(raft, 1_000 + ELECTION_TIMEOUT_MILLIS, 5));
     }
 
     @Test
--- a/src/test/java/tinworks/raft/MembershipTest.java
+++ b/src/test/java/tinworks/raft/MembershipTest.java
@@ -10,15 +10,15 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import tinworks.raft.Cluster.Flaw;
-import tinworks.raft.Cluster.Maker;
 import tinworks.raft.Cluster.Node;
+import tinworks.raft.Cluster.RaftFactory;
 import tinworks.raft.Message.AppendReply;
 import tinworks.raft.Message.VoteReply;
 
 /** Changes of voters by joint consensus, one event at a time and over many days; and each guard taken out. */
 class MembershipTest {
-    private static final int DAYS = 500;
-    private static final int MUTANT_DAYS = 4_000;
+    private static final int SEEDS = 500;
+    private static final int MUTANT_SEEDS = 4_000;
     private static final Member A = new Member(1, "a");
     private static final Member B = new Member(2, "b");
     private static final Member C = new Member(3, "c");
@@ -35,12 +35,12 @@
         raft.receive(1_000, 2, new VoteReply(4, false, true));
         raft.addLearner(D);
         raft.addLearner(E);
-        took(raft, 2);
+        acknowledge(raft, 2);
         assertTrue(raft.hasCommittedInCurrentTerm());
         return raft;
     }
 
-    private static void took(Raft raft, long... members) {
+    private static void acknowledge(Raft raft, long... members) {
         raft.persisted(raft.drain());
         for (long member : members) {
             raft.receive(1_010, member, new AppendReply(raft.term(), true, raft.lastIndex(), 1));
@@ -53,23 +53,23 @@
         assertTrue(raft.changeMembers(List.of(A, D, E)));
         long first = raft.lastIndex();
         assertEquals(Set.of(A, B, C, D, E), Set.copyOf(raft.voters()));
-        took(raft, 4, 5);
+        acknowledge(raft, 4, 5);
         assertTrue(raft.commitIndex() < first, "of those before, the leader alone has it");
-        took(raft, 2);
+        acknowledge(raft, 2);
         assertTrue(raft.commitIndex() >= first);
         assertEquals(List.of(A, D, E), raft.voters(), "the leader ends the change by itself");
         assertFalse(raft.mayChangeMembers());
         long last = raft.lastIndex();
-        took(raft, 2, 3);
+        acknowledge(raft, 2, 3);
         assertTrue(raft.commitIndex() < last, "those before have no say any more");
-        took(raft, 4);
+        acknowledge(raft, 4);
         assertEquals(last, raft.commitIndex());
         assertTrue(raft.mayChangeMembers());
 
         raft = leader();
         raft.changeMembers(List.of(A, D, E));
         first = raft.lastIndex();
-        took(raft, 2, 3);
+        acknowledge(raft, 2, 3);
         assertTrue(raft.commitIndex() < first, "of those to come, the leader alone has it");
     }
 
@@ -77,10 +77,10 @@
     void aLeaderThatIsVotedOutGoesOnceTheChangeIsDone() {
         Raft raft = leader();
         assertTrue(raft.changeMembers(List.of(B, C, D)));
-        took(raft, 2, 3);
+        acknowledge(raft, 2, 3);
         assertEquals(List.of(B, C, D), raft.voters());
         assertEquals(Raft.Role.LEADER, raft.role());
-        took(raft, 2, 4);
+        acknowledge(raft, 2, 4);
         assertEquals(Raft.Role.FOLLOWER, raft.role());
     }
 
@@ -124,11 +124,11 @@
         Raft raft = leader();
         raft.changeMembers(List.of(A, B, D));
         long first = raft.lastIndex();
-        took(raft, 2, 4);
+        acknowledge(raft, 2, 4);
         raft.drain();
         raft.compact(first, new byte[0]);
         assertEquals(raft.lastIndex(), raft.logLength(), "the log is whole");
-        took(raft, 2);
+        acknowledge(raft, 2);
         raft.drain();
         raft.compact(raft.commitIndex(), new byte[0]);
         assertEquals(0, raft.logLength());
@@ -153,7 +153,7 @@
         raft.receive(1_000, 2, new VoteReply(2, false, true));
         raft.receive(1_000, 3, new VoteReply(2, false, true));
         assertEquals(Raft.Role.LEADER, raft.role());
-        took(raft, 2, 3);
+        acknowledge(raft, 2, 3);
         assertEquals(Raft.Role.FOLLOWER, raft.role());
         raft.tick(5_000);
         assertEquals(Raft.Role.FOLLOWER, raft.role(), "now it is out");
@@ -161,10 +161,10 @@
 
     // ---- on the simulated network
 
-    private static Cluster withLearners(long seed, int voters, int learners, Maker maker) {
+    private static Cluster withLearners(long seed, int voters, int learners, RaftFactory maker) {
         Cluster cluster = new Cluster(seed, voters, Flaw.NONE, Cluster.TIMING, maker);
         for (int i = 0; i < learners; i++) {
-            cluster.addEmpty();
+            cluster.addEmptyNode();
         }
         cluster.run(1_000);
         return cluster;
@@ -180,7 +180,7 @@
         }
     }
 
-    private static void learn(Cluster cluster) {
+    private static void addAllAsLearners(Cluster cluster) {
         change(cluster, List.of());
         cluster.run(cluster.now + 200);
     }
@@ -191,7 +191,7 @@
         int done = 0;
         for (long seed = 1; seed <= 300; seed++) {
             Cluster cluster = withLearners(seed, 3, 2, Raft::new);
-            learn(cluster);
+            addAllAsLearners(cluster);
             Node leader = cluster.leader();
             List<Member> wanted = List.of(
                     cluster.nodes.get(0).member(),
@@ -210,7 +210,7 @@
             leader.start();
             cluster.propose();
             cluster.run(cluster.now + 1_500);
-            cluster.nodes.stream().filter(n -> next.raft.isVoter(n.id)).forEach(cluster::checkKept);
+            cluster.nodes.stream().filter(n -> next.raft.isVoter(n.id)).forEach(cluster::checkRetainsAcknowledged);
         }
         assertTrue(done > 50 && done < 300, "done " + done + " times of 300");
     }
@@ -220,7 +220,7 @@
     void rightAfterADeadVoterWasReplacedAnyOtherMayBeLost() {
         for (long seed = 1; seed <= 300; seed++) {
             Cluster cluster = withLearners(seed, 3, 1, Raft::new);
-            learn(cluster);
+            addAllAsLearners(cluster);
             Node leader = cluster.leader();
             List<Node> others = new ArrayList<>(cluster.nodes.subList(0, 3));
             others.remove(leader);
@@ -239,20 +239,20 @@
                     .skip(seed % 3)
                     .findFirst()
                     .orElseThrow()
-                    .wipe();
+                    .restartWithoutDisk();
             int before = cluster.acknowledged.size();
             cluster.run(cluster.now + 1_500);
             cluster.propose();
             cluster.run(cluster.now + 300);
             assertTrue(cluster.acknowledged.size() > before, "seed " + seed + ": no majority is left");
-            cluster.checkKept(cluster.leader());
+            cluster.checkRetainsAcknowledged(cluster.leader());
         }
     }
 
     /** Any set of five machines votes in place of any other, while they are cut in two, freeze and crash. */
-    private static int day(long seed, Maker maker) {
+    private static int runWithFaults(long seed, RaftFactory maker) {
         Cluster cluster = withLearners(seed, 3, 2, maker);
-        learn(cluster);
+        addAllAsLearners(cluster);
         for (int round = 0; round < 40; round++) {
             cluster.run(cluster.now + 5 + cluster.random.nextInt(120));
             cluster.propose();
@@ -272,42 +272,42 @@
                     cluster.nodes.stream()
                             .filter(n -> cluster.random.nextBoolean())
                             .forEach(side::add);
-                    cluster.join();
+                    cluster.reconnectAll();
                     side.forEach(a -> cluster.nodes.stream()
                             .filter(b -> !side.contains(b))
-                            .forEach(b -> cluster.cut(a.number, b.number)));
+                            .forEach(b -> cluster.disconnect(a.number, b.number)));
                 }
                 case 5 -> {
                     one.crash();
                     one.start();
                 }
                 case 6 -> one.freeze(cluster.random.nextInt(300));
-                default -> cluster.join();
+                default -> cluster.reconnectAll();
             }
         }
-        cluster.join();
+        cluster.reconnectAll();
         cluster.run(cluster.now + 3_000);
         cluster.propose();
         cluster.run(cluster.now + 1_000);
         assertTrue(cluster.leader() != null, "seed " + seed + ": nobody leads though all live and hear each other");
-        cluster.checkKept(cluster.leader());
+        cluster.checkRetainsAcknowledged(cluster.leader());
         return cluster.acknowledged.size();
     }
 
     @Test
     void whateverSetsFollowEachOtherNothingIsLostAndOneLeadsATime() {
         int acknowledged = 0;
-        for (long seed = 1; seed <= DAYS; seed++) {
-            acknowledged += day(seed, Raft::new);
+        for (long seed = 1; seed <= SEEDS; seed++) {
+            acknowledged += runWithFaults(seed, Raft::new);
         }
-        assertTrue(acknowledged > 10 * DAYS, "too little was acknowledged to mean anything: " + acknowledged);
+        assertTrue(acknowledged > 10 * SEEDS, "too little was acknowledged to mean anything: " + acknowledged);
     }
 
-    private static int firstCaught(Maker mutant) {
-        for (int seed = 1; seed <= MUTANT_DAYS; seed++) {
+    private static int firstSeedCaught(RaftFactory mutant) {
+        for (int seed = 1; seed <= MUTANT_SEEDS; seed++) {
             try {
-                day(seed, mutant);
-            } catch (Cluster.Broken | IllegalStateException e) {
+                runWithFaults(seed, mutant);
+            } catch (Cluster.InvariantViolation | IllegalStateException e) {
                 return seed;
             } catch (AssertionError e) {
                 // It came to a standstill, which alone is no loss.
@@ -319,10 +319,10 @@
 
     @Test
     void aChangeThatAsksOnlyThoseToComeIsCaught() {
-        assertTrue(firstCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+        assertTrue(firstSeedCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
-                    Voters quorum() {
-                        return Voters.of(super.quorum().current());
+                    Voters quorumVoters() {
+                        return Voters.of(super.quorumVoters().current());
                     }
                 })
                 > 0);
@@ -330,11 +330,11 @@
 
     @Test
     void aChangeThatAsksOnlyThoseBeforeIsCaught() {
-        assertTrue(firstCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+        assertTrue(firstSeedCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
-                    Voters quorum() {
-                        Voters both = super.quorum();
-                        return both.joint() ? Voters.of(both.outgoing()) : both;
+                    Voters quorumVoters() {
+                        Voters both = super.quorumVoters();
+                        return both.isJoint() ? Voters.of(both.outgoing()) : both;
                     }
                 })
                 > 0);
@@ -344,7 +344,7 @@
     @Test
     void oneThatWasVotedOutWhileItWasAwayAsksToBeSentTheLog() {
         Cluster cluster = withLearners(5, 3, 1, Raft::new);
-        learn(cluster);
+        addAllAsLearners(cluster);
         Node leader = cluster.leader();
         Node away = cluster.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
         assertFalse(away.raft.shouldRequestJoin() || leader.raft.shouldRequestJoin());
@@ -380,7 +380,7 @@
         for (int i = 0; i < 100; i++) {
             long before = raft.lastIndex();
             raft.propose(new byte[1]);
-            took(raft, 2);
+            acknowledge(raft, 2);
             raft.receive(1_010, 4, new AppendReply(4, true, before - 1, 1));
             assertTrue(learner.matchIndex() < raft.commitIndex(), "as was asked for before, it would never be ready");
             ready += learner.caughtUp() ? 1 : 0;
@@ -392,7 +392,7 @@
     @Test
     void aLearnerThatWasAwayIsChosenAnew() {
         Raft raft = leader();
-        took(raft, 4);
+        acknowledge(raft, 4);
         Progress learner = raft.followers().stream()
                 .filter(p -> p.member().equals(D))
                 .findFirst()
@@ -405,7 +405,7 @@
         }
         raft.addLearner(D);
         assertFalse(learner.caughtUp());
-        took(raft, 4);
+        acknowledge(raft, 4);
         assertTrue(learner.caughtUp());
     }
 
@@ -421,7 +421,7 @@
         raft.drain();
         raft.receive(1_010, 3, new AppendReply(4, true, last, 1));
         assertFalse(raft.transferLeadership(), "on one disk of three it isn't committed");
-        took(raft, 3);
+        acknowledge(raft, 3);
         assertTrue(raft.transferLeadership());
         assertEquals(0, raft.propose(new byte[1]));
         assertFalse(raft.mayChangeMembers());
@@ -436,7 +436,7 @@
     }
 
     /** How often of a hundred ends in good order the next term has a leader, and no further one is needed. */
-    private static int cleanHandOvers(Maker maker) {
+    private static int directTransfers(RaftFactory maker) {
         int clean = 0;
         for (long seed = 1; seed <= 100; seed++) {
             Cluster cluster = new Cluster(seed, 3, Flaw.NONE, Cluster.TIMING, maker);
@@ -447,11 +447,11 @@
                     .skip(seed % 2)
                     .findFirst()
                     .orElseThrow();
-            cluster.cut(leader.number, late.number);
+            cluster.disconnect(leader.number, late.number);
             cluster.run(cluster.now + 60);
             cluster.propose();
             cluster.run(cluster.now + 30);
-            cluster.join();
+            cluster.reconnectAll();
             long term = leader.raft.term();
             for (int i = 0; i < 40 && !leader.raft.transferLeadership(); i++) {
                 leader.pump();
@@ -467,10 +467,10 @@
 
     @Test
     void theLeadIsHandedToOneThatHasAllAndAHandOverToAnyOtherIsCaught() {
-        int clean = cleanHandOvers(Raft::new);
-        int flawed = cleanHandOvers((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+        int clean = directTransfers(Raft::new);
+        int flawed = directTransfers((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
             @Override
-            boolean hasAll(Progress p) {
+            boolean isFullyReplicated(Progress p) {
                 return true;
             }
         });
--- a/src/test/java/tinworks/raft/Model.java
+++ b/src/test/java/tinworks/raft/Model.java
@@ -26,14 +26,14 @@
 final class Model {
     /** How often each thing may happen. */
     record Bounds(
-            int timeouts,
+            int electionTimeouts,
             int heartbeats,
             int commands,
-            int losses,
+            int connectionLosses,
             int crashes,
-            int changes,
-            int queries,
-            int candidacies) {
+            int membershipChanges,
+            int leaseQueries,
+            int preVotes) {
         /** One in which nobody asks for the end of a lease, and time passes before anybody stands. */
         Bounds(int timeouts, int heartbeats, int commands, int losses, int crashes, int changes) {
             this(timeouts, heartbeats, commands, losses, crashes, changes, 0, 0);
@@ -41,12 +41,12 @@
     }
 
     /** Makes a member; a flawed one is caught by the invariants. */
-    interface Maker {
-        Raft make(long id, PersistentState stored, long now);
+    interface RaftFactory {
+        Raft create(long id, PersistentState stored, long now);
     }
 
     /** What a whole search found. */
-    record Found(long states, long steps, int deepest, long committed, long latestTerm) {}
+    record SearchResult(long states, long steps, int maxDepth, long maxCommitted, long latestTerm) {}
 
     private static final long TIMEOUT_MILLIS = 10_000;
     private static final Timing TIMING = Cluster.TIMING;
@@ -54,8 +54,15 @@
      * What only says when a time-out comes, which here comes at any time, what never changes, and what followers tell
      * of leases, which decides nothing here and which {@link Cluster} checks.
      */
-    private static final Set<String> LEFT_OUT =
-            Set.of("self", "timing", "random", "electionAt", "heartbeatAt", "life", "freshUntil", "freshIndex");
+    private static final Set<String> IGNORED_FIELDS = Set.of(
+            "self",
+            "timing",
+            "random",
+            "electionTimeoutAt",
+            "nextHeartbeatAt",
+            "incarnation",
+            "freshUntil",
+            "freshIndex");
 
     private static final List<Field> FIELDS = fields();
     private static final Field LOG = FIELDS.stream()
@@ -63,7 +70,7 @@
             .findFirst()
             .orElseThrow();
 
-    private final Maker maker;
+    private final RaftFactory factory;
     private final int machines;
     /** False where disks only say that they have synced. */
     private final boolean syncs;
@@ -73,72 +80,72 @@
      */
     private final boolean leases;
 
-    private final Set<Key> seen = new HashSet<>();
+    private final Set<Key> visited = new HashSet<>();
     private long steps;
-    private int deepest;
-    private long committedAtMost;
+    private int maxDepth;
+    private long maxCommitted;
     /** The latest term in which a member has led. */
     private long latestTerm;
 
     private record Key(long high, long low) {}
 
-    Model(int machines, boolean syncs, Maker maker) {
+    Model(int machines, boolean syncs, RaftFactory maker) {
         this(machines, syncs, false, maker);
     }
 
-    private Model(int machines, boolean syncs, boolean leases, Maker maker) {
+    private Model(int machines, boolean syncs, boolean leases, RaftFactory maker) {
         this.machines = machines;
         this.syncs = syncs;
         this.leases = leases;
-        this.maker = maker;
+        this.factory = maker;
     }
 
     /** One that checks leases too: lives begin when they do, and time stands still but for time-outs. */
-    static Model withLeases(int machines, Maker maker) {
+    static Model withLeases(int machines, RaftFactory maker) {
         return new Model(machines, true, true, maker);
     }
 
     /** Members whose promises have lapsed at any start. */
-    static Raft plain(long id, PersistentState stored, long now) {
+    static Raft createWithoutLeases(long id, PersistentState stored, long now) {
         return new Raft(id, stored, TIMING, 1, 0);
     }
 
-    static Raft leased(long id, PersistentState stored, long now) {
+    static Raft createWithLeases(long id, PersistentState stored, long now) {
         return new Raft(id, stored, TIMING, 1, now);
     }
 
-    /** Goes through all that can happen; a broken invariant ends as {@link Cluster.Broken}. */
-    Found search(int voters, Bounds bounds) {
+    /** Goes through all that can happen; a broken invariant ends as {@link Cluster.InvariantViolation}. */
+    SearchResult search(int voters, Bounds bounds) {
         return search(voters, bounds, List.of());
     }
 
     /** The same, after these first steps. */
-    Found search(int voters, Bounds bounds, List<Step> begin) {
-        World first = first(voters, bounds);
+    SearchResult search(int voters, Bounds bounds, List<Step> begin) {
+        World first = initialWorld(voters, bounds);
         for (Step step : begin) {
-            first = next(first, step);
+            first = successor(first, step);
         }
         ArrayDeque<World> open = new ArrayDeque<>();
         open.push(first);
-        seen.add(first.key());
+        visited.add(first.key());
         while (!open.isEmpty()) {
             World world = open.pop();
             for (Step step : world.steps()) {
-                World next = next(world, step);
-                if (seen.add(next.key())) {
+                World next = successor(world, step);
+                if (visited.add(next.key())) {
                     open.push(next);
                 }
             }
         }
-        return new Found(seen.size(), steps, deepest, committedAtMost, latestTerm);
+        return new SearchResult(visited.size(), steps, maxDepth, maxCommitted, latestTerm);
     }
 
     /** A time-out of a member, and then what each of these wires holds is taken, from one to the other. */
     List<Step> election(int member, int... fromAndTo) {
         List<Step> steps = new ArrayList<>();
-        steps.add(new Step(What.TIMEOUT, member, 0, End.WHOLE));
+        steps.add(new Step(EventKind.TIMEOUT, member, 0, Completion.COMPLETED));
         for (int i = 0; i < fromAndTo.length; i += 2) {
-            steps.add(new Step(What.TAKE, fromAndTo[i] * machines + fromAndTo[i + 1], 0, End.WHOLE));
+            steps.add(new Step(EventKind.DELIVER, fromAndTo[i] * machines + fromAndTo[i + 1], 0, Completion.COMPLETED));
         }
         return steps;
     }
@@ -147,25 +154,25 @@
      * Goes so many ways by chance, each to its end, after the same first steps; returns the first that breaks an
      * invariant, or -1 where none does.
      */
-    int walk(int voters, Bounds bounds, List<Step> begin, long seed, int ways) {
+    int randomWalks(int voters, Bounds bounds, List<Step> begin, long seed, int ways) {
         SplittableRandom random = new SplittableRandom(seed);
         for (int way = 0; way < ways; way++) {
             try {
-                World world = first(voters, bounds);
+                World world = initialWorld(voters, bounds);
                 for (Step step : begin) {
-                    world = next(world, step);
+                    world = successor(world, step);
                 }
                 for (List<Step> can = world.steps(); !can.isEmpty(); can = world.steps()) {
-                    world = next(world, can.get(random.nextInt(can.size())));
+                    world = successor(world, can.get(random.nextInt(can.size())));
                 }
-            } catch (Cluster.Broken | IllegalStateException e) {
+            } catch (Cluster.InvariantViolation | IllegalStateException e) {
                 return way;
             }
         }
         return -1;
     }
 
-    private World first(int voters, Bounds bounds) {
+    private World initialWorld(int voters, Bounds bounds) {
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < voters; i++) {
             members.add(new Member(i + 1, "m" + i));
@@ -175,45 +182,45 @@
             PersistentState disk = i < voters
                     ? new PersistentState(HardState.NONE, new Snapshot(0, 0, members, new byte[0]), List.of())
                     : PersistentState.EMPTY;
-            first.nodes.add(new Node(i + 1, disk, maker.make(i + 1, disk, 0)));
+            first.nodes.add(new Node(i + 1, disk, factory.create(i + 1, disk, 0)));
         }
         return first;
     }
 
-    private World next(World world, Step step) {
+    private World successor(World world, Step step) {
         World next = new World(world);
-        next.take(step);
+        next.apply(step);
         steps++;
         next.check();
-        committedAtMost = Math.max(committedAtMost, next.committed.size());
-        deepest = Math.max(deepest, next.depth);
-        latestTerm = next.leaders.keySet().stream().reduce(latestTerm, Math::max);
+        maxCommitted = Math.max(maxCommitted, next.committed.size());
+        maxDepth = Math.max(maxDepth, next.depth);
+        latestTerm = next.leaderByTerm.keySet().stream().reduce(latestTerm, Math::max);
         return next;
     }
 
     /** The kinds of event. */
-    enum What {
+    enum EventKind {
         TIMEOUT,
         HEARTBEAT,
         COMMAND,
-        TAKE,
-        LOSE,
-        TAKE_ONE,
+        DELIVER,
+        DROP,
+        DELIVER_FIRST,
         CRASH,
-        CHANGE,
-        QUERY,
-        STAND
+        MEMBERSHIP_CHANGE,
+        LEASE_QUERY,
+        PRE_VOTE
     }
 
     /** How an event ends: carried out, or by a crash before or after the sync that it asks for. */
-    enum End {
-        WHOLE,
-        UNWRITTEN,
-        UNSENT
+    enum Completion {
+        COMPLETED,
+        CRASH_BEFORE_SYNC,
+        CRASH_AFTER_SYNC
     }
 
     /** One event of a path through the model. */
-    record Step(What what, int node, int other, End end) {}
+    record Step(EventKind kind, int node, int other, Completion completion) {}
 
     /** A member; only one that a step is about to change is copied, and the others are shared between worlds. */
     private static final class Node {
@@ -240,39 +247,39 @@
 
     private final class World {
         private final List<Node> nodes = new ArrayList<>();
-        private final Map<Integer, List<Message>> wires = new TreeMap<>();
-        private final Map<Long, Long> leaders = new TreeMap<>();
+        private final Map<Integer, List<Message>> links = new TreeMap<>();
+        private final Map<Long, Long> leaderByTerm = new TreeMap<>();
         /** What some member has applied, by index. */
         private final Map<Long, Entry> committed = new TreeMap<>();
 
-        private final int[] left;
+        private final int[] remaining;
         private final int depth;
         private long now;
-        private int written;
+        private int lastCommand;
 
         World(Bounds b) {
-            left = new int[] {
-                b.timeouts(),
+            remaining = new int[] {
+                b.electionTimeouts(),
                 b.heartbeats(),
                 b.commands(),
-                b.losses(),
+                b.connectionLosses(),
                 b.crashes(),
-                b.changes(),
-                b.queries(),
-                b.candidacies()
+                b.membershipChanges(),
+                b.leaseQueries(),
+                b.preVotes()
             };
             depth = 0;
         }
 
         World(World other) {
             nodes.addAll(other.nodes);
-            wires.putAll(other.wires);
-            leaders.putAll(other.leaders);
+            links.putAll(other.links);
+            leaderByTerm.putAll(other.leaderByTerm);
             committed.putAll(other.committed);
-            left = other.left.clone();
+            remaining = other.remaining.clone();
             depth = other.depth + 1;
             now = other.now;
-            written = other.written;
+            lastCommand = other.lastCommand;
         }
 
         List<Step> steps() {
@@ -280,92 +287,92 @@
             for (int i = 0; i < nodes.size(); i++) {
                 Raft raft = nodes.get(i).raft;
                 boolean leads = raft.role() == Raft.Role.LEADER;
-                if (!leads && left[0] > 0 && raft.isVoter(nodes.get(i).id)) {
-                    add(steps, What.TIMEOUT, i, 0);
+                if (!leads && remaining[0] > 0 && raft.isVoter(nodes.get(i).id)) {
+                    add(steps, EventKind.TIMEOUT, i, 0);
                 }
-                if (leads && left[1] > 0) {
-                    add(steps, What.HEARTBEAT, i, 0);
+                if (leads && remaining[1] > 0) {
+                    add(steps, EventKind.HEARTBEAT, i, 0);
                 }
-                if (leads && left[2] > 0) {
-                    add(steps, What.COMMAND, i, 0);
+                if (leads && remaining[2] > 0) {
+                    add(steps, EventKind.COMMAND, i, 0);
                 }
-                if (left[6] > 0 && raft.mayHavePromised()) {
-                    add(steps, What.QUERY, i, 0);
+                if (remaining[6] > 0 && raft.isBoundByPriorLease()) {
+                    add(steps, EventKind.LEASE_QUERY, i, 0);
                 }
-                if (!raft.content() && left[7] > 0 && raft.isVoter(nodes.get(i).id)) {
-                    add(steps, What.STAND, i, 0);
+                if (!raft.hasActiveLeader() && remaining[7] > 0 && raft.isVoter(nodes.get(i).id)) {
+                    add(steps, EventKind.PRE_VOTE, i, 0);
                 }
-                if (left[4] > 0) {
-                    steps.add(new Step(What.CRASH, i, 0, End.WHOLE));
+                if (remaining[4] > 0) {
+                    steps.add(new Step(EventKind.CRASH, i, 0, Completion.COMPLETED));
                 }
-                for (int other = 0; left[5] > 0 && raft.mayChangeMembers() && other < nodes.size(); other++) {
-                    add(steps, What.CHANGE, i, other);
+                for (int other = 0; remaining[5] > 0 && raft.mayChangeMembers() && other < nodes.size(); other++) {
+                    add(steps, EventKind.MEMBERSHIP_CHANGE, i, other);
                 }
             }
-            for (int wire : wires.keySet()) {
-                add(steps, What.TAKE, wire, 0);
-                if (left[3] > 0) {
-                    steps.add(new Step(What.LOSE, wire, 0, End.WHOLE));
-                    if (wires.get(wire).size() > 1) {
-                        steps.add(new Step(What.TAKE_ONE, wire, 0, End.WHOLE));
+            for (int wire : links.keySet()) {
+                add(steps, EventKind.DELIVER, wire, 0);
+                if (remaining[3] > 0) {
+                    steps.add(new Step(EventKind.DROP, wire, 0, Completion.COMPLETED));
+                    if (links.get(wire).size() > 1) {
+                        steps.add(new Step(EventKind.DELIVER_FIRST, wire, 0, Completion.COMPLETED));
                     }
                 }
             }
             return steps;
         }
 
-        private void add(List<Step> steps, What what, int node, int other) {
-            for (End end : left[4] > 0 ? End.values() : new End[] {End.WHOLE}) {
+        private void add(List<Step> steps, EventKind what, int node, int other) {
+            for (Completion end : remaining[4] > 0 ? Completion.values() : new Completion[] {Completion.COMPLETED}) {
                 steps.add(new Step(what, node, other, end));
             }
         }
 
-        void take(Step step) {
+        void apply(Step step) {
             int i = step.node() % machines;
-            own(i);
-            switch (step.what()) {
+            copyNode(i);
+            switch (step.kind()) {
                 case TIMEOUT -> {
-                    left[0]--;
+                    remaining[0]--;
                     now += TIMEOUT_MILLIS;
                     nodes.get(i).raft.tick(now);
                 }
                 case HEARTBEAT -> {
-                    left[1]--;
-                    now += TIMING.heartbeatMillis();
+                    remaining[1]--;
+                    now += TIMING.heartbeatIntervalMillis();
                     nodes.get(i).raft.tick(now);
                 }
                 case COMMAND -> {
-                    left[2]--;
-                    nodes.get(i).raft.propose(new byte[] {(byte) ++written});
+                    remaining[2]--;
+                    nodes.get(i).raft.propose(new byte[] {(byte) ++lastCommand});
                 }
-                case CHANGE -> change(i, step.other());
-                case QUERY -> {
-                    left[6]--;
-                    nodes.get(i).raft.askLastLeader();
+                case MEMBERSHIP_CHANGE -> changeMembership(i, step.other());
+                case LEASE_QUERY -> {
+                    remaining[6]--;
+                    nodes.get(i).raft.queryLastLeader();
                 }
-                case STAND -> {
-                    left[7]--;
-                    nodes.get(i).raft.ask();
+                case PRE_VOTE -> {
+                    remaining[7]--;
+                    nodes.get(i).raft.startPreVote();
                 }
                 case CRASH -> crash(i);
-                default -> message(step);
+                default -> deliver(step);
             }
-            carryOut(i, step.end());
+            complete(i, step.completion());
         }
 
-        private void own(int i) {
+        private void copyNode(int i) {
             Node node = nodes.get(i);
             nodes.set(i, new Node(node.id, node.disk, copy(node.raft, node.id, node.disk)));
         }
 
         /** Takes or loses what is on a wire. */
-        private void message(Step step) {
-            List<Message> wire = wires.remove(step.node());
+        private void deliver(Step step) {
+            List<Message> wire = links.remove(step.node());
             int to = step.node() % machines;
-            if (step.what() != What.TAKE) {
-                left[3]--;
+            if (step.kind() != EventKind.DELIVER) {
+                remaining[3]--;
             }
-            int taken = step.what() == What.LOSE ? 0 : step.what() == What.TAKE_ONE ? 1 : wire.size();
+            int taken = step.kind() == EventKind.DROP ? 0 : step.kind() == EventKind.DELIVER_FIRST ? 1 : wire.size();
             wire.subList(0, taken)
                     .forEach(message -> nodes.get(to).raft.receive(now, step.node() / machines + 1, message));
         }
@@ -374,8 +381,8 @@
          * The machine that has no vote is let in; a voter changes places with one that has none, or goes where there is
          * none.
          */
-        private void change(int leader, int other) {
-            left[5]--;
+        private void changeMembership(int leader, int other) {
+            remaining[5]--;
             Raft raft = nodes.get(leader).raft;
             List<Member> wanted = new ArrayList<>(raft.voters());
             wanted.remove(member(other));
@@ -394,40 +401,40 @@
         }
 
         private void crash(int i) {
-            left[4]--;
+            remaining[4]--;
             Node node = nodes.get(i);
-            nodes.set(i, new Node(node.id, node.disk, maker.make(node.id, node.disk, now)));
-            wires.keySet().removeIf(wire -> wire / machines == i || wire % machines == i);
+            nodes.set(i, new Node(node.id, node.disk, factory.create(node.id, node.disk, now)));
+            links.keySet().removeIf(wire -> wire / machines == i || wire % machines == i);
         }
 
         /** Writes, syncs, sends and applies what came of an event, as far as its end lets it. */
-        private void carryOut(int i, End end) {
+        private void complete(int i, Completion end) {
             Output output = nodes.get(i).raft.drain();
             while (!output.isEmpty()) {
                 Node node = nodes.get(i);
-                if (end != End.UNWRITTEN && syncs) {
-                    nodes.set(i, new Node(node.id, Cluster.written(node.disk, output), node.raft));
+                if (end != Completion.CRASH_BEFORE_SYNC && syncs) {
+                    nodes.set(i, new Node(node.id, Cluster.persist(node.disk, output), node.raft));
                 }
-                if (end != End.WHOLE) {
+                if (end != Completion.COMPLETED) {
                     break;
                 }
                 node.raft.persisted(output);
                 for (Envelope envelope : output.messages()) {
-                    wires.merge(i * machines + (int) envelope.to() - 1, List.of(envelope.message()), Model::joined);
+                    links.merge(i * machines + (int) envelope.to() - 1, List.of(envelope.message()), Model::concat);
                 }
-                output.committed().forEach(this::applied);
+                output.committed().forEach(this::recordApplied);
                 output = node.raft.drain();
             }
-            if (end != End.WHOLE) {
+            if (end != Completion.COMPLETED) {
                 crash(i);
-                carryOut(i, End.WHOLE);
+                complete(i, Completion.COMPLETED);
             }
         }
 
-        private void applied(Entry entry) {
+        private void recordApplied(Entry entry) {
             Entry before = committed.putIfAbsent(entry.index(), entry);
             if (before != null && !before.equals(entry)) {
-                throw new Cluster.Broken("two entries were applied at index " + entry.index());
+                throw new Cluster.InvariantViolation("two entries were applied at index " + entry.index());
             }
         }
 
@@ -435,9 +442,9 @@
         void check() {
             for (Node node : nodes) {
                 if (node.raft.role() == Raft.Role.LEADER) {
-                    Long before = leaders.putIfAbsent(node.raft.term(), node.id);
+                    Long before = leaderByTerm.putIfAbsent(node.raft.term(), node.id);
                     if (before != null && before != node.id) {
-                        throw new Cluster.Broken("two leaders in term " + node.raft.term());
+                        throw new Cluster.InvariantViolation("two leaders in term " + node.raft.term());
                     }
                     checkComplete(node);
                     checkLease(node);
@@ -454,8 +461,9 @@
         private void checkLease(Node leader) {
             if (leases
                     && leader.raft.holdsLease(now)
-                    && leaders.keySet().stream().anyMatch(term -> term > leader.raft.term())) {
-                throw new Cluster.Broken("a lease of term " + leader.raft.term() + " while one leads a later term");
+                    && leaderByTerm.keySet().stream().anyMatch(term -> term > leader.raft.term())) {
+                throw new Cluster.InvariantViolation(
+                        "a lease of term " + leader.raft.term() + " while one leads a later term");
             }
         }
 
@@ -464,9 +472,9 @@
             committed.forEach((index, entry) -> {
                 if (leader.raft.term() >= entry.term()
                         && isNewest(leader)
-                        && index > log.base().index()
+                        && index > log.baseSnapshot().index()
                         && (index > log.lastIndex() || !log.entry(index).equals(entry))) {
-                    throw new Cluster.Broken(
+                    throw new Cluster.InvariantViolation(
                             "the leader of term " + leader.raft.term() + " lacks the committed entry " + index);
                 }
             });
@@ -480,10 +488,13 @@
         private void checkMatch(Log a, Log b) {
             long last = Math.min(a.lastIndex(), b.lastIndex());
             boolean alike = false;
-            for (long index = last; index > Math.max(a.base().index(), b.base().index()); index--) {
+            for (long index = last;
+                    index > Math.max(a.baseSnapshot().index(), b.baseSnapshot().index());
+                    index--) {
                 boolean same = a.entry(index).equals(b.entry(index));
                 if ((a.term(index) == b.term(index) && !same) || (alike && !same)) {
-                    throw new Cluster.Broken("logs differ at index " + index + " below or at a term that they share");
+                    throw new Cluster.InvariantViolation(
+                            "logs differ at index " + index + " below or at a term that they share");
                 }
                 alike |= same;
             }
@@ -493,15 +504,15 @@
         Key key() {
             StringBuilder text = new StringBuilder(2_048);
             nodes.forEach(node -> text.append(node.describe(now, leases)));
-            text.append(wires).append(leaders).append(committed);
-            for (int one : left) {
+            text.append(links).append(leaderByTerm).append(committed);
+            for (int one : remaining) {
                 text.append(one).append(',');
             }
-            return digest(text.append(written).toString());
+            return digest(text.append(lastCommand).toString());
         }
     }
 
-    private static List<Message> joined(List<Message> first, List<Message> last) {
+    private static List<Message> concat(List<Message> first, List<Message> last) {
         List<Message> both = new ArrayList<>(first);
         both.addAll(last);
         return both;
@@ -515,11 +526,11 @@
             Object value = get(field, node.raft);
             switch (field.getName()) {
                 case "now", "startedAt" -> {}
-                case "promiseOpen" -> text.append(leases ? node.raft.mayHavePromised() : value);
-                case "rounds" -> text.append(leases ? ages((Map<?, ?>) value, now) : "");
-                case "roundAt" -> text.append(now - (long) value >= TIMING.heartbeatMillis() / 2);
-                case "leavesAt" -> text.append((long) value != 0);
-                case "heardLeaderAt" -> text.append(now - (long) value < TIMING.electionMillis());
+                case "priorLeasePending" -> text.append(leases ? node.raft.isBoundByPriorLease() : value);
+                case "roundSentAt" -> text.append(leases ? ages((Map<?, ?>) value, now) : "");
+                case "roundStartedAt" -> text.append(now - (long) value >= TIMING.heartbeatIntervalMillis() / 2);
+                case "transferDeadline" -> text.append((long) value != 0);
+                case "leaderContactAt" -> text.append(now - (long) value < TIMING.electionTimeoutMillis());
                 case "progress" -> ((Map<?, ?>) value).values().forEach(p -> describe(text, (Progress) p, now, leases));
                 case "log" -> describe(text, (Log) value);
                 default -> text.append(value);
@@ -546,24 +557,25 @@
     }
 
     private static void describe(StringBuilder text, Progress p, long now, boolean leases) {
-        long silent = now - p.heardAt;
+        long silent = now - p.lastReceivedMillis;
         text.append(p.member.id())
                 .append(' ')
-                .append(p.next)
+                .append(p.nextIndex)
                 .append(' ')
-                .append(p.match)
+                .append(p.matchIndex)
                 .append(' ')
-                .append(p.round)
+                .append(p.ackedRound)
                 .append(' ')
-                .append(silent < TIMING.electionMillis())
-                .append(silent < 2 * TIMING.electionMillis())
-                .append(now - p.rewoundAt >= TIMING.heartbeatMillis() / 4)
-                .append(leases ? Math.min(now - p.askedAt, TIMING.leaseMillis()) : "")
+                .append(silent < TIMING.electionTimeoutMillis())
+                .append(silent < 2 * TIMING.electionTimeoutMillis())
+                .append(now - p.lastRewindAt >= TIMING.heartbeatIntervalMillis() / 4)
+                .append(leases ? Math.min(now - p.ackedRoundSentAt, TIMING.leaseMillis()) : "")
                 .append(',');
     }
 
     private static void describe(StringBuilder text, Log log) {
-        text.append(log.base().index()).append(log.from(log.base().index() + 1, Integer.MAX_VALUE));
+        text.append(log.baseSnapshot().index())
+                .append(log.entriesFrom(log.baseSnapshot().index() + 1, Integer.MAX_VALUE));
     }
 
     // ---- copies of the state machine, field by field
@@ -571,7 +583,7 @@
     private static List<Field> fields() {
         List<Field> fields = new ArrayList<>();
         for (Field field : Raft.class.getDeclaredFields()) {
-            if (!Modifier.isStatic(field.getModifiers()) && !LEFT_OUT.contains(field.getName())) {
+            if (!Modifier.isStatic(field.getModifiers()) && !IGNORED_FIELDS.contains(field.getName())) {
                 field.setAccessible(true);
                 fields.add(field);
             }
@@ -588,7 +600,7 @@
     }
 
     private Raft copy(Raft raft, long id, PersistentState disk) {
-        Raft copy = maker.make(id, disk, 0);
+        Raft copy = factory.create(id, disk, 0);
         try {
             for (Field field : FIELDS) {
                 field.set(copy, copyOf(field.get(raft)));
@@ -601,7 +613,8 @@
 
     private static Object copyOf(Object value) {
         if (value instanceof Log log) {
-            return new Log(log.base(), log.from(log.base().index() + 1, Integer.MAX_VALUE));
+            return new Log(
+                    log.baseSnapshot(), log.entriesFrom(log.baseSnapshot().index() + 1, Integer.MAX_VALUE));
         } else if (value instanceof LinkedHashMap<?, ?> map) {
             Map<Object, Object> copy = new LinkedHashMap<>();
             map.forEach((key, one) -> copy.put(key, one instanceof Progress p ? copyOf(p) : one));
@@ -615,12 +628,12 @@
     }
 
     private static Progress copyOf(Progress p) {
-        Progress copy = new Progress(p.member, p.next, p.heardAt);
-        copy.match = p.match;
-        copy.target = p.target;
-        copy.round = p.round;
-        copy.rewoundAt = p.rewoundAt;
-        copy.askedAt = p.askedAt;
+        Progress copy = new Progress(p.member, p.nextIndex, p.lastReceivedMillis);
+        copy.matchIndex = p.matchIndex;
+        copy.catchUpIndex = p.catchUpIndex;
+        copy.ackedRound = p.ackedRound;
+        copy.lastRewindAt = p.lastRewindAt;
+        copy.ackedRoundSentAt = p.ackedRoundSentAt;
         return copy;
     }
 
--- a/src/test/java/tinworks/raft/RaftTest.java
+++ b/src/test/java/tinworks/raft/RaftTest.java
@@ -21,7 +21,7 @@
     void nothingAcknowledgedIsLostWhateverBreaks() {
         int acknowledged = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            acknowledged += rough(seed, seed % 3 == 0 ? 5 : 3, Flaw.NONE);
+            acknowledged += runWithFaults(seed, seed % 3 == 0 ? 5 : 3, Flaw.NONE);
         }
         assertTrue(acknowledged > 10 * SEEDS, "too little was acknowledged to mean anything: " + acknowledged);
     }
@@ -31,8 +31,8 @@
         int caught = 0;
         for (long seed = 1; seed <= MUTANT_SEEDS && caught == 0; seed++) {
             try {
-                rough(seed, 3 + 2 * (int) (seed % 2), Flaw.SYNC_SKIPPED);
-            } catch (Cluster.Broken | IllegalStateException e) {
+                runWithFaults(seed, 3 + 2 * (int) (seed % 2), Flaw.SYNC_SKIPPED);
+            } catch (Cluster.InvariantViolation | IllegalStateException e) {
                 caught++;
             }
         }
@@ -50,7 +50,7 @@
     }
 
     /** The commit index of a new leader of term 4 once a majority has the entry of term 2, but none of its own. */
-    private static long commitOfAnOlderTerm(Raft raft) {
+    private static long commitIndexAfterMajorityHasOlderTerm(Raft raft) {
         raft.tick(10_000);
         raft.receive(10_000, 2, new Message.VoteReply(4, true, true));
         raft.receive(10_000, 2, new Message.VoteReply(4, false, true));
@@ -63,10 +63,10 @@
     @Test
     void anEntryOfAnEarlierTermIsNotCommittedByCountingItsCopies() {
         HardState hard = new HardState(3, 0);
-        assertEquals(0, commitOfAnOlderTerm(new Raft(1, stored(hard), Cluster.TIMING, 1, 0)));
+        assertEquals(0, commitIndexAfterMajorityHasOlderTerm(new Raft(1, stored(hard), Cluster.TIMING, 1, 0)));
         assertEquals(
                 2,
-                commitOfAnOlderTerm(new Raft(1, stored(hard), Cluster.TIMING, 1, 0) {
+                commitIndexAfterMajorityHasOlderTerm(new Raft(1, stored(hard), Cluster.TIMING, 1, 0) {
                     @Override
                     boolean mayCommit(long index) {
                         return true;
@@ -75,24 +75,24 @@
                 "without its guard the same events commit it");
     }
 
-    private static boolean votes(HardState hard) {
+    private static boolean grantsVote(HardState hard) {
         Raft raft = new Raft(1, stored(hard), Cluster.TIMING, 1, 0);
         // Before that it denies any vote, for what it may have promised before its start.
-        raft.receive(Cluster.TIMING.electionMillis(), 3, new Message.VoteRequest(5, false, 9, 4, false));
+        raft.receive(Cluster.TIMING.electionTimeoutMillis(), 3, new Message.VoteRequest(5, false, 9, 4, false));
         return ((Message.VoteReply) raft.drain().messages().get(0).message()).granted();
     }
 
     @Test
     void aVoteThatIsOnTheDiskIsNotGivenTwice() {
-        assertFalse(votes(new HardState(5, 2)));
-        assertTrue(votes(new HardState(5, 0)), "one whose vote was forgotten would vote again");
-        assertTrue(votes(new HardState(5, 3)), "the same candidate may ask again");
+        assertFalse(grantsVote(new HardState(5, 2)));
+        assertTrue(grantsVote(new HardState(5, 0)), "one whose vote was forgotten would vote again");
+        assertTrue(grantsVote(new HardState(5, 3)), "the same candidate may ask again");
     }
 
     /** Some seconds of crashes, cuts and losses, then calm; returns how many commands were acknowledged. */
-    private static int rough(long seed, int voters, Flaw flaw) {
+    private static int runWithFaults(long seed, int voters, Flaw flaw) {
         Cluster cluster = new Cluster(seed, voters, flaw);
-        cluster.loss = seed % 4 == 0 ? 0.2 : 0.02;
+        cluster.lossProbability = seed % 4 == 0 ? 0.2 : 0.02;
         for (int round = 0; round < 30; round++) {
             cluster.run(cluster.now + 20 + cluster.random.nextInt(150));
             for (int i = cluster.random.nextInt(4); i > 0; i--) {
@@ -107,19 +107,21 @@
                 }
                 case 2, 3 -> cluster.nodes.stream().filter(n -> n.raft == null).forEach(Node::start);
                 case 4 ->
-                    cluster.nodes.stream().filter(n -> n != victim).forEach(n -> cluster.cut(n.number, victim.number));
-                case 5 -> cluster.join();
+                    cluster.nodes.stream()
+                            .filter(n -> n != victim)
+                            .forEach(n -> cluster.disconnect(n.number, victim.number));
+                case 5 -> cluster.reconnectAll();
                 default -> cluster.propose();
             }
         }
         settle(cluster);
-        cluster.nodes.forEach(cluster::checkKept);
+        cluster.nodes.forEach(cluster::checkRetainsAcknowledged);
         return cluster.acknowledged.size();
     }
 
     private static void settle(Cluster cluster) {
-        cluster.join();
-        cluster.loss = 0;
+        cluster.reconnectAll();
+        cluster.lossProbability = 0;
         cluster.nodes.stream().filter(n -> n.raft == null).forEach(Node::start);
         cluster.run(cluster.now + 3_000);
         cluster.propose();
@@ -136,11 +138,11 @@
                 cluster.propose();
                 cluster.run(cluster.now + cluster.random.nextInt(60));
                 Node wiped = cluster.nodes.get(cluster.random.nextInt(3));
-                wiped.wipe();
+                wiped.restartWithoutDisk();
                 replace(cluster, wiped);
             }
             settle(cluster);
-            cluster.nodes.forEach(cluster::checkKept);
+            cluster.nodes.forEach(cluster::checkRetainsAcknowledged);
         }
     }
 
@@ -177,11 +179,11 @@
         cluster.run(1_500);
         Node old = cluster.leader();
         assertNotNull(old);
-        cluster.nodes.stream().filter(n -> n != old).forEach(n -> cluster.cut(n.number, old.number));
+        cluster.nodes.stream().filter(n -> n != old).forEach(n -> cluster.disconnect(n.number, old.number));
         assertTrue(old.raft.read() > 0);
         assertEquals(List.of(), old.raft.drain().reads(), "no read without a majority's word");
         cluster.run(cluster.now + 1_000);
-        assertEquals(Raft.Role.FOLLOWER, notLeading(old.raft.role()));
+        assertEquals(Raft.Role.FOLLOWER, withoutPreVote(old.raft.role()));
         assertTrue(cluster.leader() != old);
     }
 
@@ -201,9 +203,9 @@
                     withOld--; // one more on the losing side, which still is a minority
                     cluster.nodes.stream()
                             .filter(n -> n != old && n != node)
-                            .forEach(n -> cluster.cut(n.number, node.number));
+                            .forEach(n -> cluster.disconnect(n.number, node.number));
                 } else if (node != old) {
-                    cluster.cut(node.number, old.number);
+                    cluster.disconnect(node.number, old.number);
                 }
             }
             old.propose(1);
@@ -217,7 +219,7 @@
             settle(cluster);
             int taken = 0;
             for (Node node : cluster.nodes) {
-                cluster.checkKept(node);
+                cluster.checkRetainsAcknowledged(node);
                 ConfigurationHistory history = new ConfigurationHistory();
                 for (int command : node.state) {
                     boolean isTaken =
@@ -234,7 +236,7 @@
         assertTrue(confirmed > 100, "the majority's side is seldom heard: " + confirmed);
     }
 
-    private static Raft.Role notLeading(Raft.Role role) {
+    private static Raft.Role withoutPreVote(Raft.Role role) {
         return role == Raft.Role.PRE_CANDIDATE ? Raft.Role.FOLLOWER : role;
     }
 
@@ -261,7 +263,7 @@
         cluster.run(1_500);
         Node leader = cluster.leader();
         long term = leader.raft.term();
-        cutOffAndBack(cluster);
+        disconnectAndReconnectFollower(cluster);
         assertEquals(term, leader.raft.term());
         assertEquals(Raft.Role.LEADER, leader.raft.role());
     }
@@ -275,18 +277,18 @@
                 Cluster.TIMING,
                 (id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
-                    void ask() {
-                        stand(false);
+                    void startPreVote() {
+                        startElection(false);
                     }
                 });
         cluster.run(1_500);
         long term = cluster.leader().raft.term();
-        cutOffAndBack(cluster);
+        disconnectAndReconnectFollower(cluster);
         assertTrue(cluster.leader().raft.term() > term, "it has raised the term of all");
     }
 
     /** Whether two members elect a leader once the third is gone. */
-    private static boolean elects(Cluster.Maker maker) {
+    private static boolean electsAfterLeaderCrash(Cluster.RaftFactory maker) {
         Cluster cluster = new Cluster(12, 3, Flaw.NONE, Cluster.TIMING, maker);
         cluster.run(1_500);
         (cluster.leader() == null ? cluster.nodes.get(0) : cluster.leader()).crash();
@@ -296,31 +298,31 @@
 
     @Test
     void oneThatTakesAQuestionForAWordOfTheLeaderIsCaught() {
-        assertTrue(elects(Raft::new));
-        assertFalse(elects((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+        assertTrue(electsAfterLeaderCrash(Raft::new));
+        assertFalse(electsAfterLeaderCrash((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
             @Override
             public void receive(long nowMillis, long from, Message message) {
                 if (message instanceof Message.VoteRequest) {
-                    heardLeader();
+                    recordLeaderContact();
                 }
                 super.receive(nowMillis, from, message);
             }
         }));
     }
 
-    private static void cutOffAndBack(Cluster cluster) {
+    private static void disconnectAndReconnectFollower(Cluster cluster) {
         Node leader = cluster.leader();
         Node away = cluster.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
-        cluster.nodes.stream().filter(n -> n != away).forEach(n -> cluster.cut(n.number, away.number));
+        cluster.nodes.stream().filter(n -> n != away).forEach(n -> cluster.disconnect(n.number, away.number));
         cluster.run(cluster.now + 5_000);
-        cluster.join();
+        cluster.reconnectAll();
         cluster.run(cluster.now + 1_000);
     }
 
     @Test
     void anEmptyMachineNeitherVotesForItselfNorStands() {
         Cluster cluster = new Cluster(10, 3, Flaw.NONE);
-        Node empty = cluster.addEmpty();
+        Node empty = cluster.addEmptyNode();
         cluster.run(5_000);
         assertEquals(0, empty.raft.term());
         assertFalse(empty.raft.isVoter(empty.id));
