--- a/src/test/java/tinworks/raft/ReplicationTest.java
+++ b/src/test/java/tinworks/raft/ReplicationTest.java
@@ -34,19 +34,19 @@
      * A leader and two followers on connections that keep their order, where each message can be looked at, lost or
      * spoilt.
      */
-    private static final class Trio {
+    private static final class ThreeNodeCluster {
         private final Mutant mutant;
         private final Map<Long, Raft> rafts = new HashMap<>();
         private final Map<Long, byte[]> states = new HashMap<>();
         private final Map<Long, PersistentState> disks = new HashMap<>();
-        private final ArrayDeque<Output.Envelope> wire = new ArrayDeque<>();
+        private final ArrayDeque<Output.Envelope> messages = new ArrayDeque<>();
         private final ArrayDeque<Long> senders = new ArrayDeque<>();
-        private final Map<Long, Long> sentTo = new HashMap<>();
-        private final List<Message.InstallSnapshot> pieces = new ArrayList<>();
-        private long silent;
+        private final Map<Long, Long> bytesSentTo = new HashMap<>();
+        private final List<Message.InstallSnapshot> chunks = new ArrayList<>();
+        private long isolated;
         private long now;
 
-        Trio(Mutant mutant) {
+        ThreeNodeCluster(Mutant mutant) {
             this.mutant = mutant;
             for (Member member : VOTERS) {
                 disks.put(
@@ -65,18 +65,18 @@
             states.put(id, new byte[0]);
             rafts.put(id, new Raft(id, disks.get(id), TIMING, id, now) {
                 @Override
-                boolean mayFly(long unanswered) {
-                    return mutant == Mutant.NO_FLOW_CONTROL || super.mayFly(unanswered);
+                boolean hasInFlightCapacity(long unanswered) {
+                    return mutant == Mutant.NO_FLOW_CONTROL || super.hasInFlightCapacity(unanswered);
                 }
 
                 @Override
-                int tailBytes() {
-                    return mutant == Mutant.NO_TAIL ? 0 : super.tailBytes();
+                int retainedTailBytes() {
+                    return mutant == Mutant.NO_TAIL ? 0 : super.retainedTailBytes();
                 }
 
                 @Override
-                boolean isSound(SnapshotAssembler whole) {
-                    return mutant == Mutant.NO_CHECKSUM || super.isSound(whole);
+                boolean hasValidChecksum(SnapshotAssembler whole) {
+                    return mutant == Mutant.NO_CHECKSUM || super.hasValidChecksum(whole);
                 }
             });
             pump(id);
@@ -97,12 +97,12 @@
         void pump(long id) {
             Raft raft = rafts.get(id);
             for (Output output = raft.drain(); !output.isEmpty(); output = raft.drain()) {
-                disks.put(id, Cluster.written(disks.get(id), output));
+                disks.put(id, Cluster.persist(disks.get(id), output));
                 raft.persisted(output);
                 for (Output.Envelope envelope : output.messages()) {
-                    wire.add(envelope);
+                    messages.add(envelope);
                     senders.add(id);
-                    sentTo.merge(envelope.to(), size(envelope.message()), Long::sum);
+                    bytesSentTo.merge(envelope.to(), size(envelope.message()), Long::sum);
                 }
                 if (output.restored() != null) {
                     states.put(id, output.restored().state());
@@ -121,14 +121,14 @@
 
         /** Takes the next message; what is for or from the silent one is lost. */
         boolean step() {
-            if (wire.isEmpty()) {
+            if (messages.isEmpty()) {
                 return false;
             }
-            Output.Envelope envelope = wire.poll();
+            Output.Envelope envelope = messages.poll();
             long from = senders.poll();
-            if (envelope.to() != silent && from != silent) {
+            if (envelope.to() != isolated && from != isolated) {
                 if (envelope.message() instanceof Message.InstallSnapshot i && i.chunk().length > 0) {
-                    pieces.add(i);
+                    chunks.add(i);
                 }
                 rafts.get(envelope.to()).receive(now, from, envelope.message());
                 pump(envelope.to());
@@ -143,7 +143,7 @@
         }
 
         void heartbeat() {
-            now += TIMING.heartbeatMillis();
+            now += TIMING.heartbeatIntervalMillis();
             leader().tick(now);
             pump(1);
         }
@@ -154,16 +154,16 @@
             pump(1);
         }
 
-        void assertAlike(long id) {
+        void assertSameStateAsLeader(long id) {
             assertArrayEquals(states.get(1L), states.get(id));
             assertEquals(leader().commitIndex(), rafts.get(id).commitIndex());
         }
     }
 
-    private static long piledUp(Mutant mutant) {
-        Trio trio = new Trio(mutant);
-        trio.silent = 3;
-        trio.sentTo.clear();
+    private static long bytesSentToIsolatedFollower(Mutant mutant) {
+        ThreeNodeCluster trio = new ThreeNodeCluster(mutant);
+        trio.isolated = 3;
+        trio.bytesSentTo.clear();
         for (int i = 0; i < 100; i++) {
             trio.propose(BODY);
             trio.run();
@@ -171,41 +171,42 @@
             trio.run();
         }
         assertEquals(trio.leader().lastIndex(), trio.leader().commitIndex());
-        long ahead = trio.sentTo.get(3L);
-        trio.silent = 0;
+        long ahead = trio.bytesSentTo.get(3L);
+        trio.isolated = 0;
         trio.heartbeat();
         trio.run();
         trio.heartbeat();
         trio.run();
-        trio.assertAlike(3);
+        trio.assertSameStateAsLeader(3);
         return ahead;
     }
 
     @Test
     void aSilentFollowerIsSentNoMoreThanTheBoundAheadAndAllOnceItAnswers() {
-        assertTrue(piledUp(Mutant.NONE) <= Raft.MOST_IN_FLIGHT + BODY);
+        assertTrue(bytesSentToIsolatedFollower(Mutant.NONE) <= Raft.MAX_IN_FLIGHT_BYTES + BODY);
         assertTrue(
-                piledUp(Mutant.NO_FLOW_CONTROL) > 2 * Raft.MOST_IN_FLIGHT, "without the guard it is sent everything");
+                bytesSentToIsolatedFollower(Mutant.NO_FLOW_CONTROL) > 2 * Raft.MAX_IN_FLIGHT_BYTES,
+                "without the guard it is sent everything");
     }
 
     /** How many snapshots a follower is sent that has missed two entries when the log is compacted. */
     private static int snapshotsForTwoEntries(Mutant mutant) {
-        Trio trio = new Trio(mutant);
+        ThreeNodeCluster trio = new ThreeNodeCluster(mutant);
         trio.propose(BODY);
         trio.run();
-        trio.silent = 3;
+        trio.isolated = 3;
         trio.propose(BODY);
         trio.propose(BODY);
         trio.run();
         trio.compact(trio.states.get(1L));
         assertEquals(0, trio.leader().logLength());
-        trio.silent = 0;
+        trio.isolated = 0;
         for (int i = 0; i < 4; i++) {
             trio.heartbeat();
             trio.run();
         }
-        trio.assertAlike(3);
-        return trio.pieces.size();
+        trio.assertSameStateAsLeader(3);
+        return trio.chunks.size();
     }
 
     @Test
@@ -215,9 +216,9 @@
     }
 
     /** A log of which the last snapshot is as large as this, and a follower that lacks far more than the tail. */
-    private static Trio farBehind(Mutant mutant, int bytes) {
-        Trio trio = new Trio(mutant);
-        trio.silent = 3;
+    private static ThreeNodeCluster withFollowerFarBehind(Mutant mutant, int bytes) {
+        ThreeNodeCluster trio = new ThreeNodeCluster(mutant);
+        trio.isolated = 3;
         for (int i = 0; i < 40; i++) {
             trio.propose(BODY);
             trio.run();
@@ -226,21 +227,21 @@
         trio.run();
         trio.compact(trio.states.get(1L));
         trio.run();
-        trio.silent = 0;
+        trio.isolated = 0;
         return trio;
     }
 
     @Test
     void aSnapshotComesInPiecesWithHeartbeatsBetweenAndIsTakenWhole() {
-        Trio trio = farBehind(Mutant.NONE, 10 * Transfer.PIECE_BYTES + 1);
+        ThreeNodeCluster trio = withFollowerFarBehind(Mutant.NONE, 10 * SnapshotTransfer.CHUNK_BYTES + 1);
         trio.heartbeat();
         int rounds = 0;
-        while (trio.wire.size() > 0) {
+        while (trio.messages.size() > 0) {
             trio.step();
             if (++rounds % 3 == 0 && rounds < 60) {
                 trio.heartbeat();
             }
-            long underWay = trio.wire.stream()
+            long underWay = trio.messages.stream()
                     .filter(e -> e.message() instanceof Message.InstallSnapshot i && i.chunk().length > 0)
                     .count();
             assertTrue(underWay <= 1, underWay + " pieces under way");
@@ -248,66 +249,66 @@
             assertTrue(
                     state.length == 0 || state.length == trio.states.get(1L).length, "part of a snapshot was applied");
         }
-        assertEquals(11, trio.pieces.size());
-        assertTrue(trio.pieces.stream().allMatch(i -> i.chunk().length <= Transfer.PIECE_BYTES));
-        trio.assertAlike(3);
+        assertEquals(11, trio.chunks.size());
+        assertTrue(trio.chunks.stream().allMatch(i -> i.chunk().length <= SnapshotTransfer.CHUNK_BYTES));
+        trio.assertSameStateAsLeader(3);
     }
 
     @Test
     void whatHasComeIsNotSentAgainAfterABreakAndALostPieceIs() {
-        Trio trio = farBehind(Mutant.NONE, 10 * Transfer.PIECE_BYTES);
+        ThreeNodeCluster trio = withFollowerFarBehind(Mutant.NONE, 10 * SnapshotTransfer.CHUNK_BYTES);
         trio.heartbeat();
-        while (trio.pieces.size() < 5) {
+        while (trio.chunks.size() < 5) {
             trio.step();
         }
         // The connection breaks for a while: all that is on it is lost, whether a piece or its answer.
-        trio.silent = 3;
+        trio.isolated = 3;
         trio.heartbeat();
         trio.run();
         trio.heartbeat();
         trio.run();
-        trio.silent = 0;
+        trio.isolated = 0;
         for (int i = 0; i < 3; i++) {
             trio.heartbeat();
             trio.run();
         }
-        trio.assertAlike(3);
-        assertTrue(trio.pieces.size() <= 11, trio.pieces.size() + " pieces, of which one at most came twice");
+        trio.assertSameStateAsLeader(3);
+        assertTrue(trio.chunks.size() <= 11, trio.chunks.size() + " pieces, of which one at most came twice");
     }
 
     @Test
     void aFollowerThatStartsAnewInTheMiddleBeginsAnewAndANewerSnapshotDoesNotDisturbTheOneUnderWay() {
-        Trio trio = farBehind(Mutant.NONE, 10 * Transfer.PIECE_BYTES);
+        ThreeNodeCluster trio = withFollowerFarBehind(Mutant.NONE, 10 * SnapshotTransfer.CHUNK_BYTES);
         trio.heartbeat();
-        while (trio.pieces.size() < 5) {
+        while (trio.chunks.size() < 5) {
             trio.step();
         }
         trio.propose(100);
         trio.compact(trio.states.get(1L));
-        while (trio.pieces.size() < 7) {
+        while (trio.chunks.size() < 7) {
             trio.step();
         }
         assertEquals(
                 1,
-                trio.pieces.stream().map(i -> i.metadata().index()).distinct().count());
+                trio.chunks.stream().map(i -> i.metadata().index()).distinct().count());
         trio.start(3);
         for (int i = 0; i < 4; i++) {
             trio.heartbeat();
             trio.run();
         }
-        trio.assertAlike(3);
-        assertTrue(trio.pieces.size() <= 18, trio.pieces.size() + " pieces");
+        trio.assertSameStateAsLeader(3);
+        assertTrue(trio.chunks.size() <= 18, trio.chunks.size() + " pieces");
     }
 
     /** Whether a follower ends with the leader's state although one piece was spoilt on its way. */
-    private static boolean survivesASpoiltPiece(Mutant mutant) {
-        Trio trio = farBehind(mutant, 4 * Transfer.PIECE_BYTES);
+    private static boolean recoversFromCorruptChunk(Mutant mutant) {
+        ThreeNodeCluster trio = withFollowerFarBehind(mutant, 4 * SnapshotTransfer.CHUNK_BYTES);
         trio.heartbeat();
-        while (trio.pieces.size() < 2) {
+        while (trio.chunks.size() < 2) {
             trio.step();
         }
-        trio.pieces.get(1).chunk()[7]++;
-        Message.InstallSnapshot spoilt = trio.pieces.get(1);
+        trio.chunks.get(1).chunk()[7]++;
+        Message.InstallSnapshot spoilt = trio.chunks.get(1);
         trio.rafts
                 .get(3L)
                 .receive(
@@ -316,7 +317,7 @@
                         new Message.InstallSnapshot(
                                 spoilt.term(),
                                 spoilt.metadata(),
-                                2 * Transfer.PIECE_BYTES,
+                                2 * SnapshotTransfer.CHUNK_BYTES,
                                 spoilt.chunk(),
                                 spoilt.sequence(),
                                 spoilt.round()));
@@ -330,45 +331,46 @@
 
     @Test
     void aSnapshotThatDoesNotMatchItsChecksumIsGatheredAnew() {
-        assertTrue(survivesASpoiltPiece(Mutant.NONE));
-        assertFalse(survivesASpoiltPiece(Mutant.NO_CHECKSUM), "without the check what was mixed up is applied");
+        assertTrue(recoversFromCorruptChunk(Mutant.NONE));
+        assertFalse(recoversFromCorruptChunk(Mutant.NO_CHECKSUM), "without the check what was mixed up is applied");
     }
 
     @Test
     void aLengthThatLiesCostsNoMemoryAndALeadersOlderSnapshotIsPassedOver() {
-        Trio trio = new Trio(Mutant.NONE);
+        ThreeNodeCluster trio = new ThreeNodeCluster(Mutant.NONE);
         Raft follower = trio.rafts.get(3L);
         Snapshot newer = new Snapshot(50, 1, VOTERS, new byte[100]);
         Snapshot older = new Snapshot(40, 1, VOTERS, new byte[100]);
         Snapshot.Metadata lies = new Snapshot.Metadata(60, 1, VOTERS, Integer.MAX_VALUE, 0);
         follower.receive(trio.now, 1, new Message.InstallSnapshot(1, lies, 0, new byte[10], 1, 0));
         assertTrue(follower.drain().messages().isEmpty());
-        follower.receive(trio.now, 1, new Message.InstallSnapshot(1, newer.label(), 0, new byte[60], 2, 0));
-        follower.receive(trio.now, 1, new Message.InstallSnapshot(1, older.label(), 0, new byte[60], 3, 0));
-        follower.receive(trio.now, 1, new Message.InstallSnapshot(1, newer.label(), 60, new byte[40], 4, 0));
+        follower.receive(trio.now, 1, new Message.InstallSnapshot(1, newer.metadata(), 0, new byte[60], 2, 0));
+        follower.receive(trio.now, 1, new Message.InstallSnapshot(1, older.metadata(), 0, new byte[60], 3, 0));
+        follower.receive(trio.now, 1, new Message.InstallSnapshot(1, newer.metadata(), 60, new byte[40], 4, 0));
         Output output = follower.drain();
-        assertEquals(newer.label(), output.restored().label());
+        assertEquals(newer.metadata(), output.restored().metadata());
         assertEquals(
                 new Message.InstallSnapshotReply(1, 50, 60, 2, 0),
                 output.messages().get(0).message());
         assertEquals(
                 new Message.AppendReply(1, true, 50, 0),
-                ((Message.AppendReply) output.messages().get(1).message()).sent(0));
+                ((Message.AppendReply) output.messages().get(1).message()).withSentAt(0));
     }
 
     @Test
     void aLeaderWritesOnlySoMuchAheadOfItsCommitIndex() {
-        Trio trio = new Trio(Mutant.NONE);
-        trio.silent = 2;
+        ThreeNodeCluster trio = new ThreeNodeCluster(Mutant.NONE);
+        trio.isolated = 2;
         trio.run();
         int written = 0;
         while (trio.leader().fitsUncommittedLimit(BODY)) {
             trio.propose(BODY);
-            trio.wire.clear();
+            trio.messages.clear();
             trio.senders.clear();
             written += BODY;
         }
-        assertTrue(written > Raft.MOST_UNCOMMITTED / 2 && written <= Raft.MOST_UNCOMMITTED, written + " bytes");
+        assertTrue(
+                written > Raft.MAX_UNCOMMITTED_BYTES / 2 && written <= Raft.MAX_UNCOMMITTED_BYTES, written + " bytes");
     }
 
     /** Two followers with losses, restarts and a log that is compacted all the while: all end alike. */
@@ -376,7 +378,7 @@
     void whateverIsLostAllFollowersEndAlike() {
         for (long seed = 1; seed <= 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Trio trio = new Trio(Mutant.NONE);
+            ThreeNodeCluster trio = new ThreeNodeCluster(Mutant.NONE);
             for (int i = 0; i < 120; i++) {
                 if (trio.leader().fitsUncommittedLimit(300_000)) {
                     trio.propose(random.nextInt(300_000));
@@ -385,22 +387,22 @@
                     trio.step();
                 }
                 switch (random.nextInt(8)) {
-                    case 0 -> trio.silent = 0;
-                    case 1 -> trio.silent = 3;
+                    case 0 -> trio.isolated = 0;
+                    case 1 -> trio.isolated = 3;
                     case 2 -> trio.start(2);
                     case 3 -> trio.compact(trio.states.get(1L));
                     case 4 -> trio.heartbeat();
                     default -> {}
                 }
             }
-            trio.silent = 0;
+            trio.isolated = 0;
             for (int i = 0; i < 8; i++) {
                 trio.heartbeat();
                 trio.run();
             }
             assertEquals(trio.leader().lastIndex(), trio.leader().commitIndex(), "seed " + seed);
-            trio.assertAlike(2);
-            trio.assertAlike(3);
+            trio.assertSameStateAsLeader(2);
+            trio.assertSameStateAsLeader(3);
         }
     }
 }
--- a/src/test/java/tinworks/raft/RestartedVoterTest.java
+++ b/src/test/java/tinworks/raft/RestartedVoterTest.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import tinworks.raft.Cluster.Flaw;
-import tinworks.raft.Cluster.Maker;
 import tinworks.raft.Cluster.Node;
+import tinworks.raft.Cluster.RaftFactory;
 import tinworks.raft.Message.Append;
 import tinworks.raft.Message.AppendReply;
 import tinworks.raft.Message.LeaseEnded;
@@ -18,32 +18,32 @@
 
 /** What a member that starts again may have promised, and how it learns that the promise binds nobody any more. */
 class RestartedVoterTest {
-    private static final long ELECTION = Cluster.TIMING.electionMillis();
-    private static final long LEASE = Cluster.TIMING.leaseMillis();
+    private static final long ELECTION_TIMEOUT_MILLIS = Cluster.TIMING.electionTimeoutMillis();
+    private static final long LEASE_MILLIS = Cluster.TIMING.leaseMillis();
 
     @Test
     void aMemberThatStartsAgainDeniesItsVoteForAsLongAsItMayHavePromised() {
-        assertFalse(LeaseTest.grants(LeaseTest.voter(5_000), 5_000 + ELECTION - 1, 5));
-        assertTrue(LeaseTest.grants(LeaseTest.voter(5_000), 5_000 + ELECTION, 5));
+        assertFalse(LeaseTest.grants(LeaseTest.voter(5_000), 5_000 + ELECTION_TIMEOUT_MILLIS - 1, 5));
+        assertTrue(LeaseTest.grants(LeaseTest.voter(5_000), 5_000 + ELECTION_TIMEOUT_MILLIS, 5));
         Raft raft = LeaseTest.voter(5_000);
-        raft.tick(5_000 + ELECTION - 1);
+        raft.tick(5_000 + ELECTION_TIMEOUT_MILLIS - 1);
         assertEquals(Raft.Role.FOLLOWER, raft.role());
         Raft first = new Raft(1, PersistentState.EMPTY, Cluster.TIMING, 1, 0);
         assertTrue(LeaseTest.grants(first, 1, 1), "one that never answered anybody needn't wait");
     }
 
     /** Started at 5,000, after it followed the second into the third term. */
-    private static Raft startedAgain(long lastLeader) {
-        return startedAgain(lastLeader, Raft::new);
+    private static Raft restarted(long lastLeader) {
+        return restarted(lastLeader, Raft::new);
     }
 
-    private static Raft startedAgain(long lastLeader, Maker maker) {
+    private static Raft restarted(long lastLeader, RaftFactory maker) {
         Snapshot none = new Snapshot(0, 0, LeaseTest.VOTERS, new byte[0]);
-        return maker.make(
+        return maker.create(
                 1, new PersistentState(new HardState(3, 0, lastLeader), none, List.of()), Cluster.TIMING, 1, 5_000);
     }
 
-    private static LeaseQuery askedAt(long now, Raft raft) {
+    private static LeaseQuery leaseQueryAt(long now, Raft raft) {
         raft.drain();
         raft.tick(now);
         List<Envelope> asked = raft.drain().messages();
@@ -53,32 +53,32 @@
 
     @Test
     void aMemberThatStartsAgainVotesOnceItsLastLeaderSaysThatItDoesNotLead() {
-        Raft raft = startedAgain(2);
-        LeaseQuery query = askedAt(5_001, raft);
+        Raft raft = restarted(2);
+        LeaseQuery query = leaseQueryAt(5_001, raft);
         raft.receive(5_010, 3, new LeaseEnded(3, query.incarnation()));
         assertFalse(LeaseTest.grants(raft, 5_010, 4), "nobody else's word frees it");
-        askedAt(5_015, raft);
+        leaseQueryAt(5_015, raft);
         raft.receive(5_020, 2, new LeaseEnded(3, query.incarnation()));
-        raft.tick(5_020 + Cluster.TIMING.heartbeatMillis());
+        raft.tick(5_020 + Cluster.TIMING.heartbeatIntervalMillis());
         assertEquals(Raft.Role.PRE_CANDIDATE, raft.role(), "and it stands within a heartbeat");
         assertTrue(LeaseTest.grants(raft, 5_100, 4));
         assertEquals(4, raft.term());
     }
 
-    private static boolean freedByAnAnswerToAnEarlierLife(Maker maker) {
-        Raft raft = startedAgain(2, maker);
-        raft.receive(5_010, 2, new LeaseEnded(3, askedAt(5_001, raft).incarnation() + 1));
+    private static boolean votesAfterReplyToEarlierIncarnation(RaftFactory maker) {
+        Raft raft = restarted(2, maker);
+        raft.receive(5_010, 2, new LeaseEnded(3, leaseQueryAt(5_001, raft).incarnation() + 1));
         return LeaseTest.grants(raft, 5_011, 4);
     }
 
     /** The second may have become a leader, and been followed, between the earlier life's question and this start. */
     @Test
     void aMemberThatTakesAnAnswerToAnEarlierLifeIsCaught() {
-        assertFalse(freedByAnAnswerToAnEarlierLife(Raft::new));
-        assertTrue(freedByAnAnswerToAnEarlierLife(
+        assertFalse(votesAfterReplyToEarlierIncarnation(Raft::new));
+        assertTrue(votesAfterReplyToEarlierIncarnation(
                 (id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
-                    boolean answersThisLife(LeaseEnded m) {
+                    boolean isForThisIncarnation(LeaseEnded m) {
                         return true;
                     }
                 }));
@@ -95,13 +95,13 @@
             for (Node other : cluster.nodes) {
                 if (other != leader) {
                     if (cut) {
-                        cluster.cut(leader.number, other.number);
+                        cluster.disconnect(leader.number, other.number);
                     }
                     other.crash();
                     other.start();
                 }
             }
-            cluster.run(cluster.now + (cut ? LEASE : 5 * ELECTION));
+            cluster.run(cluster.now + (cut ? LEASE_MILLIS : 5 * ELECTION_TIMEOUT_MILLIS));
             assertEquals(leader, cluster.leader(), "seed " + seed);
         }
     }
@@ -109,17 +109,17 @@
     /** The end of an earlier life's promise is none of those that this life gave. */
     @Test
     void aMemberThatHearsALeaderAgainKeepsItsPromiseWhateverIsSaidOfTheEarlierOne() {
-        Raft raft = startedAgain(2);
-        LeaseQuery query = askedAt(5_001, raft);
+        Raft raft = restarted(2);
+        LeaseQuery query = leaseQueryAt(5_001, raft);
         raft.receive(5_010, 2, new Append(4, 0, 0, 0, 1, List.of()));
         raft.receive(5_020, 2, new LeaseEnded(3, query.incarnation()));
-        assertFalse(LeaseTest.grants(raft, 5_010 + ELECTION - 1, 5));
-        assertTrue(LeaseTest.grants(raft, 5_010 + ELECTION, 5));
+        assertFalse(LeaseTest.grants(raft, 5_010 + ELECTION_TIMEOUT_MILLIS - 1, 5));
+        assertTrue(LeaseTest.grants(raft, 5_010 + ELECTION_TIMEOUT_MILLIS, 5));
     }
 
     @Test
     void aMemberThatLedItselfNeedNotWait() {
-        assertTrue(LeaseTest.grants(startedAgain(1), 5_000, 4));
+        assertTrue(LeaseTest.grants(restarted(1), 5_000, 4));
     }
 
     @Test
--- a/src/test/java/tinworks/raft/StrengthTest.java
+++ b/src/test/java/tinworks/raft/StrengthTest.java
@@ -15,23 +15,23 @@
  * machine's timers; docs/design/control-safety-raft.md has the figures.
  */
 class StrengthTest {
-    private static final Timing IN_SERVICE = new Timing(120, 500);
+    private static final Timing PRODUCTION_TIMING = new Timing(120, 500);
     private static final int SEEDS = 200;
-    private static final int LOOK = 50;
-    private static final int PLAN = 250;
-    private static final int JOIN = 500;
-    private static final int GONE = 2_500;
+    private static final int TIMER_STEP_MILLIS = 50;
+    private static final int PLAN_INTERVAL_MILLIS = 250;
+    private static final int JOIN_INTERVAL_MILLIS = 500;
+    private static final int REMOVE_AFTER_MILLIS = 2_500;
     /** The shortest span after which another machine may be lost, and where a deployment counts 6 s. */
-    private static final long SYNC = 4_000;
+    private static final long RECOVERY_BOUND_MILLIS = 4_000;
 
-    private interface Loss {
+    private interface Fault {
         /** Brings it about; full strength is back once the result holds. */
-        Predicate<Cluster> strike(Cluster cluster);
+        Predicate<Cluster> inject(Cluster cluster);
     }
 
-    private static Cluster busy(long seed) {
-        Cluster cluster = new Cluster(seed, 3, Flaw.NONE, IN_SERVICE, Raft::new);
-        cluster.addEmpty();
+    private static Cluster clusterUnderLoad(long seed) {
+        Cluster cluster = new Cluster(seed, 3, Flaw.NONE, PRODUCTION_TIMING, Raft::new);
+        cluster.addEmptyNode();
         cluster.run(1_500);
         for (int i = 0; i < 30; i++) {
             cluster.propose();
@@ -42,30 +42,30 @@
 
     /** A look of each machine's timers: who is left out joins, and the leader exchanges who is gone. */
     private static void step(Cluster cluster) {
-        cluster.run(cluster.now + LOOK);
+        cluster.run(cluster.now + TIMER_STEP_MILLIS);
         Node leader = cluster.leader();
         if (leader == null) {
             return;
         }
-        if (cluster.now % JOIN < LOOK) {
+        if (cluster.now % JOIN_INTERVAL_MILLIS < TIMER_STEP_MILLIS) {
             cluster.nodes.stream()
                     .filter(n -> n.raft != null && n.raft.shouldRequestJoin())
                     .forEach(n -> leader.raft.addLearner(n.member()));
         }
-        if (cluster.now % PLAN < LOOK && leader.raft.mayChangeMembers()) {
-            exchange(leader);
+        if (cluster.now % PLAN_INTERVAL_MILLIS < TIMER_STEP_MILLIS && leader.raft.mayChangeMembers()) {
+            replaceRemovedVoter(leader);
         }
         leader.pump();
     }
 
-    private static void exchange(Node leader) {
+    private static void replaceRemovedVoter(Node leader) {
         List<Progress> learners = new ArrayList<>();
         List<Progress> gone = new ArrayList<>();
         for (Progress p : leader.raft.followers()) {
             long silent = leader.clock() - p.lastReceivedMillis();
             if (!leader.raft.isVoter(p.member().id()) && silent < 1_000) {
                 learners.add(p);
-            } else if (leader.raft.isVoter(p.member().id()) && silent > GONE) {
+            } else if (leader.raft.isVoter(p.member().id()) && silent > REMOVE_AFTER_MILLIS) {
                 gone.add(p);
             }
         }
@@ -86,22 +86,22 @@
         leader.raft.changeMembers(voters);
     }
 
-    private static boolean leads(Cluster cluster) {
+    private static boolean hasLeaseHolder(Cluster cluster) {
         return cluster.nodes.stream().anyMatch(n -> n.raft != null && n.raft.holdsLease(n.clock()));
     }
 
-    private static boolean votesDone(Cluster cluster, Node node) {
-        return leads(cluster)
+    private static boolean votesInCompletedChange(Cluster cluster, Node node) {
+        return hasLeaseHolder(cluster)
                 && cluster.leader().raft.isVoter(node.id)
                 && cluster.leader().raft.mayChangeMembers();
     }
 
     /** How long half of the seeds took at most. */
-    private static long measure(String what, long bound, Loss loss) {
+    private static long measureRecovery(String what, long bound, Fault loss) {
         long[] took = new long[SEEDS];
         for (int seed = 1; seed <= SEEDS; seed++) {
-            Cluster cluster = busy(seed);
-            Predicate<Cluster> back = loss.strike(cluster);
+            Cluster cluster = clusterUnderLoad(seed);
+            Predicate<Cluster> back = loss.inject(cluster);
             long from = cluster.now;
             while (!back.test(cluster)) {
                 cluster.propose();
@@ -110,7 +110,7 @@
             }
             took[seed - 1] = cluster.now - from;
             cluster.run(cluster.now + 1_000);
-            cluster.checkKept(cluster.leader());
+            cluster.checkRetainsAcknowledged(cluster.leader());
         }
         Arrays.sort(took);
         System.out.println(what + ": half within " + took[SEEDS / 2] + " ms, all within " + took[SEEDS - 1]
@@ -128,75 +128,86 @@
 
     @Test
     void anotherLeadsOnceTheLeaderIsGone() {
-        measure("a leader lost, another holds a lease", SYNC, cluster -> {
+        measureRecovery("a leader lost, another holds a lease", RECOVERY_BOUND_MILLIS, cluster -> {
             cluster.leader().crash();
-            return StrengthTest::leads;
+            return StrengthTest::hasLeaseHolder;
         });
     }
 
     @Test
     void oneLeadsAfterAllLostPower() {
-        long half = measure("power lost by all, one holds a lease", SYNC, cluster -> {
+        long half = measureRecovery("power lost by all, one holds a lease", RECOVERY_BOUND_MILLIS, cluster -> {
             cluster.nodes.forEach(Node::crash);
             cluster.nodes.forEach(Node::start);
-            return StrengthTest::leads;
+            return StrengthTest::hasLeaseHolder;
         });
         assertTrue(
-                half <= 2 * IN_SERVICE.heartbeatMillis(),
+                half <= 2 * PRODUCTION_TIMING.heartbeatIntervalMillis(),
                 "half took " + half + " ms: nobody waits for a lease that is over");
     }
 
     @Test
     void theFourthTakesThePlaceOfAVoterThatIsGone() {
-        measure("a voter lost, the fourth in its place", GONE + PLAN + 1_000, cluster -> {
-            follower(cluster).crash();
-            Node fourth = cluster.nodes.get(3);
-            return after -> votesDone(after, fourth);
-        });
+        measureRecovery(
+                "a voter lost, the fourth in its place",
+                REMOVE_AFTER_MILLIS + PLAN_INTERVAL_MILLIS + 1_000,
+                cluster -> {
+                    follower(cluster).crash();
+                    Node fourth = cluster.nodes.get(3);
+                    return after -> votesInCompletedChange(after, fourth);
+                });
     }
 
     @Test
     void theFourthTakesThePlaceOfTheLeaderThatIsGone() {
-        measure("the leader lost, the fourth in its place", SYNC + GONE, cluster -> {
-            cluster.leader().crash();
-            Node fourth = cluster.nodes.get(3);
-            return after -> votesDone(after, fourth);
-        });
+        measureRecovery(
+                "the leader lost, the fourth in its place", RECOVERY_BOUND_MILLIS + REMOVE_AFTER_MILLIS, cluster -> {
+                    cluster.leader().crash();
+                    Node fourth = cluster.nodes.get(3);
+                    return after -> votesInCompletedChange(after, fourth);
+                });
     }
 
     @Test
     void aVoterWithoutItsDiskIsExchangedWhileItMayStillCountAsLost() {
-        measure("a voter's disk lost, the fourth in its place", SYNC, cluster -> wiped(follower(cluster)));
-        measure("the leader's disk lost, the fourth in its place", SYNC, cluster -> wiped(cluster.leader()));
-        measure("a voter's disk lost, of three", SYNC, cluster -> {
+        measureRecovery(
+                "a voter's disk lost, the fourth in its place",
+                RECOVERY_BOUND_MILLIS,
+                cluster -> restartWithoutDisk(follower(cluster)));
+        measureRecovery(
+                "the leader's disk lost, the fourth in its place",
+                RECOVERY_BOUND_MILLIS,
+                cluster -> restartWithoutDisk(cluster.leader()));
+        measureRecovery("a voter's disk lost, of three", RECOVERY_BOUND_MILLIS, cluster -> {
             cluster.nodes.get(3).crash();
-            return wiped(follower(cluster));
+            return restartWithoutDisk(follower(cluster));
         });
-        measure("the leader's disk lost, of three", SYNC, cluster -> {
+        measureRecovery("the leader's disk lost, of three", RECOVERY_BOUND_MILLIS, cluster -> {
             cluster.nodes.get(3).crash();
-            return wiped(cluster.leader());
+            return restartWithoutDisk(cluster.leader());
         });
     }
 
-    private static Predicate<Cluster> wiped(Node node) {
+    private static Predicate<Cluster> restartWithoutDisk(Node node) {
         long before = node.id;
-        node.wipe();
-        return after -> leads(after)
+        node.restartWithoutDisk();
+        return after -> hasLeaseHolder(after)
                 && !after.leader().raft.isVoter(before)
                 && after.leader().raft.mayChangeMembers();
     }
 
     @Test
     void anEmptyMachineInPlaceOfTheFourthVotesWhileItMayStillCountAsLost() {
-        measure("three alone, one removed for good, from its successor's start", SYNC, cluster -> {
-            // The fourth never was: what comes is the one that the voters wait for.
-            cluster.nodes.get(3).crash();
-            follower(cluster).crash();
-            for (int i = 0; i < 100; i++) {
-                step(cluster);
-            }
-            Node successor = cluster.addEmpty();
-            return after -> votesDone(after, successor);
-        });
+        measureRecovery(
+                "three alone, one removed for good, from its successor's start", RECOVERY_BOUND_MILLIS, cluster -> {
+                    // The fourth never was: what comes is the one that the voters wait for.
+                    cluster.nodes.get(3).crash();
+                    follower(cluster).crash();
+                    for (int i = 0; i < 100; i++) {
+                        step(cluster);
+                    }
+                    Node successor = cluster.addEmptyNode();
+                    return after -> votesInCompletedChange(after, successor);
+                });
     }
 }
