--- a/src/main/java/tinworks/raft/Message.java
+++ b/src/main/java/tinworks/raft/Message.java
@@ -43,8 +43,9 @@
         }
 
         /** Creates the message of a leader without a lease. */
-        public Append(long term, long previousIndex, long previousTerm, long commit, long round, List<Entry> entries) {
-            this(term, previousIndex, previousTerm, commit, round, entries, 0, 0);
+        public Append(
+                long term, long previousIndex, long previousTerm, long leaderCommit, long round, List<Entry> entries) {
+            this(term, previousIndex, previousTerm, leaderCommit, round, entries, 0, 0);
         }
 
         Append withLease(long echoed, long millis) {
@@ -60,8 +61,8 @@
      */
     record AppendReply(long term, boolean success, long index, long round, long sentAt) implements Message {
         /** Creates a reply without a send time. */
-        public AppendReply(long term, boolean taken, long index, long round) {
-            this(term, taken, index, round, 0);
+        public AppendReply(long term, boolean success, long index, long round) {
+            this(term, success, index, round, 0);
         }
 
         AppendReply withSentAt(long at) {
@@ -97,8 +98,8 @@
     record LeaseQuery(long term, long incarnation) implements Message {}
 
     /**
-     * Answers a {@link LeaseQuery}: the sender was not leader when it received the query, so any earlier lease of its
-     * is over.
+     * Answers a {@link LeaseQuery}: the sender was not leader when it received the query, so any lease that it held
+     * before is over.
      *
      * @param incarnation the incarnation from the query
      */
--- a/src/main/java/tinworks/raft/Raft.java
+++ b/src/main/java/tinworks/raft/Raft.java
@@ -51,7 +51,7 @@
 
     /** Maximum size of the entries in one message: enough for a batch, small enough not to delay heartbeats. */
     private static final int MAX_APPEND_BYTES = 128 << 10;
-    /** Unacknowledged bytes beyond which a follower is sent no further entries. */
+    /** Unacknowledged bytes from which on a follower is sent no further entries; the last message may exceed this. */
     static final int MAX_IN_FLIGHT_BYTES = 512 << 10;
     /** Maximum size of a leader's uncommitted entries; a first uncommitted entry is always allowed. */
     static final int MAX_UNCOMMITTED_BYTES = 2 << 20;
@@ -893,7 +893,10 @@
         send(from, new AppendReply(term, true, m.metadata().index(), m.round()));
     }
 
-    /** Adds a chunk and returns whether the snapshot is complete. A different snapshot restarts the assembly. */
+    /**
+     * Adds a chunk and returns whether the snapshot is complete. A different snapshot restarts the assembly, except
+     * that an older one of the same leader is ignored.
+     */
     private boolean assembleSnapshot(long from, InstallSnapshot m) {
         if (m.metadata().length() > SnapshotAssembler.MAX_SNAPSHOT_BYTES
                 || (incomingSnapshot != null && incomingSnapshot.supersedes(m))) {
--- a/src/main/java/tinworks/raft/SnapshotTransfer.java
+++ b/src/main/java/tinworks/raft/SnapshotTransfer.java
@@ -26,8 +26,8 @@
     }
 
     /** Returns this transfer with the chunk of this sequence in flight. */
-    SnapshotTransfer withAwaitedSequence(long number) {
-        return new SnapshotTransfer(snapshot, metadata, offset, number);
+    SnapshotTransfer withAwaitedSequence(long sequence) {
+        return new SnapshotTransfer(snapshot, metadata, offset, sequence);
     }
 
     /**
--- a/src/test/java/tinworks/raft/Model.java
+++ b/src/test/java/tinworks/raft/Model.java
@@ -36,8 +36,14 @@
             int leaseQueries,
             int preVotes) {
         /** Creates bounds without lease queries and without pre-votes before an election timeout. */
-        Bounds(int timeouts, int heartbeats, int commands, int losses, int crashes, int changes) {
-            this(timeouts, heartbeats, commands, losses, crashes, changes, 0, 0);
+        Bounds(
+                int electionTimeouts,
+                int heartbeats,
+                int commands,
+                int connectionLosses,
+                int crashes,
+                int membershipChanges) {
+            this(electionTimeouts, heartbeats, commands, connectionLosses, crashes, membershipChanges, 0, 0);
         }
     }
 
@@ -168,8 +174,8 @@
                 for (Step step : prefix) {
                     world = successor(world, step);
                 }
-                for (List<Step> can = world.steps(); !can.isEmpty(); can = world.steps()) {
-                    world = successor(world, can.get(random.nextInt(can.size())));
+                for (List<Step> enabled = world.steps(); !enabled.isEmpty(); enabled = world.steps()) {
+                    world = successor(world, enabled.get(random.nextInt(enabled.size())));
                 }
             } catch (Cluster.InvariantViolation | IllegalStateException e) {
                 return walk;
@@ -327,9 +333,9 @@
             return steps;
         }
 
-        private void add(List<Step> steps, EventKind what, int node, int other) {
+        private void add(List<Step> steps, EventKind kind, int node, int other) {
             for (Completion end : remaining[4] > 0 ? Completion.values() : new Completion[] {Completion.COMPLETED}) {
-                steps.add(new Step(what, node, other, end));
+                steps.add(new Step(kind, node, other, end));
             }
         }
 
--- a/src/test/java/tinworks/raft/RestartedVoterTest.java
+++ b/src/test/java/tinworks/raft/RestartedVoterTest.java
@@ -61,6 +61,7 @@
         raft.receive(5_020, 2, new LeaseEnded(3, query.incarnation()));
         raft.tick(5_020 + Cluster.TIMING.heartbeatIntervalMillis());
         assertEquals(Raft.Role.PRE_CANDIDATE, raft.role(), "it becomes a pre-candidate within a heartbeat interval");
+        assertEquals("ASKING", raft.role().toString(), "the name shown in the status page");
         assertTrue(LeaseTest.grants(raft, 5_100, 4));
         assertEquals(4, raft.term());
     }
--- a/src/test/java/tinworks/raft/StrengthTest.java
+++ b/src/test/java/tinworks/raft/StrengthTest.java
@@ -53,12 +53,12 @@
                     .forEach(n -> leader.raft.addLearner(n.member()));
         }
         if (cluster.now % PLAN_INTERVAL_MILLIS < TIMER_STEP_MILLIS && leader.raft.mayChangeMembers()) {
-            replaceRemovedVoter(leader);
+            replaceLostVoter(leader);
         }
         leader.pump();
     }
 
-    private static void replaceRemovedVoter(Node leader) {
+    private static void replaceLostVoter(Node leader) {
         List<Progress> learners = new ArrayList<>();
         List<Progress> lost = new ArrayList<>();
         for (Progress p : leader.raft.followers()) {
@@ -97,11 +97,11 @@
     }
 
     /** Measures the recovery time over all seeds, checks its maximum and returns its median. */
-    private static long measureRecovery(String what, long bound, Fault loss) {
+    private static long measureRecovery(String what, long bound, Fault fault) {
         long[] recoveryMillis = new long[SEEDS];
         for (int seed = 1; seed <= SEEDS; seed++) {
             Cluster cluster = clusterUnderLoad(seed);
-            Predicate<Cluster> recovered = loss.inject(cluster);
+            Predicate<Cluster> recovered = fault.inject(cluster);
             long from = cluster.now;
             while (!recovered.test(cluster)) {
                 cluster.propose();
