--- a/src/main/java/tinworks/edge/EdgeWarmUp.java
+++ b/src/main/java/tinworks/edge/EdgeWarmUp.java
@@ -28,11 +28,11 @@
 import tinworks.config.Configuration.Service;
 import tinworks.config.Configuration.Split;
 import tinworks.net.ClientServer;
-import tinworks.net.FarSide;
 import tinworks.net.Forwarding;
-import tinworks.net.GatewayClock;
 import tinworks.net.HostPool;
+import tinworks.net.MonotonicClock;
 import tinworks.net.Transport;
+import tinworks.net.WarmUpPeer;
 import tinworks.policy.LoadBalancerApi.Outcome;
 import tinworks.policy.LoadBalancerApi.Readiness;
 import tinworks.policy.LoadBalancerApi.ServerInfo;
@@ -66,7 +66,7 @@
     record Result(int answered, long served, long millis, String why) {}
 
     private final EventLoop loop;
-    private final GatewayClock clock;
+    private final MonotonicClock clock;
     private final BooleanSupplier wanted;
     private final Consumer<Result> told;
     private final EdgeProtocol style = new EdgeProtocol(1);
@@ -84,7 +84,7 @@
     /**
      * {@code wanted} tells whether a client is there, and the loop is theirs; {@code told} is told of the end, once.
      */
-    EdgeWarmUp(EventLoop loop, GatewayClock clock, BooleanSupplier wanted, Consumer<Result> told) {
+    EdgeWarmUp(EventLoop loop, MonotonicClock clock, BooleanSupplier wanted, Consumer<Result> told) {
         this.loop = loop;
         this.told = told;
         this.clock = clock;
@@ -183,7 +183,7 @@
         }
     }
 
-    private static ChannelInitializer<Channel> handler(java.util.function.Supplier<FarSide> maker) {
+    private static ChannelInitializer<Channel> handler(java.util.function.Supplier<WarmUpPeer> maker) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
@@ -231,7 +231,7 @@
         LOG.debug(line);
     }
 
-    private final class Client extends FarSide {
+    private final class Client extends WarmUpPeer {
         private int here;
 
         @Override
@@ -245,16 +245,16 @@
             String head = (reads ? "GET " + READS : "POST " + JOBS) + number + " HTTP/1.1\r\nHost: " + DOMAIN + "\r\n"
                     + EdgeProtocol.ID + ": rehearsal-" + number + "\r\n" + EdgeProtocol.DEADLINE + ": " + TIMEOUT_MILLIS
                     + "\r\n";
-            write(ctx, reads ? head : head + "Content-Length: " + BODY.length + "\r\n", reads ? NOTHING : BODY);
+            write(ctx, reads ? head : head + "Content-Length: " + BODY.length + "\r\n", reads ? EMPTY_BODY : BODY);
         }
 
         @Override
-        protected boolean isWhole(int first, int last, ByteBuf end) {
-            return isWholeAnswer(last, end);
+        protected boolean isComplete(int first, int last, ByteBuf end) {
+            return isCompleteResponse(last, end);
         }
 
         @Override
-        protected void came(ChannelHandlerContext ctx) {
+        protected void messageReceived(ChannelHandlerContext ctx) {
             answered++;
             if (isOver()) {
                 return;
@@ -276,20 +276,20 @@
     }
 
     /** Serves nearly all, and turns some away. Its clients ask in turn, so it knows whom it answers by the request. */
-    private final class Host extends FarSide {
+    private final class Host extends WarmUpPeer {
         private static final int FULL_EVERY = 37;
         private String id = "";
 
         @Override
-        protected boolean isWhole(int first, int last, ByteBuf end) {
+        protected boolean isComplete(int first, int last, ByteBuf end) {
             String text = end.toString(java.nio.charset.StandardCharsets.US_ASCII);
             int at = text.indexOf(EdgeProtocol.ID + ": ");
             id = at < 0 ? id : text.substring(at + EdgeProtocol.ID.length() + 2, text.indexOf('\r', at));
-            return isWholeRequest(first, last);
+            return isCompleteRequest(first, last);
         }
 
         @Override
-        protected void came(ChannelHandlerContext ctx) {
+        protected void messageReceived(ChannelHandlerContext ctx) {
             boolean full = asked % FULL_EVERY == 0;
             write(
                     ctx,
--- a/src/main/java/tinworks/edge/RequestRouter.java
+++ b/src/main/java/tinworks/edge/RequestRouter.java
@@ -16,14 +16,14 @@
 import tinworks.net.ClientServer.BadRequest;
 import tinworks.net.ClientServer.Reply;
 import tinworks.net.Forwarding;
-import tinworks.net.GatewayClock;
+import tinworks.net.MonotonicClock;
 import tinworks.policy.LoadBalancerApi.RequestArrived;
 
 /** Takes clients' requests: finds each one's route, draws its service, and hands it to that service's module. */
 final class RequestRouter implements ClientServer.Listener {
     private static final long NO_ROUTES_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    private final GatewayClock clock;
+    private final MonotonicClock clock;
     private final SplittableRandom random;
     private final EdgeProtocol style;
     private final Map<String, Forwarding> services;
@@ -34,7 +34,7 @@
     private long overdue;
 
     /** Without routes yet; the services are the caller's to fill, one for each that a route names. */
-    RequestRouter(GatewayClock clock, SplittableRandom random, EdgeProtocol style, Map<String, Forwarding> services) {
+    RequestRouter(MonotonicClock clock, SplittableRandom random, EdgeProtocol style, Map<String, Forwarding> services) {
         this.clock = clock;
         this.random = random;
         this.style = style;
--- a/src/test/java/tinworks/edge/EdgeFixture.java
+++ b/src/test/java/tinworks/edge/EdgeFixture.java
@@ -25,9 +25,9 @@
 import tinworks.net.ClientServer;
 import tinworks.net.ClosingEventLoopGroup;
 import tinworks.net.Forwarding;
-import tinworks.net.GatewayClock;
 import tinworks.net.HostPool;
 import tinworks.net.LoopLag;
+import tinworks.net.MonotonicClock;
 import tinworks.net.Transport;
 import tinworks.node.NodeProcess;
 import tinworks.policy.LoadBalancerApi.Event;
@@ -52,7 +52,7 @@
     private final LoopLag lag = new LoopLag();
     final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, lag);
     final EventLoop loop = group.next();
-    final GatewayClock clock;
+    final MonotonicClock clock;
     final HostPool pool;
     final ClientServer clients;
     private final EdgeProtocol style;
@@ -70,7 +70,7 @@
     /** One whose clock knows, or doesn't, how far the event loop is behind. */
     EdgeFixture(EdgeProtocol style, boolean watched) {
         this.style = style;
-        clock = watched ? new GatewayClock(lag::nanos) : new GatewayClock();
+        clock = watched ? new MonotonicClock(lag::nanos) : new MonotonicClock();
         pool = new HostPool(
                 loop, Transport.TCP, clock, new HostPool.Bounds(DIAL_NANOS, LONG_NANOS, CONNECTIONS, LARGEST), style);
         requests = new RequestRouter(clock, new SplittableRandom(1), style, services);
--- a/src/test/java/tinworks/edge/EdgeWarmUpTest.java
+++ b/src/test/java/tinworks/edge/EdgeWarmUpTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import tinworks.net.ClosingEventLoopGroup;
-import tinworks.net.GatewayClock;
+import tinworks.net.MonotonicClock;
 import tinworks.node.NodeProcess;
 
 /** An edge's warm-up before it calls itself ready. */
@@ -28,7 +28,7 @@
     private EdgeWarmUp.Result play(boolean clientThere) {
         CompletableFuture<EdgeWarmUp.Result> played = new CompletableFuture<>();
         NodeProcess.run(
-                loop, () -> new EdgeWarmUp(loop, new GatewayClock(), () -> clientThere, played::complete).start());
+                loop, () -> new EdgeWarmUp(loop, new MonotonicClock(), () -> clientThere, played::complete).start());
         return played.join();
     }
 
--- a/src/test/java/tinworks/edge/GracefulShutdownTest.java
+++ b/src/test/java/tinworks/edge/GracefulShutdownTest.java
@@ -36,7 +36,7 @@
 import tinworks.edge.EdgeFixture.Message;
 import tinworks.local.FreePorts;
 import tinworks.net.ClosingEventLoopGroup;
-import tinworks.net.GatewayClock;
+import tinworks.net.MonotonicClock;
 import tinworks.net.ScriptedHost;
 import tinworks.node.BootSettings;
 import tinworks.node.NodeProcess;
@@ -106,10 +106,10 @@
 
     /** A whole edge that serves, with {@link #HOSTS} hosts at one address. */
     private EdgeNode serving(List<Integer> ports, ScriptedHost host) throws Exception {
-        return serving(ports, host, new GatewayClock());
+        return serving(ports, host, new MonotonicClock());
     }
 
-    private EdgeNode serving(List<Integer> ports, ScriptedHost host, GatewayClock clock) throws Exception {
+    private EdgeNode serving(List<Integer> ports, ScriptedHost host, MonotonicClock clock) throws Exception {
         BootSettings settings = new BootSettings(
                 "e",
                 "z",
@@ -215,7 +215,7 @@
     void noRequestIsBrokenOffForTimeThatItOnlyMayHaveLainUnread() throws Exception {
         List<Integer> ports = FreePorts.at("127.0.0.1", 4);
         try (ScriptedHost host = new ScriptedHost(this::host)) {
-            EdgeNode edge = serving(ports, host, new GatewayClock(() -> TimeUnit.MILLISECONDS.toNanos(AIM_MILLIS)));
+            EdgeNode edge = serving(ports, host, new MonotonicClock(() -> TimeUnit.MILLISECONDS.toNanos(AIM_MILLIS)));
             NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
             for (String route : List.of("i", "m")) {
                 try (Client client = new Client(ports.get(0))) {
