--- a/src/main/java/tinworks/edge/CoreFollower.java
+++ b/src/main/java/tinworks/edge/CoreFollower.java
@@ -5,16 +5,16 @@
 import java.util.TreeSet;
 import java.util.concurrent.Callable;
 import tinworks.channel.ConfigurationCodec;
-import tinworks.channel.Conversation;
 import tinworks.channel.HostList;
-import tinworks.channel.Signal;
-import tinworks.channel.Signal.Announce;
-import tinworks.channel.Signal.ConfigurationBody;
-import tinworks.channel.Signal.ConfigurationChanged;
-import tinworks.channel.Signal.Hosts;
-import tinworks.channel.Signal.HostsChanged;
-import tinworks.channel.Signal.PullConfiguration;
-import tinworks.channel.Signal.PullHosts;
+import tinworks.channel.PeerConnection;
+import tinworks.channel.PeerMessage;
+import tinworks.channel.PeerMessage.Announce;
+import tinworks.channel.PeerMessage.ConfigurationBody;
+import tinworks.channel.PeerMessage.ConfigurationChanged;
+import tinworks.channel.PeerMessage.Hosts;
+import tinworks.channel.PeerMessage.HostsChanged;
+import tinworks.channel.PeerMessage.PullConfiguration;
+import tinworks.channel.PeerMessage.PullHosts;
 import tinworks.config.CompressedBytes;
 import tinworks.config.Configuration;
 
@@ -22,7 +22,7 @@
  * What an edge knows from the core machines: it pulls from whichever announces something newer, and versions only rise.
  * Knows no sockets, threads or clock; all methods belong to one thread.
  */
-public class CoreFollower implements Conversation.Listener {
+public class CoreFollower implements PeerConnection.Listener {
     /** The edge round it. */
     public interface Callbacks {
         /** A steady clock's milliseconds. */
@@ -139,28 +139,28 @@
     // ---- what comes
 
     @Override
-    public void opened(Conversation conversation) {
+    public void opened(PeerConnection conversation) {
         // The far side announces itself.
     }
 
     @Override
-    public void closed(Conversation conversation) {
+    public void closed(PeerConnection conversation) {
         // Whatever was asked of it is asked again with another one's announcement.
     }
 
     @Override
-    public void received(Conversation from, Signal signal) {
+    public void received(PeerConnection from, PeerMessage signal) {
         if (signal instanceof Announce s) {
             heard(from, s);
         } else if (signal instanceof ConfigurationBody s) {
-            read(s.rev(), () -> ConfigurationCodec.read(CompressedBytes.unpack(s.packed(), LARGEST_CONFIGURATION)));
+            read(s.rev(), () -> ConfigurationCodec.read(CompressedBytes.unpack(s.compressed(), LARGEST_CONFIGURATION)));
         } else if (signal instanceof ConfigurationChanged s) {
             changed(from, s);
         } else if (signal instanceof Hosts s) {
             took(s.list());
         } else if (signal instanceof HostsChanged s) {
-            if (s.change().base().is(list.version())) {
-                took(s.change().appliedTo(list));
+            if (s.change().base().isSameAs(list.version())) {
+                took(s.change().applyTo(list));
             }
         }
     }
@@ -179,29 +179,29 @@
         }
     }
 
-    private void heard(Conversation from, Announce s) {
+    private void heard(PeerConnection from, Announce s) {
         long now = owner.millis();
         boolean fresh = s.fresh() && !isOld(s);
         if (fresh) {
             heardLeaderAt = now;
         }
-        if (s.leads() && !isOld(s)) {
+        if (s.leader() && !isOld(s)) {
             term = s.term();
-            cores = Set.copyOf(s.cores());
+            cores = Set.copyOf(s.coreAddresses());
             rumoured.clear();
-            count(s.edges());
+            count(s.edgeCount());
         } else if (cores.isEmpty() && fresh) {
-            cores = Set.copyOf(s.cores());
+            cores = Set.copyOf(s.coreAddresses());
         } else if (!fresh && (cores.isEmpty() || isCoreUnreachable())) {
-            rumoured.addAll(s.cores());
+            rumoured.addAll(s.coreAddresses());
         }
         if (isNewer(s.rev()) && now - pulledConfigurationAt > PULL_AGAIN_MILLIS) {
             pulledConfigurationAt = now;
             from.send(new PullConfiguration(rev()));
         }
-        newest.announced(s.rev(), s.hosts(), fresh);
+        newest.announced(s.rev(), s.hostListVersion(), fresh);
         newest.holds(rev(), list.version());
-        if (s.hosts().compareTo(list.version()) > 0 && now - pulledHostsAt > PULL_AGAIN_MILLIS) {
+        if (s.hostListVersion().compareTo(list.version()) > 0 && now - pulledHostsAt > PULL_AGAIN_MILLIS) {
             pulledHostsAt = now;
             from.send(new PullHosts(list.version()));
         }
@@ -223,12 +223,12 @@
     }
 
     /** A change of the version that is held; of another one where a version came into use since this was asked for. */
-    private void changed(Conversation from, ConfigurationChanged s) {
+    private void changed(PeerConnection from, ConfigurationChanged s) {
         Configuration held = configuration;
         if (s.base() == rev()) {
             read(
                     s.rev(),
-                    () -> ConfigurationCodec.readChange(CompressedBytes.unpack(s.packed(), LARGEST_CONFIGURATION))
+                    () -> ConfigurationCodec.readChange(CompressedBytes.unpack(s.compressed(), LARGEST_CONFIGURATION))
                             .appliedTo(held));
         } else if (isNewer(s.rev())) {
             from.send(new PullConfiguration(rev()));
--- a/src/main/java/tinworks/edge/Edge.java
+++ b/src/main/java/tinworks/edge/Edge.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeoutException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tinworks.channel.SteadyClock;
+import tinworks.channel.MonotonicTime;
 import tinworks.node.BootSettings;
 import tinworks.node.NodeProcess;
 
@@ -33,7 +33,7 @@
                 .nextLong();
         EdgeNode node = process.call(() -> new EdgeNode(process.loop(), process.clock(), settings, id));
         process.onChange(node::settingsChanged);
-        process.onEnd(() -> end(process, node, SteadyClock.millis(), settings.graceMillis() - KILL_MARGIN_MILLIS));
+        process.onEnd(() -> end(process, node, MonotonicTime.millis(), settings.graceMillis() - KILL_MARGIN_MILLIS));
         List<ChannelFuture> bound = process.call(node::start);
         process.awaitBound(bound);
     }
@@ -42,7 +42,7 @@
             throws InterruptedException {
         CompletableFuture<Void> ended = process.call(() -> node.shutDown(signalledAtMillis));
         try {
-            ended.get(signalledAtMillis + longestMillis - SteadyClock.millis(), TimeUnit.MILLISECONDS);
+            ended.get(signalledAtMillis + longestMillis - MonotonicTime.millis(), TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
             LOG.warn("ended with requests open: {}", e.toString());
         }
--- a/src/main/java/tinworks/edge/EdgeNode.java
+++ b/src/main/java/tinworks/edge/EdgeNode.java
@@ -17,10 +17,10 @@
 import org.slf4j.LoggerFactory;
 import tinworks.channel.HostList;
 import tinworks.channel.HostList.Host;
-import tinworks.channel.Signal.Hello;
-import tinworks.channel.Signal.Part;
-import tinworks.channel.SteadyClock;
-import tinworks.channel.TcpLinks;
+import tinworks.channel.MonotonicTime;
+import tinworks.channel.PeerMessage.Hello;
+import tinworks.channel.PeerMessage.NodeRole;
+import tinworks.channel.TcpConnectionManager;
 import tinworks.config.Configuration;
 import tinworks.config.Configuration.Limits;
 import tinworks.invariant.Invariant;
@@ -71,7 +71,7 @@
     private final EdgeMemory memory = EdgeMemory.ofThisProcess();
     private final MonotonicClock clock;
     private final SplittableRandom random;
-    private final TcpLinks links;
+    private final TcpConnectionManager links;
     private final HostPoller poller;
     private final HostPool hosts;
     private final EdgeProtocol style;
@@ -91,7 +91,7 @@
     /** The hosts by their ids as last told, by a core machine or by the platform itself. */
     private Map<String, Host> known = Map.of();
 
-    private final RequestJournal journal = new RequestJournal(SteadyClock::millis, LOG::info);
+    private final RequestJournal journal = new RequestJournal(MonotonicTime::millis, LOG::info);
     private final StallWatch stalls = new StallWatch(TICK_MILLIS);
     private final DrainedHosts drained = new DrainedHosts();
     /** The classes of each service under the present configuration. */
@@ -116,7 +116,8 @@
         random = new SplittableRandom(id);
         style = new EdgeProtocol(id);
         core = new CoreFollower(this);
-        links = new TcpLinks(loop, new Hello(Part.EDGE, id, "", settings.node(), settings.zone()), core);
+        links = new TcpConnectionManager(
+                loop, new Hello(NodeRole.EDGE, id, "", settings.node(), settings.zone()), core);
         poller = new HostPoller(loop, clock, settings.provider(), id, this::listed, this::log);
         hosts = new HostPool(
                 loop,
@@ -165,7 +166,7 @@
         if (ending) {
             return List.of();
         }
-        links.want(current.seeds());
+        links.setAddresses(current.seeds());
         tick();
         if (settings.bootstrap()) {
             // No client can be there yet: time to meet the code before they do.
@@ -193,7 +194,7 @@
      * Ends in good order: first it isn't ready any more and serves on, until the platform sends nobody; then its
      * answers end their connections; then it takes nobody in and finishes what it has. On the event loop.
      *
-     * @param signalledAtMillis when the signal came, in {@link SteadyClock}'s time: the grace runs from then, also
+     * @param signalledAtMillis when the signal came, in {@link MonotonicTime}'s time: the grace runs from then, also
      *     where the event loop was at other work
      */
     public CompletableFuture<Void> shutDown(long signalledAtMillis) {
@@ -224,7 +225,7 @@
 
     private void tellOfEnd(Forwarding service) {
         service.dispatch(
-                new ShutdownStarted(TimeUnit.MILLISECONDS.toNanos(Math.max(0, endsAtMillis - SteadyClock.millis()))));
+                new ShutdownStarted(TimeUnit.MILLISECONDS.toNanos(Math.max(0, endsAtMillis - MonotonicTime.millis()))));
     }
 
     private void endWhenIdle() {
@@ -240,7 +241,7 @@
 
     private void tick() {
         loop.schedule(this::tick, TICK_MILLIS, TimeUnit.MILLISECONDS);
-        long late = stalls.came(SteadyClock.millis());
+        long late = stalls.came(MonotonicTime.millis());
         if (late > 0) {
             LOG.warn("the event loop stood still for {} ms", late);
         }
@@ -249,7 +250,7 @@
             services.values().forEach(Forwarding::failOverdue);
             dropUnused();
         }
-        links.want(core.addressesToDial(current.seeds()));
+        links.setAddresses(core.addressesToDial(current.seeds()));
         // Guards against hosts that come and go while nobody tells of them: then every edge looks for itself.
         poller.turn(core.isCoreUnreachable());
     }
@@ -289,7 +290,7 @@
 
     @Override
     public long millis() {
-        return SteadyClock.millis();
+        return MonotonicTime.millis();
     }
 
     @Override
@@ -414,7 +415,7 @@
                 changed.computeIfAbsent(old.service(), service -> new ArrayList<>())
                         .add(server(old, Readiness.REMOVED));
             }
-            if (old == null || !old.sameAs(host)) {
+            if (old == null || !old.equalsIgnoringWarmup(host)) {
                 startedAt.computeIfAbsent(host.id(), id -> startOf(host));
                 places.add(new HostPool.HostEntry(
                         host.id(), Address.read(host.address()), startedAt.get(host.id()), !host.draining(), false));
--- a/src/test/java/tinworks/edge/GracefulShutdownTest.java
+++ b/src/test/java/tinworks/edge/GracefulShutdownTest.java
@@ -26,7 +26,7 @@
 import tinworks.channel.HostList;
 import tinworks.channel.HostList.Host;
 import tinworks.channel.HostListVersion;
-import tinworks.channel.SteadyClock;
+import tinworks.channel.MonotonicTime;
 import tinworks.config.Configuration;
 import tinworks.config.Configuration.Limits;
 import tinworks.config.Configuration.Route;
@@ -153,13 +153,13 @@
         List<Integer> ports = FreePorts.at("127.0.0.1", 4);
         try (ScriptedHost host = new ScriptedHost(this::host)) {
             EdgeNode edge = serving(ports, host);
-            long signalledAt = SteadyClock.millis() - FIRST_HALF_MILLIS;
+            long signalledAt = MonotonicTime.millis() - FIRST_HALF_MILLIS;
             NodeProcess.call(loop, () -> edge.shutDown(signalledAt));
             Map<String, Client> waiting = new LinkedHashMap<>();
             String id = ask(waiting, ports.get(0), "held-m-late");
             try (Client client = waiting.get(id)) {
                 assertEquals(502, client.read().status(), "its host is still at work in the second half of the grace");
-                long after = SteadyClock.millis() - signalledAt;
+                long after = MonotonicTime.millis() - signalledAt;
                 assertTrue(
                         after > FIRST_HALF_MILLIS && after < GRACE_MILLIS,
                         "answered " + after + " ms after the signal");
@@ -176,7 +176,7 @@
             awaitSentElsewhere(http, "held-i-control");
             Map<String, Client> waiting = askBeforeAnyIsOverdue(http);
             long began = System.nanoTime();
-            CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
+            CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(MonotonicTime.millis()));
             for (String id : List.of("held-i-after", "held-m-after", "turned-i-after", "turned-m-after")) {
                 ask(waiting, http, id);
             }
@@ -216,7 +216,7 @@
         List<Integer> ports = FreePorts.at("127.0.0.1", 4);
         try (ScriptedHost host = new ScriptedHost(this::host)) {
             EdgeNode edge = serving(ports, host, new MonotonicClock(() -> TimeUnit.MILLISECONDS.toNanos(AIM_MILLIS)));
-            NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
+            NodeProcess.call(loop, () -> edge.shutDown(MonotonicTime.millis()));
             for (String route : List.of("i", "m")) {
                 try (Client client = new Client(ports.get(0))) {
                     String id = "held-" + route + "-" + System.nanoTime();
@@ -249,7 +249,7 @@
             await("requests are served", () -> told.size() > LAGGED_CLIENTS);
             NodeProcess.run(loop, this::lag);
             Set<String> before = Set.copyOf(came.keySet());
-            CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
+            CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(MonotonicTime.millis()));
             ended.get(GRACE_MILLIS, TimeUnit.MILLISECONDS);
             for (Thread client : clients) {
                 client.join();
--- a/src/test/java/tinworks/edge/PlannedMaintenanceTest.java
+++ b/src/test/java/tinworks/edge/PlannedMaintenanceTest.java
@@ -26,7 +26,7 @@
 import tinworks.channel.HostList;
 import tinworks.channel.HostList.Host;
 import tinworks.channel.HostListVersion;
-import tinworks.channel.SteadyClock;
+import tinworks.channel.MonotonicTime;
 import tinworks.config.Configuration;
 import tinworks.config.Configuration.Limits;
 import tinworks.config.Configuration.Route;
@@ -290,7 +290,7 @@
             TimeUnit.MILLISECONDS.sleep(SETTINGS_EVERY_MILLIS);
         }
         ending = true;
-        CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
+        CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(MonotonicTime.millis()));
         for (Thread client : clients) {
             client.join();
         }
