--- a/src/main/java/tinworks/raft/Raft.java
+++ b/src/main/java/tinworks/raft/Raft.java
@@ -860,8 +860,7 @@
         }
         if (entry.index() <= commitIndex) {
             Invariant.COMMITTED_STAYS.violated("entry " + entry.index() + " up to " + commitIndex + " at " + self);
-            throw new IllegalStateException(
-                    "the leader's entry " + entry.index() + " conflicts with a committed entry");
+            throw new IllegalStateException("a committed entry conflicts with the leader's entry " + entry.index());
         }
         boolean truncates = entry.index() <= log.lastIndex();
         if (truncates) {
