--- a/src/main/java/tinworks/raft/Raft.java
+++ b/src/main/java/tinworks/raft/Raft.java
@@ -819,7 +819,7 @@
         }
         advanceTerm(leaderTerm);
         if (role == Role.LEADER) {
-            Invariant.ONE_LEADER.violated(self + " and " + from + " in term " + term);
+            Invariant.ONE_LEADER.recordViolation(self + " and " + from + " in term " + term);
             throw new IllegalStateException("two leaders in term " + term);
         }
         role = Role.FOLLOWER;
@@ -859,7 +859,8 @@
             return;
         }
         if (entry.index() <= commitIndex) {
-            Invariant.COMMITTED_STAYS.violated("entry " + entry.index() + " up to " + commitIndex + " at " + self);
+            Invariant.COMMITTED_STAYS.recordViolation(
+                    "entry " + entry.index() + " up to " + commitIndex + " at " + self);
             throw new IllegalStateException("a committed entry conflicts with the leader's entry " + entry.index());
         }
         boolean truncates = entry.index() <= log.lastIndex();
--- a/src/test/java/tinworks/raft/RaftTest.java
+++ b/src/test/java/tinworks/raft/RaftTest.java
@@ -225,7 +225,7 @@
                 for (int command : node.state) {
                     boolean isAccepted =
                             history.apply(ConfigurationHistory.command(0, command, new byte[] {(byte) command}))
-                                    == ConfigurationHistory.Verdict.TAKEN;
+                                    == ConfigurationHistory.Verdict.ACCEPTED;
                     assertTrue(
                             !isAccepted || accepted == 0 || accepted == command,
                             "seed " + seed + ": " + accepted + " and " + command);
