--- a/src/test/java/tinworks/raft/LeaseTest.java
+++ b/src/test/java/tinworks/raft/LeaseTest.java
@@ -7,28 +7,28 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import tinworks.raft.Cluster.Flaw;
-import tinworks.raft.Cluster.Maker;
 import tinworks.raft.Cluster.Node;
+import tinworks.raft.Cluster.RaftFactory;
 import tinworks.raft.Message.Append;
 import tinworks.raft.Message.AppendReply;
 import tinworks.raft.Message.VoteReply;
 import tinworks.raft.Message.VoteRequest;
 
 /**
- * Leases over many days with cuts, freezes, restarts and hand-overs on clocks of unlike rates; and each guard taken
- * out.
+ * Tests leader leases and follower freshness under broken connections, process pauses, restarts and leadership
+ * transfers with clocks of different rates. Mutants without one guard each have to be caught.
  */
 class LeaseTest {
-    private static final int DAYS = 1_500;
-    private static final int MUTANT_DAYS = 1_000;
+    private static final int SEEDS = 1_500;
+    private static final int MUTANT_SEEDS = 1_000;
     static final List<Member> VOTERS = List.of(new Member(1, "a"), new Member(2, "b"), new Member(3, "c"));
-    private static final long ELECTION = Cluster.TIMING.electionMillis();
-    private static final long LEASE = Cluster.TIMING.leaseMillis();
+    private static final long ELECTION_TIMEOUT_MILLIS = Cluster.TIMING.electionTimeoutMillis();
+    private static final long LEASE_MILLIS = Cluster.TIMING.leaseMillis();
 
-    /** Some seconds in which members are cut off, freeze, start anew and hand over. */
-    private static Cluster day(long seed, Maker maker) {
-        Cluster cluster = new Cluster(seed, seed % 4 == 0 ? 5 : 3, Flaw.NONE, Cluster.TIMING, maker);
-        cluster.loss = seed % 3 == 0 ? 0.1 : 0;
+    /** Simulates some seconds with disconnects, process pauses, restarts and leadership transfers. */
+    private static Cluster runWithFaults(long seed, RaftFactory factory) {
+        Cluster cluster = new Cluster(seed, seed % 4 == 0 ? 5 : 3, Flaw.NONE, Cluster.TIMING, factory);
+        cluster.lossProbability = seed % 3 == 0 ? 0.1 : 0;
         cluster.run(400);
         for (int round = 0; round < 50; round++) {
             cluster.run(cluster.now + 5 + cluster.random.nextInt(90));
@@ -44,10 +44,11 @@
                 case 2 -> one.freeze(50 + cluster.random.nextInt(600));
                 case 3 -> {
                     if (one != other) {
-                        cluster.cut(one.number, other.number);
+                        cluster.disconnect(one.number, other.number);
                     }
                 }
-                case 4 -> cluster.nodes.stream().filter(n -> n != one).forEach(n -> cluster.cut(n.number, one.number));
+                case 4 ->
+                    cluster.nodes.stream().filter(n -> n != one).forEach(n -> cluster.disconnect(n.number, one.number));
                 case 5 -> {
                     cluster.run(cluster.now + 40);
                     if (leader != null && leader.raft != null && !leader.isFrozen()) {
@@ -58,44 +59,44 @@
                     }
                 }
                 case 6 -> {
-                    // The leader is left with one that hears it, and that one starts anew, heard or not.
+                    // Leaves the leader connected to one follower, which restarts and may lose its connection too.
                     if (leader != null && leader != one) {
                         cluster.nodes.stream()
                                 .filter(n -> n != leader && n != one)
-                                .forEach(n -> cluster.cut(n.number, leader.number));
-                        cluster.run(cluster.now + ELECTION + cluster.random.nextInt(100));
+                                .forEach(n -> cluster.disconnect(n.number, leader.number));
+                        cluster.run(cluster.now + ELECTION_TIMEOUT_MILLIS + cluster.random.nextInt(100));
                         if (cluster.random.nextBoolean()) {
-                            cluster.cut(one.number, leader.number);
+                            cluster.disconnect(one.number, leader.number);
                         }
                         one.crash();
                         one.start();
                     }
                 }
-                default -> cluster.join();
+                default -> cluster.reconnectAll();
             }
         }
         return cluster;
     }
 
     @Test
-    void noOtherLeadsDuringALeaseAndWhoIsFreshHasWhatWasAcknowledged() {
+    void noSecondLeaderDuringALeaseAndFreshMembersHaveAcknowledgedEntries() {
         long leases = 0;
         long followers = 0;
-        for (long seed = 1; seed <= DAYS; seed++) {
-            Cluster cluster = day(seed, Raft::new);
-            leases += cluster.leases;
-            followers += cluster.freshFollowers;
+        for (long seed = 1; seed <= SEEDS; seed++) {
+            Cluster cluster = runWithFaults(seed, Raft::new);
+            leases += cluster.leaseObservations;
+            followers += cluster.freshFollowerObservations;
         }
         assertTrue(
-                leases > 100L * DAYS && followers > 100L * DAYS,
-                "too seldom to mean anything: " + leases + ", " + followers);
+                leases > 100L * SEEDS && followers > 100L * SEEDS,
+                "too few observations: " + leases + ", " + followers);
     }
 
-    private static int firstCaught(Maker mutant) {
-        for (int seed = 1; seed <= MUTANT_DAYS; seed++) {
+    private static int firstSeedCaught(RaftFactory mutant) {
+        for (int seed = 1; seed <= MUTANT_SEEDS; seed++) {
             try {
-                day(seed, mutant);
-            } catch (Cluster.Broken e) {
+                runWithFaults(seed, mutant);
+            } catch (Cluster.InvariantViolation e) {
                 return seed;
             }
         }
@@ -103,19 +104,19 @@
     }
 
     @Test
-    void aLeaseFromWhenAnAnswerCameIsCaught() {
-        assertTrue(firstCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+    void leaseStartingAtTheReplyIsCaught() {
+        assertTrue(firstSeedCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
-                    long confirmedFrom(Progress p) {
-                        return p.heardAt;
+                    long lastAckedRoundSentAt(Progress p) {
+                        return p.lastReceivedMillis;
                     }
                 })
                 > 0);
     }
 
     @Test
-    void aLeaseBeforeAnEntryOfItsOwnTermIsCommittedIsCaught() {
-        assertTrue(firstCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+    void leaseBeforeTheFirstCommitOfTheTermIsCaught() {
+        assertTrue(firstSeedCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
                     public boolean hasCommittedInCurrentTerm() {
                         return role() == Role.LEADER;
@@ -130,10 +131,10 @@
     }
 
     @Test
-    void aMemberThatVotesAtOnceAfterItsStartIsCaught() {
-        assertTrue(firstCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+    void votingImmediatelyAfterARestartIsCaught() {
+        assertTrue(firstSeedCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
-                    boolean mayHavePromised() {
+                    boolean isBoundByPriorLease() {
                         return false;
                     }
                 })
@@ -141,10 +142,10 @@
     }
 
     @Test
-    void aVoterThatVotesWhileItHearsTheLeaderIsCaught() {
-        assertTrue(firstCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+    void votingWhileTheLeaderIsActiveIsCaught() {
+        assertTrue(firstSeedCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
-                    boolean content() {
+                    boolean hasActiveLeader() {
                         return role() == Role.LEADER;
                     }
                 })
@@ -152,10 +153,10 @@
     }
 
     @Test
-    void aLeaseThatIsKeptOverAHandOverIsCaught() {
-        assertTrue(firstCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+    void keepingTheLeaseDuringALeadershipTransferIsCaught() {
+        assertTrue(firstSeedCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
-                    boolean leaves() {
+                    boolean isTransferringLeadership() {
                         return false;
                     }
                 })
@@ -163,8 +164,8 @@
     }
 
     @Test
-    void aLeaderThatSaysThatItsLeaseIsOverIsCaught() {
-        assertTrue(firstCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
+    void leaderThatReportsItsLeaseEndedIsCaught() {
+        assertTrue(firstSeedCaught((id, stored, timing, seed, now) -> new Raft(id, stored, timing, seed, now) {
                     @Override
                     boolean hasNoLease() {
                         return true;
@@ -173,7 +174,7 @@
                 > 0);
     }
 
-    // ---- single members, event by event
+    // ---- single members
 
     static Raft voter(long now) {
         return voter(now, Cluster.TIMING);
@@ -188,7 +189,7 @@
                 now);
     }
 
-    /** Elected at 1,000 by the second's votes; nothing is committed yet. */
+    /** Returns a leader elected at 1,000 ms by the votes of member 2, with nothing committed yet. */
     static Raft elected() {
         return elected(Cluster.TIMING);
     }
@@ -203,7 +204,7 @@
         return raft;
     }
 
-    private static long roundTo(long to, Raft raft) {
+    private static long lastRoundSentTo(long to, Raft raft) {
         return raft.drain().messages().stream()
                 .filter(e -> e.to() == to && e.message() instanceof Append)
                 .mapToLong(e -> ((Append) e.message()).round())
@@ -212,37 +213,38 @@
     }
 
     @Test
-    void aLeaseRunsFromTheSendingOfTheRoundThatWasAnswered() {
+    void leaseStartsWhenTheAcknowledgedRoundWasSent() {
         Raft raft = elected();
-        assertEquals(0, raft.leaseUntil(), "nothing of its term is committed");
+        assertEquals(0, raft.leaseUntil(), "no entry of its term is committed");
         assertFalse(raft.holdsLease() || raft.fresh());
         raft.receive(1_020, 2, new AppendReply(4, true, raft.lastIndex(), 1));
-        assertEquals(1_000 + LEASE, raft.leaseUntil());
+        assertEquals(1_000 + LEASE_MILLIS, raft.leaseUntil());
         raft.tick(1_070);
-        long round = roundTo(2, raft);
+        long round = lastRoundSentTo(2, raft);
         raft.receive(1_110, 2, new AppendReply(4, true, raft.lastIndex(), round - 1));
-        assertEquals(1_000 + LEASE, raft.leaseUntil(), "an answer to the round before tells nothing new");
+        assertEquals(
+                1_000 + LEASE_MILLIS, raft.leaseUntil(), "a reply to the previous round does not extend the lease");
         raft.receive(1_120, 2, new AppendReply(4, true, raft.lastIndex(), round));
-        assertEquals(1_070 + LEASE, raft.leaseUntil());
+        assertEquals(1_070 + LEASE_MILLIS, raft.leaseUntil());
         raft.tick(1_170);
-        raft.receive(1_180, 2, new Message.InstallSnapshotReply(4, 1, 0, 1, roundTo(2, raft)));
-        assertEquals(1_170 + LEASE, raft.leaseUntil(), "a voter that takes a snapshot has heard the leader too");
+        raft.receive(1_180, 2, new Message.InstallSnapshotReply(4, 1, 0, 1, lastRoundSentTo(2, raft)));
+        assertEquals(1_170 + LEASE_MILLIS, raft.leaseUntil(), "a reply to a snapshot chunk extends the lease too");
         assertTrue(raft.holdsLease() && raft.fresh());
     }
 
-    /** What is sent for a command puts the next heartbeat off. */
+    /** Appends for commands postpone the next heartbeat, so rounds must not depend on heartbeats alone. */
     @Test
-    void aLeaseIsRenewedAndALeaderThatIsCutOffStepsDownThoughCommandsKeepComing() {
+    void underSteadyCommandsTheLeaseIsRenewedAndADisconnectedLeaderStepsDown() {
         Raft raft = elected();
         long now = 1_000;
         for (int i = 0; i < 100; i++) {
             now += 10;
             raft.tick(now);
             assertTrue(raft.propose(new byte[1]) > 0);
-            raft.receive(now + 1, 2, new AppendReply(4, true, raft.lastIndex(), roundTo(2, raft)));
+            raft.receive(now + 1, 2, new AppendReply(4, true, raft.lastIndex(), lastRoundSentTo(2, raft)));
             assertTrue(raft.holdsLease());
         }
-        long until = now + 2 * ELECTION + 20;
+        long until = now + 2 * ELECTION_TIMEOUT_MILLIS + 20;
         while (now < until) {
             now += 10;
             raft.tick(now);
@@ -251,9 +253,12 @@
         assertEquals(Raft.Role.FOLLOWER, raft.role());
     }
 
-    /** A leader on a slow clock and a voter on a fast one, which heard its round as it was sent. */
-    private static boolean leasedWhileTheVoterVotes(Timing leaders) {
-        Raft leader = elected(leaders);
+    /**
+     * Returns whether a leader with a slow clock still holds its lease when a voter with a fast clock, which received
+     * the round without delay, votes for another.
+     */
+    private static boolean holdsLeaseWhenVoterMayVote(Timing leaderTiming) {
+        Raft leader = elected(leaderTiming);
         leader.receive(1_000, 2, new AppendReply(4, true, leader.lastIndex(), 1));
         Raft voter = voter(0);
         voter.receive(1_000, 2, new Append(4, 0, 0, 0, 1, List.of()));
@@ -265,34 +270,34 @@
     }
 
     @Test
-    void aLeaseEndsBeforeAVoteThoughTheClocksAreUnlike() {
-        assertFalse(leasedWhileTheVoterVotes(Cluster.TIMING));
+    void leaseEndsBeforeVotesAreGrantedDespiteClockDrift() {
+        assertFalse(holdsLeaseWhenVoterMayVote(Cluster.TIMING));
         assertTrue(
-                leasedWhileTheVoterVotes(new Timing(50, ELECTION * 10 / 9)),
-                "a lease as long as the voter's silence is caught");
+                holdsLeaseWhenVoterMayVote(new Timing(50, ELECTION_TIMEOUT_MILLIS * 10 / 9)),
+                "a lease as long as the time for which votes are withheld is caught");
     }
 
     @Test
-    void aLeaderThatThawsHasNoLeaseUntilANewRoundIsAnswered() {
+    void afterAProcessPauseTheLeaderHasNoLeaseUntilANewRoundIsAcknowledged() {
         Raft raft = elected();
         raft.receive(1_020, 2, new AppendReply(4, true, raft.lastIndex(), 1));
         assertTrue(raft.holdsLease());
-        assertFalse(raft.holdsLease(30_000), "asked before any event, with the time as it is");
+        assertFalse(raft.holdsLease(30_000), "checked at the current time before any event");
         raft.receive(30_000, 2, new AppendReply(4, true, raft.lastIndex(), 1));
-        assertFalse(raft.holdsLease() || raft.fresh(), "an answer that lay there while it was frozen");
+        assertFalse(raft.holdsLease() || raft.fresh(), "the reply had waited during the pause");
         raft.drain();
         raft.tick(30_001);
-        raft.receive(30_010, 2, new AppendReply(4, true, raft.lastIndex(), roundTo(2, raft)));
+        raft.receive(30_010, 2, new AppendReply(4, true, raft.lastIndex(), lastRoundSentTo(2, raft)));
         assertTrue(raft.holdsLease());
     }
 
     @Test
-    void aLeaderHandsOverToAnotherAndNotToItself() {
+    void leadershipIsTransferredToAnotherMemberNotToItself() {
         Raft raft = elected();
         raft.transferLeadership();
         assertTrue(
                 raft.drain().messages().stream().noneMatch(e -> e.message() instanceof Message.TimeoutNow),
-                "nobody has all");
+                "no follower is up to date");
         raft.receive(1_020, 3, new AppendReply(4, true, raft.lastIndex(), 1));
         raft.transferLeadership();
         assertEquals(
@@ -304,16 +309,16 @@
     }
 
     @Test
-    void aLeaderThatHandsOverGivesItsLeaseUpFirstAndDoesNotStayWithoutOne() {
+    void transferEndsTheLeaseFirstAndTheLeaderStepsDownAfterATimeout() {
         Raft raft = elected();
         raft.receive(1_020, 2, new AppendReply(4, true, raft.lastIndex(), 1));
         raft.persisted(raft.drain());
         raft.transferLeadership();
         assertFalse(raft.holdsLease());
         raft.tick(1_070);
-        raft.receive(1_075, 2, new AppendReply(4, true, raft.lastIndex(), roundTo(2, raft)));
-        assertFalse(raft.holdsLease(), "who was asked to stand may do so at any time");
-        raft.tick(1_020 + ELECTION);
+        raft.receive(1_075, 2, new AppendReply(4, true, raft.lastIndex(), lastRoundSentTo(2, raft)));
+        assertFalse(raft.holdsLease(), "the successor may start its election at any time");
+        raft.tick(1_020 + ELECTION_TIMEOUT_MILLIS);
         assertEquals(Raft.Role.FOLLOWER, raft.role());
     }
 
@@ -323,19 +328,19 @@
         return ((VoteReply) raft.drain().messages().get(0).message()).granted();
     }
 
-    /** The term may be raised by an answer to an early question: that frees nobody from a promise. */
+    /** A reply to an earlier pre-vote request may raise the term, which does not end the support for a lease. */
     @Test
-    void aVoterWhoseTermWasRaisedKeepsItsPromise() {
+    void voterWithholdsItsVoteAfterItsTermWasRaised() {
         Raft raft = voter(0);
         raft.receive(1_000, 2, new Append(4, 0, 0, 0, 1, List.of()));
         raft.receive(1_010, 3, new VoteReply(5, true, false));
         assertEquals(5, raft.term());
         assertFalse(grants(raft, 1_020, 5));
-        assertTrue(grants(raft, 1_000 + ELECTION, 5));
+        assertTrue(grants(raft, 1_000 + ELECTION_TIMEOUT_MILLIS, 5));
     }
 
     @Test
-    void aFollowerCountsALeaseFromItsOwnEchoAndTrustsNoneOfAnEarlierLife() {
+    void followerCountsTheLeaseFromItsOwnReplyAndIgnoresRepliesFromBeforeARestart() {
         Raft raft = voter(0);
         raft.receive(1_000, 2, new Append(4, 0, 0, 0, 1, List.of()));
         AppendReply reply = (AppendReply) raft.drain().messages().get(0).message();
@@ -345,9 +350,9 @@
         assertTrue(raft.fresh());
         assertFalse(raft.fresh(1_150));
         raft.receive(1_120, 2, new Append(4, 0, 0, 3, 3, List.of(), reply.sentAt() + 50, 150));
-        assertFalse(raft.fresh(), "it has yet to apply what was committed then");
+        assertFalse(raft.fresh(), "entries committed by then are not applied yet");
         Raft again = new Raft(1, PersistentState.EMPTY, Cluster.TIMING, 2, 900);
         again.receive(1_100, 2, new Append(4, 0, 0, 0, 2, List.of(), reply.sentAt(), 150));
-        assertFalse(again.fresh(), "another life, another clock");
+        assertFalse(again.fresh(), "after a restart the clock is a different one");
     }
 }
