--- a/src/main/java/tinworks/net/Discovery.java
+++ b/src/main/java/tinworks/net/Discovery.java
@@ -31,89 +31,89 @@
 import tinworks.json.Json;
 
 /**
- * The watch on the list of hosts. Each {@link #watch} ends as one {@link Listener#failed}, sooner or later; when to
- * watch again is the module's decision.
+ * Service discovery: watches the list of hosts. Each {@link #watch} eventually ends with one
+ * {@link Listener#onFailure}; this class does not reconnect, as the load balancer decides when to watch again.
  */
 final class Discovery {
-    /** Told on the event loop, never from within {@link #watch}. */
+    /** Called on the event loop, never from within {@link #watch}. */
     interface Listener {
-        void listed(EndpointList list);
+        void onList(EndpointList list);
 
-        void failed();
+        void onFailure();
     }
 
     /**
-     * An empty line comes every two seconds. Guards against a watch whose far side vanished: nothing ends such a
-     * connection, and what it would have told counts as told after six seconds.
+     * The service sends an empty line every two seconds as a heartbeat. Without this timeout nothing would end a
+     * connection whose remote end vanished, and a change counts as known to the gateway after six seconds.
      */
-    static final long SILENCE_MILLIS = 5_000;
+    static final long READ_TIMEOUT_MILLIS = 5_000;
 
-    private static final int DIAL_MILLIS = 2_000;
-    private static final int LONGEST_LINE = 1 << 20;
+    private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
+    private static final int MAX_LINE_BYTES = 1 << 20;
 
     private final EventLoop loop;
     private final Transport transport;
     private final Listener listener;
-    private final long silenceMillis;
+    private final long readTimeoutMillis;
     private SocketAddress address;
     private long index;
     private Channel watch;
 
-    /** Follows what changes after the version {@code index}; a watch that is silent for so long is broken. */
+    /** Watches for changes after the version {@code index}; closes a watch that receives nothing for the timeout. */
     Discovery(
             EventLoop loop,
             Transport transport,
             SocketAddress address,
             long index,
-            long silenceMillis,
+            long readTimeoutMillis,
             Listener listener) {
         this.loop = loop;
         this.transport = transport;
         this.address = address;
         this.index = index;
-        this.silenceMillis = silenceMillis;
+        this.readTimeoutMillis = readTimeoutMillis;
         this.listener = listener;
     }
 
     /**
-     * Goes over to another address at once, without a word to the listener: the list that it has still holds, and what
-     * the new address tells comes on top. Its version may be lower, as that of any answer.
+     * Switches to another address at once, without calling the listener: the current list stays valid, and updates from
+     * the new address are applied to it. The version of any update may be lower than the current one.
      */
-    void moveTo(SocketAddress next) {
-        address = next;
+    void switchTo(SocketAddress newAddress) {
+        address = newAddress;
         close();
         watch();
     }
 
-    /** Opens the watch; one that is open, or on its way, stays the only one. */
+    /** Opens the watch, unless one is open or being opened. */
     void watch() {
         if (watch != null) {
             return;
         }
-        ChannelFuture dial = new Bootstrap()
+        ChannelFuture connected = new Bootstrap()
                 .group(loop)
                 .channel(transport.client())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline()
                                 .addLast(
-                                        new ReadTimeoutHandler(silenceMillis, TimeUnit.MILLISECONDS),
+                                        new ReadTimeoutHandler(readTimeoutMillis, TimeUnit.MILLISECONDS),
                                         new HttpClientCodec(),
-                                        new BodyBytes(),
-                                        new LineBasedFrameDecoder(LONGEST_LINE),
-                                        new Lines());
+                                        new BodyExtractor(),
+                                        new LineBasedFrameDecoder(MAX_LINE_BYTES),
+                                        new LineHandler());
                     }
                 })
                 .connect(address);
-        watch = dial.channel();
-        Channel dialled = watch;
-        // The close future, unlike the end of a handler, is also told of a dial that failed.
-        dialled.closeFuture().addListener(closed -> loop.execute(() -> ended(dialled)));
+        watch = connected.channel();
+        Channel opened = watch;
+        // The close future, unlike a handler's channelInactive, also completes if the connect fails.
+        opened.closeFuture().addListener(closed -> loop.execute(() -> onClosed(opened)));
     }
 
-    /** Ends the watch without a word to the listener. */
+    /** Closes the watch without calling the listener. */
     void close() {
         Channel old = watch;
         watch = null;
@@ -122,15 +122,15 @@
         }
     }
 
-    private void ended(Channel channel) {
+    private void onClosed(Channel channel) {
         if (channel == watch) {
             watch = null;
-            listener.failed();
+            listener.onFailure();
         }
     }
 
-    /** Lets through the bytes of a 200 answer, and ends the connection on any other and after the last. */
-    private static final class BodyBytes extends SimpleChannelInboundHandler<HttpObject> {
+    /** Passes on the body of a 200 response; closes the connection after it, and on any other response. */
+    private static final class BodyExtractor extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
             if (part.decoderResult().isFailure()
@@ -147,14 +147,14 @@
         }
     }
 
-    /** Asks, and reads the answer line by line. */
-    private final class Lines extends ChannelInboundHandlerAdapter {
+    /** Sends the request, and reads the response line by line. */
+    private final class LineHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            DefaultFullHttpRequest ask = new DefaultFullHttpRequest(
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(
                     HttpVersion.HTTP_1_1, HttpMethod.GET, "/v1/endpoints?follow=1&since=" + index);
-            ask.headers().set(HttpHeaderNames.HOST, host());
-            ctx.writeAndFlush(ask);
+            request.headers().set(HttpHeaderNames.HOST, host());
+            ctx.writeAndFlush(request);
         }
 
         private String host() {
@@ -168,10 +168,10 @@
                 if (!line.isBlank() && ctx.channel() == watch) {
                     EndpointList list = EndpointList.read(Json.read(line));
                     index = list.index();
-                    listener.listed(list);
+                    listener.onList(list);
                 }
             } catch (IOException | IllegalArgumentException e) {
-                // A change that can't be read leaves a gap: the next watch brings it again.
+                // An unreadable change would leave a gap; the next watch receives it again.
                 ctx.close();
             } finally {
                 ReferenceCountUtil.release(message);
--- a/src/main/java/tinworks/net/WarmUp.java
+++ b/src/main/java/tinworks/net/WarmUp.java
@@ -32,71 +32,70 @@
 import tinworks.policy.LoadBalancerApi.ServerInfo;
 
 /**
- * Made-up requests through a gateway of its own, over sockets that nobody else can reach, before the real one listens.
- * Guards against a cold start under load: code that is not yet compiled costs so much that the first seconds' clients
- * are answered late, and the module learns from these answers that all hosts are slow. Nothing of the rehearsal
- * outlives it, and no client or host ever sees it.
+ * JIT warm-up: sends synthetic requests through a temporary gateway, over channels that are not reachable from outside,
+ * before the real gateway listens. Under load, code that is not yet compiled is so slow that clients get late responses
+ * in the first seconds, and the load balancer takes all hosts for slow. Nothing of the warm-up remains afterwards, and
+ * no real client or host is involved.
  */
 final class WarmUp {
-    /** Enough to meet nearly all code often; more would keep a gateway that starts anew out for longer. */
+    /** Runs nearly all code often enough to be compiled; more would delay the start of a gateway. */
     private static final int REQUESTS = 400;
-    /** Without sockets less can be warmed: enough to meet the code once, and clients are served the sooner. */
+    /** Without sockets less code can be warmed up: runs it once, so that the gateway starts sooner. */
     private static final int REQUESTS_IN_MEMORY = 24;
 
     private static final int CLIENTS = 8;
     private static final int HOSTS = 4;
-    /** A gateway is wanted soon after its start: what isn't warm by then has to do. */
-    static final long LONGEST_MILLIS = 4_000;
+    /** A gateway has to be ready soon after its start, so the warm-up ends by then even if it is incomplete. */
+    static final long MAX_DURATION_MILLIS = 4_000;
 
-    private static final long END_MILLIS = 500;
-    private static final long QUIET_MILLIS = 20;
+    private static final long TERMINATION_TIMEOUT_MILLIS = 500;
+    private static final long QUIET_PERIOD_MILLIS = 20;
 
     private final EventLoop loop;
-    private final EventLoop farSides;
+    private final EventLoop peerLoop;
     private final GatewayConfig config;
     private final Transport transport;
     private final int requests;
-    private final SocketAddress stage;
-    private final SocketAddress hosts;
+    private final SocketAddress gatewayAddress;
+    private final SocketAddress hostAddress;
     private final CompletableFuture<Void> done = new CompletableFuture<>();
-    private int asked;
-    private int answered;
+    private int sent;
+    private int received;
 
     private WarmUp(
             EventLoop loop,
-            EventLoop farSides,
+            EventLoop peerLoop,
             GatewayConfig config,
             Transport transport,
-            SocketAddress stage,
-            SocketAddress hosts) {
+            SocketAddress gatewayAddress,
+            SocketAddress hostAddress) {
         this.loop = loop;
-        this.farSides = farSides;
+        this.peerLoop = peerLoop;
         this.config = config;
         this.transport = transport;
         requests = transport.equals(Transport.IN_MEMORY) ? REQUESTS_IN_MEMORY : REQUESTS;
-        this.stage = stage;
-        this.hosts = hosts;
+        this.gatewayAddress = gatewayAddress;
+        this.hostAddress = hostAddress;
     }
 
     /**
-     * Returns when all is warm, or when it has taken long enough: whether it was played to its end. One that fails
-     * costs only its gain.
+     * Runs the warm-up for at most the given time, and returns whether it completed. A failure only loses its benefit.
      */
-    static boolean run(GatewayConfig config, long longestMillis) {
+    static boolean run(GatewayConfig config, long maxMillis) {
         try {
-            return hasFileSockets() ? inFiles(config, longestMillis) : inMemory(config, longestMillis);
+            return supportsUnixDomainSockets() ? runOverUnixSockets(config, maxMillis) : runInMemory(config, maxMillis);
         } catch (TimeoutException e) {
-            System.err.println("tinworks: the rehearsal was cut short");
+            System.err.println("tinworks: warm-up stopped at its time limit");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException | ExecutionException e) {
-            System.err.println("tinworks: no rehearsal: " + e.getMessage());
+            System.err.println("tinworks: warm-up failed: " + e.getMessage());
         }
         return false;
     }
 
-    /** Some platforms grant a process sockets of the internet protocol and no others. */
-    private static boolean hasFileSockets() {
+    /** Some platforms allow a process internet sockets only. */
+    private static boolean supportsUnixDomainSockets() {
         try (SocketChannel probe = SocketChannel.open(StandardProtocolFamily.UNIX)) {
             return probe.isOpen();
         } catch (IOException | UnsupportedOperationException e) {
@@ -104,81 +103,81 @@
         }
     }
 
-    private static boolean inFiles(GatewayConfig config, long longestMillis)
+    private static boolean runOverUnixSockets(GatewayConfig config, long maxMillis)
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
-        // Of its own making: the library's names for such folders come out of a slow source of chance.
-        Path folder = Files.createDirectory(Path.of(
+        // Not Files.createTempDirectory, whose names come from a slow source of randomness.
+        Path directory = Files.createDirectory(Path.of(
                 System.getProperty("java.io.tmpdir"),
                 "rehearsal-" + ProcessHandle.current().pid() + "-" + System.nanoTime()));
         try {
-            return play(
+            return execute(
                     config,
-                    longestMillis,
+                    maxMillis,
                     NioIoHandler.newFactory(),
                     Transport.UNIX_DOMAIN,
-                    UnixDomainSocketAddress.of(folder.resolve("stage")),
-                    UnixDomainSocketAddress.of(folder.resolve("hosts")));
+                    UnixDomainSocketAddress.of(directory.resolve("stage")),
+                    UnixDomainSocketAddress.of(directory.resolve("hosts")));
         } finally {
-            Files.deleteIfExists(folder.resolve("stage"));
-            Files.deleteIfExists(folder.resolve("hosts"));
-            Files.deleteIfExists(folder);
+            Files.deleteIfExists(directory.resolve("stage"));
+            Files.deleteIfExists(directory.resolve("hosts"));
+            Files.deleteIfExists(directory);
         }
     }
 
-    /** Leaves the sockets themselves cold, and warms all that stands on them. */
-    static boolean inMemory(GatewayConfig config, long longestMillis)
+    /** Warms up all code but that of the sockets. */
+    static boolean runInMemory(GatewayConfig config, long maxMillis)
             throws InterruptedException, ExecutionException, TimeoutException {
-        return play(
+        return execute(
                 config,
-                longestMillis,
+                maxMillis,
                 LocalIoHandler.newFactory(),
                 Transport.IN_MEMORY,
                 new LocalAddress("rehearsal-stage"),
                 new LocalAddress("rehearsal-hosts"));
     }
 
-    private static boolean play(
+    private static boolean execute(
             GatewayConfig config,
-            long longestMillis,
+            long maxMillis,
             IoHandlerFactory io,
             Transport transport,
-            SocketAddress stage,
-            SocketAddress hosts)
+            SocketAddress gatewayAddress,
+            SocketAddress hostAddress)
             throws InterruptedException, ExecutionException, TimeoutException {
-        // In memory a write on one loop would be read within the call: the far sides have a loop of their own, and
-        // as each tells the other of its end, neither may end at once.
+        // Between local channels on one event loop, a write would be read within the call, so the peers get their own
+        // loop. The loops notify each other of closed channels, so neither may terminate at once.
         boolean twoLoops = transport.equals(Transport.IN_MEMORY);
         ClosingEventLoopGroup group = new ClosingEventLoopGroup(twoLoops ? 2 : 1, io);
         try {
-            new WarmUp(group.next(), group.next(), config, transport, stage, hosts)
-                    .play()
-                    .get(longestMillis, TimeUnit.MILLISECONDS);
+            new WarmUp(group.next(), group.next(), config, transport, gatewayAddress, hostAddress)
+                    .execute()
+                    .get(maxMillis, TimeUnit.MILLISECONDS);
             return true;
         } finally {
-            group.shutdownGracefully(twoLoops ? QUIET_MILLIS : 0, QUIET_MILLIS, TimeUnit.MILLISECONDS)
-                    .await(END_MILLIS);
+            group.shutdownGracefully(twoLoops ? QUIET_PERIOD_MILLIS : 0, QUIET_PERIOD_MILLIS, TimeUnit.MILLISECONDS)
+                    .await(TERMINATION_TIMEOUT_MILLIS);
         }
     }
 
-    private CompletableFuture<Void> play() {
-        // Guards against compiling for one kind of sockets alone, which the first of the other kind would undo.
+    private CompletableFuture<Void> execute() {
+        // Loads the TCP channel class: code compiled for one class alone is deoptimized by the first of another.
         new NioSocketChannel().unsafe().closeForcibly();
-        ServerBootstrap listener = new ServerBootstrap().group(farSides).channel(transport.server());
-        listener.childHandler(new ChannelInitializer<Channel>() {
+        ServerBootstrap server = new ServerBootstrap().group(peerLoop).channel(transport.server());
+        server.childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new Host());
                     }
                 })
-                .bind(hosts)
+                .bind(hostAddress)
                 .addListener(bound -> {
                     if (bound.isSuccess()) {
-                        Gateway.start(GatewayLoop.unwatched(loop), setting(), transport, line -> {})
-                                .whenComplete((gateway, fault) -> {
-                                    if (fault == null) {
-                                        farSides.execute(this::clients);
+                        Gateway.start(GatewayLoop.shared(loop), warmUpConfig(), transport, line -> {})
+                                .whenComplete((gateway, failure) -> {
+                                    if (failure == null) {
+                                        peerLoop.execute(this::connectClients);
                                     } else {
-                                        done.completeExceptionally(fault);
+                                        done.completeExceptionally(failure);
                                     }
                                 });
                     } else {
@@ -188,28 +187,29 @@
         return done;
     }
 
-    /** The real settings, with hosts that are all this rehearsal's own. */
-    private GatewayConfig setting() {
+    /** The real settings, with the hosts of the warm-up. */
+    private GatewayConfig warmUpConfig() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
             endpoints.add(new Endpoint(
-                    new ServerInfo("host-" + i, config.settings().zone(), "any", 0, Readiness.READY, 1, 0), hosts));
+                    new ServerInfo("host-" + i, config.settings().zone(), "any", 0, Readiness.READY, 1, 0),
+                    hostAddress));
         }
         return new GatewayConfig(
-                stage,
-                hosts,
+                gatewayAddress,
+                hostAddress,
                 config.seed(),
-                config.sockets(),
-                config.dialTimeoutNanos(),
-                config.idleNanos(),
+                config.maxDescriptors(),
+                config.connectTimeoutNanos(),
+                config.hostIdleTimeoutNanos(),
                 config.settings(),
                 new EndpointList(0, true, endpoints),
                 null);
     }
 
-    private void clients() {
-        Bootstrap dial = new Bootstrap()
-                .group(farSides)
+    private void connectClients() {
+        Bootstrap bootstrap = new Bootstrap()
+                .group(peerLoop)
                 .channel(transport.client())
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
@@ -218,28 +218,28 @@
                     }
                 });
         for (int i = 0; i < CLIENTS; i++) {
-            dial.connect(stage);
+            bootstrap.connect(gatewayAddress);
         }
     }
 
     private final class Client extends WarmUpPeer {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ask(ctx);
+            sendRequest(ctx);
         }
 
-        private void ask(ChannelHandlerContext ctx) {
+        private void sendRequest(ChannelHandlerContext ctx) {
             List<RequestClass> classes = config.settings().classes();
-            RequestClass c = classes.get(asked++ % classes.size());
+            RequestClass c = classes.get(sent++ % classes.size());
             boolean safe = c.idempotency() == Idempotency.SAFE;
-            String head = (safe ? "GET /" : "POST /") + c.name() + "/" + asked + " HTTP/1.1\r\nHost: localhost\r\n"
-                    + "X-Request-ID: rehearsal-" + asked + "\r\nX-Timeout: "
+            String head = (safe ? "GET /" : "POST /") + c.name() + "/" + sent + " HTTP/1.1\r\nHost: localhost\r\n"
+                    + "X-Request-ID: rehearsal-" + sent + "\r\nX-Timeout: "
                     + TimeUnit.NANOSECONDS.toMillis(c.deadlineNanos()) + "m\r\n";
             if (!config.settings().tenants().isEmpty()) {
                 head += "X-Tenant-Id: " + config.settings().tenants().get(0).name() + "\r\n";
             }
             if (c.idempotency() == Idempotency.KEYED) {
-                head += "Idempotency-Key: rehearsal-" + asked + "\r\n";
+                head += "Idempotency-Key: rehearsal-" + sent + "\r\n";
             }
             write(ctx, safe ? head : head + "Content-Length: " + BODY.length + "\r\n", safe ? EMPTY_BODY : BODY);
         }
@@ -251,19 +251,19 @@
 
         @Override
         protected void messageReceived(ChannelHandlerContext ctx) {
-            if (++answered < requests) {
-                ask(ctx);
+            if (++received < requests) {
+                sendRequest(ctx);
             } else {
                 done.complete(null);
             }
         }
     }
 
-    /** Serves nearly all, and shows the gateway the other ends that an attempt can have. */
+    /** Serves nearly all requests; the others exercise the code for rejections and errors. */
     private static final class Host extends WarmUpPeer {
         private static final int FULL_EVERY = 37;
         private static final int ERROR_EVERY = 53;
-        private static final String REST = "Content-Length: " + BODY.length + "\r\nX-Server-Load: tps=";
+        private static final String RESPONSE_HEADERS = "Content-Length: " + BODY.length + "\r\nX-Server-Load: tps=";
 
         private int requests;
 
@@ -279,7 +279,7 @@
             String status = full
                     ? "503 Full\r\nX-Not-Processed: 1\r\n"
                     : requests % ERROR_EVERY == 0 ? "500 Error\r\n" : "200 OK\r\n";
-            write(ctx, "HTTP/1.1 " + status + REST + requests + ".5,load_share=0.25,err_ps=0\r\n", BODY);
+            write(ctx, "HTTP/1.1 " + status + RESPONSE_HEADERS + requests + ".5,load_share=0.25,err_ps=0\r\n", BODY);
         }
     }
 }
