--- a/src/main/java/tinworks/net/Gateway.java
+++ b/src/main/java/tinworks/net/Gateway.java
@@ -21,35 +21,35 @@
 import tinworks.policy.LoadBalancerApi.ShutdownStarted;
 
 /**
- * One real gateway of the earlier protocol: clients, hosts, the watch on the list and messages to other gateways round
- * one {@link Forwarding}. Everything runs on one event loop thread.
+ * One gateway of the earlier protocol. Connects clients, hosts, discovery and peer messages to one {@link Forwarding},
+ * on one event loop thread. Process start and signals are handled by {@link GatewayProcess}.
  */
 final class Gateway implements Forwarding.Callbacks {
-    /** The platform kills no sooner than the longest deadline and so much more after it asked for an end. */
-    private static final long KILLED_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
-    /** Of that time, what is left for a signal that comes late and for this process's own stalls. */
-    private static final long END_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+    /** After SIGTERM, the platform waits at least the longest deadline and this time before it kills the process. */
+    private static final long KILL_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+    /** The part of that time that is reserved for late delivery of the signal and for stalls of this process. */
+    private static final long SHUTDOWN_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-    private static final long LONGEST_TAKING_NANOS = TimeUnit.SECONDS.toNanos(1);
-    private static final long END_CHECK_MILLIS = 10;
-    /** Descriptors for the listener, the watch, the selector, the jar files and the standard streams. */
-    private static final int OTHER_DESCRIPTORS = 64;
+    private static final long MAX_ACCEPTING_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long SHUTDOWN_POLL_MILLIS = 10;
+    /** File descriptors for the listener, the discovery watch, the selector, jar files and standard streams. */
+    private static final int RESERVED_DESCRIPTORS = 64;
 
     private final EventLoop loop;
     private final Consumer<String> log;
     private final MonotonicClock clock;
     private final GatewayConfig config;
     private final Map<String, RequestClass> classes = new HashMap<>();
-    private final CompletableFuture<Void> ended = new CompletableFuture<>();
+    private final CompletableFuture<Void> terminated = new CompletableFuture<>();
     private final Forwarding forwarding;
     private final HostPool hosts;
     private final Discovery discovery;
     private final ClientServer clients;
-    /** Null where the configuration names no other gateways. */
+    /** Null if the configuration names no other gateways. */
     private final Peers peers;
 
-    private boolean askedForList;
-    private boolean ending;
+    private boolean discoveryResponded;
+    private boolean shuttingDown;
 
     private Gateway(GatewayLoop gatewayLoop, GatewayConfig config, Transport transport, Consumer<String> log) {
         loop = gatewayLoop.loop();
@@ -57,21 +57,26 @@
         this.log = log;
         this.config = config;
         config.settings().classes().forEach(c -> classes.put(c.name(), c));
-        int connections = Math.max(2, config.sockets() - OTHER_DESCRIPTORS);
+        int connections = Math.max(2, config.maxDescriptors() - RESERVED_DESCRIPTORS);
         hosts = new HostPool(
                 loop,
                 transport,
                 clock,
                 new HostPool.Bounds(
-                        config.dialTimeoutNanos(),
-                        config.idleNanos(),
+                        config.connectTimeoutNanos(),
+                        config.hostIdleTimeoutNanos(),
                         connections / 2,
                         ResponseReader.DEFAULT_MAX_BODY_BYTES),
                 BalancerProtocol.INSTANCE);
         discovery = new Discovery(
-                loop, transport, config.discovery(), config.known().index(), Discovery.SILENCE_MILLIS, new Watcher());
-        clients =
-                new ClientServer(loop, transport, clock, ClientServer.Bounds.defaults(connections / 2), new Requests());
+                loop,
+                transport,
+                config.discovery(),
+                config.knownHosts().index(),
+                Discovery.READ_TIMEOUT_MILLIS,
+                new DiscoveryListener());
+        clients = new ClientServer(
+                loop, transport, clock, ClientServer.Bounds.defaults(connections / 2), new RequestListener());
         forwarding =
                 new Forwarding(loop, clock, config.settings(), config.seed(), hosts, BalancerProtocol.INSTANCE, this);
         peers = config.peers() == null
@@ -80,34 +85,35 @@
                         loop,
                         config.peers(),
                         config.settings().gatewayIndex(),
-                        (gateway, body) -> tell(new PeerMessageReceived(gateway, body)),
+                        (gateway, body) -> dispatch(new PeerMessageReceived(gateway, body)),
                         log);
     }
 
-    /** Starts a gateway; the future ends when it listens, or tells why it can't. */
+    /** Starts a gateway; the future completes when it listens, or exceptionally if it cannot. */
     static CompletableFuture<Gateway> start(
             GatewayLoop loop, GatewayConfig config, Transport transport, Consumer<String> log) {
         return open(loop, config, transport, log).thenCompose(Gateway::listen);
     }
 
     /**
-     * A gateway that follows discovery and takes no clients yet. Guards against a gateway that listens and isn't ready:
-     * discovery's first answer may take its time, in which other work can be done.
+     * Creates a gateway that watches discovery but does not listen yet. The first list may take long, so the caller can
+     * do other work before the gateway listens, rather than listen without being ready.
      */
     static CompletableFuture<Gateway> open(
             GatewayLoop loop, GatewayConfig config, Transport transport, Consumer<String> log) {
         CompletableFuture<Gateway> opened = new CompletableFuture<>();
         loop.loop().execute(() -> {
             Gateway gateway = new Gateway(loop, config, transport, log);
-            gateway.hosts.update(config.known().places(), config.known().snapshot());
-            gateway.tell(
-                    new ServerListReceived(ServerListKind.CACHED, config.known().servers()));
+            gateway.hosts.update(
+                    config.knownHosts().hostEntries(), config.knownHosts().snapshot());
+            gateway.dispatch(new ServerListReceived(
+                    ServerListKind.CACHED, config.knownHosts().servers()));
             opened.complete(gateway);
         });
         return opened;
     }
 
-    /** Starts to take clients; the future ends with this gateway, or tells why it can't. From any thread. */
+    /** Starts listening; the future completes with this gateway, or exceptionally. Thread-safe. */
     CompletableFuture<Gateway> listen() {
         CompletableFuture<Gateway> started = new CompletableFuture<>();
         loop.execute(() -> clients.listen(config.listen()).addListener(bound -> {
@@ -120,65 +126,65 @@
         return started;
     }
 
-    /** Where clients connect. */
+    /** The address that clients connect to. */
     InetSocketAddress address() {
         return clients.address();
     }
 
     /**
-     * Ends in good order: serves on the connections that clients have for as long as a request can still be answered
-     * within its aim, answers all that was taken, and then completes the future. Guards against sending clients away
-     * while no other gateway may be there for them, as in a rolling restart whose starts take long; equally where the
-     * others are full, or die. It could do harm where a successor has to wait for this process's end, so the time is
-     * bounded. May be called from any thread.
+     * Starts a graceful shutdown: keeps serving on open client connections while a request can still be answered within
+     * its latency target, answers all accepted requests, and then completes the future. Otherwise clients would be sent
+     * away while no other gateway may be available, for example in a rolling restart with slow starts, or if the other
+     * gateways are full or crash. The time is bounded, since a successor may have to wait for this process to exit.
+     * Thread-safe.
      */
-    CompletableFuture<Void> end() {
+    CompletableFuture<Void> shutDown() {
         loop.execute(() -> {
-            if (!ending) {
-                ending = true;
-                long within = longest(RequestClass::deadlineNanos) + KILLED_AFTER_NANOS - END_MARGIN_NANOS;
-                tell(new ShutdownStarted(within));
+            if (!shuttingDown) {
+                shuttingDown = true;
+                long withinNanos = max(RequestClass::deadlineNanos) + KILL_GRACE_NANOS - SHUTDOWN_MARGIN_NANOS;
+                dispatch(new ShutdownStarted(withinNanos));
                 loop.schedule(
                         this::stopAccepting,
-                        Math.min(LONGEST_TAKING_NANOS, within - longest(RequestClass::targetNanos)),
+                        Math.min(MAX_ACCEPTING_NANOS, withinNanos - max(RequestClass::targetNanos)),
                         TimeUnit.NANOSECONDS);
             }
         });
-        return ended;
+        return terminated;
     }
 
-    private long longest(ToLongFunction<RequestClass> time) {
-        return classes.values().stream().mapToLong(time).max().orElseThrow();
+    private long max(ToLongFunction<RequestClass> duration) {
+        return classes.values().stream().mapToLong(duration).max().orElseThrow();
     }
 
-    /** Follows discovery at this address from now on; the list and the open requests stay. From any thread. */
-    void moveDiscovery(SocketAddress address) {
+    /** Moves the discovery watch to this address; the host list and open requests are kept. Thread-safe. */
+    void setDiscoveryAddress(SocketAddress address) {
         loop.execute(() -> {
-            // Guards against a watch that nothing closes any more.
-            if (!ended.isDone()) {
-                discovery.moveTo(address);
+            // After termination nothing would close the watch.
+            if (!terminated.isDone()) {
+                discovery.switchTo(address);
             }
         });
     }
 
     private void stopAccepting() {
         clients.stopAccepting();
-        endWhenIdle();
+        closeWhenIdle();
     }
 
-    private void endWhenIdle() {
+    private void closeWhenIdle() {
         if (clients.hasConnections()) {
-            loop.schedule(this::endWhenIdle, END_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::closeWhenIdle, SHUTDOWN_POLL_MILLIS, TimeUnit.MILLISECONDS);
         } else {
             discovery.close();
             if (peers != null) {
                 peers.close();
             }
-            ended.complete(null);
+            terminated.complete(null);
         }
     }
 
-    private void tell(Event event) {
+    private void dispatch(Event event) {
         forwarding.dispatch(event);
     }
 
@@ -190,7 +196,7 @@
     @Override
     public void broadcast(byte[] body) {
         if (peers != null) {
-            peers.tellAll(body);
+            peers.broadcast(body);
         }
     }
 
@@ -199,37 +205,37 @@
         log.accept(line);
     }
 
-    private final class Watcher implements Discovery.Listener {
+    private final class DiscoveryListener implements Discovery.Listener {
         @Override
-        public void listed(EndpointList list) {
-            askedForList = true;
-            hosts.update(list.places(), list.snapshot());
-            tell(new ServerListReceived(
+        public void onList(EndpointList list) {
+            discoveryResponded = true;
+            hosts.update(list.hostEntries(), list.snapshot());
+            dispatch(new ServerListReceived(
                     list.snapshot() ? ServerListKind.FULL : ServerListKind.CHANGES, list.servers()));
         }
 
         @Override
-        public void failed() {
-            askedForList = true;
-            tell(new ServerListReceived(ServerListKind.FAILED, List.of()));
+        public void onFailure() {
+            discoveryResponded = true;
+            dispatch(new ServerListReceived(ServerListKind.FAILED, List.of()));
         }
     }
 
-    private final class Requests implements ClientServer.Listener {
+    private final class RequestListener implements ClientServer.Listener {
         /**
-         * Guards against a release that keeps its gateways out for as long as discovery takes to answer all of them in
-         * turn: with the list that it last had, a gateway serves meanwhile. One without a list waits.
+         * A gateway with a known host list is ready before discovery responds. Otherwise a rollout would keep gateways
+         * unready for as long as discovery takes to respond to all of them in turn. One without a list waits.
          */
         @Override
         public boolean ready() {
-            return (askedForList || !config.known().endpoints().isEmpty()) && !ending;
+            return (discoveryResponded || !config.knownHosts().endpoints().isEmpty()) && !shuttingDown;
         }
 
         @Override
         public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
-            long at = clock.nanos();
+            long now = clock.nanos();
             forwarding.begin(
-                    at, RequestReader.read(request, classes, at - arrivedAt), AttemptLimit.NONE, request, reply);
+                    now, RequestReader.read(request, classes, now - arrivedAt), AttemptLimit.NONE, request, reply);
         }
     }
 }
