--- a/src/main/java/tinworks/control/ConfigurationFeed.java
+++ b/src/main/java/tinworks/control/ConfigurationFeed.java
@@ -13,31 +13,33 @@
 import tinworks.config.InvalidConfiguration;
 
 /**
- * The configuration in force as edges are told it: what has changed since the version that one holds, or the whole
- * where that isn't known here. Read from the operator's JSON once, and put into bytes once for all who ask alike.
+ * Builds the configuration messages for edges: the changes since the version that an edge holds, or the full
+ * configuration if that version is no longer retained. The operator's JSON is parsed once per version, and messages are
+ * encoded once and reused for edges that hold the same version.
  */
 final class ConfigurationFeed {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationFeed.class);
-    /** Versions come seconds apart; an edge that was away for longer is told the whole. */
+    /** Versions arrive seconds apart; an edge that missed more than these gets the full configuration. */
     private static final int MAX_CHANGES = 16;
-    /** What the changes may take as bytes together; the oldest go first. */
+    /** Limit on the total encoded size of the retained changes; the oldest are evicted first. */
     static final int MAX_CHANGES_BYTES = 256 << 10;
 
-    /** A change, and what it takes as bytes. */
+    /** A change with its encoded size in bytes. */
     private record EncodedChange(ConfigurationChange change, int bytes) {}
 
     private final ArrayDeque<EncodedChange> changes = new ArrayDeque<>();
     private int changesBytes;
     private Configuration newest;
-    /** The last version that was looked at, whether or not it could be read. */
+    /** The last version that was processed, whether or not it could be parsed. */
     private long followedRev;
 
     private PeerMessage fullMessage;
     private PeerMessage.ConfigurationChanged lastChangeMessage;
 
     /**
-     * Follows the history. Its versions were checked before they were taken; one that this program can't read all the
-     * same, since another one took it, is left out, and edges go on with the one before.
+     * Processes the newest version of the history. Versions are validated before they are accepted, but a core node
+     * with another release may have accepted one that this release cannot parse. Such a version is skipped, and edges
+     * keep the previous one.
      */
     void follow(ConfigurationHistory history) {
         if (history.rev() == followedRev) {
@@ -48,7 +50,10 @@
         try {
             next = ConfigurationReader.read(CompressedBytes.open(history.packed()));
         } catch (InvalidConfiguration e) {
-            LOG.error("can't read the configuration {} that was taken: {}", history.rev(), e.getMessage());
+            LOG.error(
+                    "cannot parse committed configuration {}, keeping the previous one: {}",
+                    history.rev(),
+                    e.getMessage());
             return;
         }
         if (newest != null) {
@@ -59,7 +64,10 @@
         lastChangeMessage = null;
     }
 
-    /** Guards against changes of everything, each of which is as long as the whole and is of use to few. */
+    /**
+     * Retains a change within the limits. The limit on bytes guards against versions that change everything: each such
+     * change is as large as the full configuration and is useful to few edges.
+     */
     private void retain(ConfigurationChange change) {
         int bytes = ConfigurationCodec.write(change).length;
         changes.addLast(new EncodedChange(change, bytes));
@@ -69,12 +77,12 @@
         }
     }
 
-    /** How many changes are kept. */
+    /** The number of retained changes. */
     int retainedChanges() {
         return changes.size();
     }
 
-    /** What to tell an edge that holds this version, 0 for none; null while there is nothing to tell. */
+    /** The message for an edge that holds this version (0 for none), or null if there is nothing newer. */
     PeerMessage since(long held) {
         if (newest == null || held >= newest.rev()) {
             return null;
@@ -82,18 +90,18 @@
         if (lastChangeMessage != null && lastChangeMessage.base() == held) {
             return lastChangeMessage;
         }
-        ConfigurationChange all = null;
-        for (EncodedChange kept : changes) {
-            ConfigurationChange change = kept.change();
-            if (all != null) {
-                all = all.then(change);
+        ConfigurationChange merged = null;
+        for (EncodedChange encoded : changes) {
+            ConfigurationChange change = encoded.change();
+            if (merged != null) {
+                merged = merged.then(change);
             } else if (change.base() == held) {
-                all = change;
+                merged = change;
             }
         }
-        if (all != null) {
+        if (merged != null) {
             lastChangeMessage = new PeerMessage.ConfigurationChanged(
-                    held, newest.rev(), CompressedBytes.pack(ConfigurationCodec.write(all)));
+                    held, newest.rev(), CompressedBytes.pack(ConfigurationCodec.write(merged)));
             return lastChangeMessage;
         }
         if (fullMessage == null) {
--- a/src/main/java/tinworks/control/Core.java
+++ b/src/main/java/tinworks/control/Core.java
@@ -23,23 +23,25 @@
 import tinworks.store.DiskStoreDirectory;
 import tinworks.store.StoreDirectory;
 
-/** The process of a core machine: its disk, its start and its end. */
+/** The core process (control plane): opens its store, determines its identity, and starts and shuts down the node. */
 public final class Core {
     private static final Logger LOG = LoggerFactory.getLogger(Core.class);
+    /** How long a graceful shutdown waits for the leadership transfer and for a replacement among the voters. */
     static final long SHUTDOWN_PREPARATION_MILLIS = 1_500;
+
     static final long SHUTDOWN_POLL_MILLIS = 50;
     static final long DISK_CLOSE_TIMEOUT_MILLIS = 2_000;
 
     private Core() {}
 
-    /** Runs until the process is asked to end. Bad settings end as an {@link IllegalArgumentException}. */
+    /** Starts the node. Invalid settings cause an {@link IllegalArgumentException}. */
     public static void run(NodeProcess process) {
         BootSettings settings = process.settings();
         if (settings.dataDir() == null) {
-            throw new IllegalArgumentException("datadir: a core machine needs a disk");
+            throw new IllegalArgumentException("datadir: required for a core node");
         }
         if (settings.ctl() == null) {
-            throw new IllegalArgumentException("listen.ctl: is missing");
+            throw new IllegalArgumentException("listen.ctl: required for a core node");
         }
         try {
             CoreStore store = open(new DiskStoreDirectory(settings.dataDir()));
@@ -55,7 +57,7 @@
         }
     }
 
-    /** Opens the store; one that can't be trusted is set aside, and this machine begins anew as another member. */
+    /** Opens the store. A corrupt store is quarantined, and this node then starts empty, as a new member. */
     static CoreStore open(StoreDirectory folder) throws IOException, CoreStore.CorruptStoreException {
         folder.createDirectories();
         for (int files = folder.files().size(); ; files--) {
@@ -69,7 +71,7 @@
                         .format(DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss"));
                 String aside = CoreStore.quarantine(folder, date);
                 LOG.error(
-                        "the store can't be trusted and was set aside as {}; this machine begins empty: {}",
+                        "store is corrupt and was quarantined as {}; this node starts empty: {}",
                         aside,
                         e.getMessage());
             }
@@ -77,9 +79,9 @@
     }
 
     /**
-     * Who this machine is. On a disk that was empty it is somebody new, who has voted for nobody, and no voter; only
-     * when the whole system starts for the first time the seeds take ids that each of them can work out for all. A
-     * machine whose store was set aside may have voted under such an id, so it takes none again, whatever its settings
+     * The member id of this node. On an empty disk it is a new id, which has not voted and is not a voter. Only when
+     * the whole system bootstraps do the seeds take ids that each of them derives from the seeds' addresses. A node
+     * whose store was quarantined may have voted under such an id, so it never takes one again, whatever its settings
      * say.
      */
     static long identity(CoreStore store, BootSettings settings) throws IOException, CoreStore.CorruptStoreException {
@@ -87,17 +89,17 @@
         return identity(store, address, settings.bootstrap(), settings.seeds(), newId(address));
     }
 
-    /** The same by its parts; {@code newId} is for one who is somebody new. */
+    /** As above, from single settings; {@code newId} is used if the node does not bootstrap the system. */
     static long identity(CoreStore store, String address, boolean bootstrap, List<String> seeds, long newId)
             throws IOException, CoreStore.CorruptStoreException {
-        long known = store.identity();
-        if (known != 0) {
-            return known;
+        long stored = store.identity();
+        if (stored != 0) {
+            return stored;
         }
-        boolean first = bootstrap && seeds.contains(address) && store.isPristine();
-        long id = first ? bootstrapId(address) : newId;
+        boolean bootstraps = bootstrap && seeds.contains(address) && store.isPristine();
+        long id = bootstraps ? bootstrapId(address) : newId;
         try {
-            store.initialize(id, HardState.NONE, first ? bootstrapVoters(seeds) : Snapshot.NONE);
+            store.initialize(id, HardState.NONE, bootstraps ? bootstrapVoters(seeds) : Snapshot.NONE);
         } catch (IllegalStateException | MVStoreException e) {
             throw new IOException(e.getMessage(), e);
         }
@@ -120,13 +122,13 @@
 
     static long newId(String address) {
         long seed = System.nanoTime() ^ Long.rotateLeft(System.currentTimeMillis(), 32) ^ address.hashCode();
-        // Above all ids of a first start.
+        // Bit 62 keeps it above all bootstrap ids.
         return (new SplittableRandom(seed).nextLong() | 1L << 62) & Long.MAX_VALUE;
     }
 
     private static void shutDown(NodeProcess process, CoreNode node) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SHUTDOWN_PREPARATION_MILLIS);
-        while (!NodeProcess.call(process.loop(), node::prepareShutdown) && System.nanoTime() < until) {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SHUTDOWN_PREPARATION_MILLIS);
+        while (!NodeProcess.call(process.loop(), node::prepareShutdown) && System.nanoTime() < deadline) {
             TimeUnit.MILLISECONDS.sleep(SHUTDOWN_POLL_MILLIS);
         }
         NodeProcess.run(process.loop(), node::close);
--- a/src/main/java/tinworks/control/CoreMachine.java
+++ b/src/main/java/tinworks/control/CoreMachine.java
@@ -34,49 +34,56 @@
 import tinworks.raft.Timing;
 
 /**
- * A core machine without sockets, files, threads or a clock of its own: its part in the agreement, what it says to the
- * others, and what it tells the edges. The leader alone has the platform's list fetched; the others pull it from there
- * and pass it on. All methods belong to one thread.
+ * The logic of a core node (control plane) without sockets, files, threads or a clock: Raft membership, the messages to
+ * other core nodes, and the configuration and host list for edges. Only the leader polls the platform for hosts; the
+ * other core nodes pull the list from it and pass it on. All methods must be called on one thread.
  */
 class CoreMachine implements PeerConnection.Listener, RaftDriver.Callbacks {
-    /** The process round a core machine. */
+    /** What the logic needs of the process or simulation that runs it. */
     interface Environment {
-        /** A steady clock's milliseconds. */
+        /** The time of a monotonic clock, in milliseconds. */
         long millis();
 
-        /** The connections to other core machines. */
+        /** Manages the outbound connections to other core nodes. */
         ConnectionManager connectionManager();
 
-        /** The addresses of core machines that the settings name at present. */
+        /** The addresses of core nodes in the current settings. */
         List<String> seeds();
 
-        /** Whether the platform's list is to be fetched; each list is told by {@link CoreMachine#hostsFetched}. */
-        void setHostPolling(boolean wanted);
+        /** Turns the polling of the platform on or off; {@link CoreMachine#hostsFetched} gets each list. */
+        void setHostPolling(boolean enabled);
 
-        /** A line for the operators. */
+        /** Logs a line for operators. */
         void log(String line);
     }
 
     /**
-     * Who a machine is.
+     * The identity of a core node.
      *
-     * @param id for as long as its disk lives
-     * @param address where other core machines and edges reach it
-     * @param toleratedLosses how many voters may be lost at a time
+     * @param id the member id, which lasts as long as the data on the disk
+     * @param address the address for other core nodes and edges
+     * @param toleratedLosses the number of voters that may fail at the same time
      */
     record Identity(long id, String address, int toleratedLosses) {}
 
-    /** Heartbeats are cheap; an election outlasts a slow disk's syncs and a process's first, uncompiled work. */
+    /**
+     * Heartbeat interval and election timeout, in milliseconds. Heartbeats are cheap. The election timeout is longer
+     * than the syncs of a slow disk and the first, not yet compiled work of a process.
+     */
     private static final Timing TIMING = new Timing(120, 500);
 
     static final long TICK_MILLIS = 50;
     private static final long ANNOUNCE_INTERVAL_MILLIS = 1_000;
     private static final long JOIN_INTERVAL_MILLIS = 500;
+    /** The leader removes a learner that has not sent a join request for this long. */
     private static final long LEARNER_TIMEOUT_MILLIS = 3_000;
+
     private static final long LEAVE_EXPIRY_MILLIS = 3_000;
     private static final long PULL_RETRY_MILLIS = 400;
     private static final long PLAN_INTERVAL_MILLIS = 250;
+    /** Without fresh state for this long, the node connects to the seeds as well. */
     private static final long SEED_FALLBACK_MILLIS = 3_000;
+
     private static final long RECEIVED_RETENTION_MILLIS = 60_000;
 
     private final Identity self;
@@ -88,22 +95,22 @@
     private final OperatorCalls calls;
     private final Set<PeerConnection> connections = new LinkedHashSet<>();
     private final Map<Long, Long> joinReceivedAt = new HashMap<>();
-    /** When each that is about to end said so. */
+    /** When each node that is shutting down last announced it, by member id. */
     private final Map<Long, Long> leaveReceivedAt = new HashMap<>();
 
-    /** When this machine last heard each other core machine, whoever led. */
+    /** When this node last received a message from each other core node, under any leader; by member id. */
     private final Map<Long, Long> receivedAt = new HashMap<>();
 
     private final long startedAt;
     private final Set<String> announcedCores = new HashSet<>();
-    /** The term of the leader that told of {@link #announcedCores}. */
+    /** The term of the leader that announced {@link #announcedCores}. */
     private long announcedTerm;
 
     private final HostListHistory hosts = new HostListHistory();
     private final ConfigurationFeed configurations = new ConfigurationFeed();
     private long announcedRev = -1;
     private boolean announcedLeadership;
-    /** The platform's list, where it was fetched while this machine had no lease. */
+    /** A host list that was fetched without a leader lease and is not published yet. */
     private List<HostList.Host> fetchedHosts;
 
     /** The role, term and leader that were last logged. */
@@ -117,37 +124,38 @@
     private long pulledAt;
     private long lastFreshAt;
 
-    /** A machine with what its disk holds; it does nothing before its first {@link #tick}. */
-    CoreMachine(Identity self, PersistentState stored, Disk disk, Environment around) {
-        this(self, stored, disk, around, OperatorCalls::new);
+    /** Creates a node from its stored state. It does nothing before the first {@link #tick}. */
+    CoreMachine(Identity self, PersistentState stored, Disk disk, Environment environment) {
+        this(self, stored, disk, environment, OperatorCalls::new);
     }
 
-    /** One whose operator's calls are handled in this way. */
+    /** Creates a node with a custom handler of operator calls. */
     CoreMachine(
             Identity self,
             PersistentState stored,
             Disk disk,
-            Environment around,
-            BiFunction<CoreMachine, LongSupplier, OperatorCalls> handled) {
+            Environment environment,
+            BiFunction<CoreMachine, LongSupplier, OperatorCalls> callHandler) {
         this.self = self;
-        this.environment = around;
+        this.environment = environment;
         id = self.id();
-        long now = around.millis();
+        long now = environment.millis();
         raft = new Raft(id, stored, TIMING, id ^ now, now);
         startedAt = now;
         lastFreshAt = now;
         plan = new VoterPlan(self.toleratedLosses());
-        raftDriver = new RaftDriver(raft, disk, around::millis, this);
-        calls = handled.apply(this, around::millis);
+        raftDriver = new RaftDriver(raft, disk, environment::millis, this);
+        calls = callHandler.apply(this, environment::millis);
     }
 
     /**
-     * Gets ready to end: hands the lead over, and where there is another machine that can vote asks to be replaced,
-     * while all are there. True once nothing is left to do; else to be asked again until the caller's time is over.
+     * Prepares a graceful shutdown: transfers the leadership, and asks to be replaced as a voter if another node can
+     * take its place. Replacing it while all voters are up keeps the tolerance of one more loss. Returns true once
+     * nothing is left to do; until then the caller repeats the call up to its own deadline.
      */
     boolean prepareShutdown() {
         environment.setHostPolling(false);
-        // To all: whoever leads next has to know it too.
+        // Sent to all core nodes, because the next leader needs to know it too.
         PeerMessage leave = new Leave(id);
         connections.stream()
                 .filter(c -> c.isOpen() && c.peer().role() == NodeRole.CORE)
@@ -161,9 +169,9 @@
         return announcedCores.size() <= raft.voters().size() || !raft.isVoter(id);
     }
 
-    /** Ends all conversations. */
+    /** Closes all connections. */
     void close() {
-        List.copyOf(connections).forEach(c -> c.close("this machine ends"));
+        List.copyOf(connections).forEach(c -> c.close("core node is shutting down"));
     }
 
     OperatorCalls calls() {
@@ -175,14 +183,15 @@
     }
 
     /**
-     * Whether what is told here was the newest less than a lease ago: by the leader's lease, and only once what that
-     * speaks of has been applied. Guards against a machine that was cut off or frozen, or has just begun to lead.
+     * Whether the state of this node was the newest less than a lease ago: the leader lease vouches for it, and all
+     * entries that the lease covers have been applied. False on a node that was partitioned or frozen, or has only just
+     * become leader.
      */
     boolean isFresh() {
         return raft.fresh(environment.millis()) && raftDriver.appliedIndex() >= raft.freshIndex();
     }
 
-    /** Whether this machine leads and, by its lease, nobody else can. */
+    /** Whether this node leads and its leader lease excludes any other leader. */
     boolean holdsLeaderLease() {
         return raft.holdsLease(environment.millis()) && isFresh();
     }
@@ -191,7 +200,7 @@
         return hosts.newest();
     }
 
-    /** How many edges are linked here. */
+    /** The number of connected edges. */
     int edgeCount() {
         int edges = 0;
         for (PeerConnection c : connections) {
@@ -200,12 +209,12 @@
         return edges;
     }
 
-    /** An open conversation with the leader, or null where none is known or this machine leads. */
+    /** An open connection to the leader, or null if none is known or this node leads. */
     PeerConnection leaderConnection() {
         return raft.leader() == 0 || raft.leader() == id ? null : connectionTo(raft.leader());
     }
 
-    /** The newest open one: an older one may lead to an earlier life of that machine, which ended without a word. */
+    /** The newest open connection. An older one may lead to a previous process of that node, which crashed. */
     private PeerConnection connectionTo(long peer) {
         PeerConnection newest = null;
         for (PeerConnection c : connections) {
@@ -218,7 +227,7 @@
 
     // ---- time
 
-    /** Lets time pass; to be called every {@link #TICK_MILLIS}. */
+    /** Runs the periodic work. Must be called every {@link #TICK_MILLIS}. */
     void tick() {
         long now = environment.millis();
         raftDriver.tick();
@@ -229,7 +238,7 @@
         }
         environment.setHostPolling(raft.hasCommittedInCurrentTerm());
         publishFetchedHosts();
-        // One that was voted out while it was away doesn't know it, and nobody sends it the log.
+        // A voter that was removed while it was down does not know of it, and no leader replicates the log to it.
         if (raft.shouldRequestJoin() && now >= joinAt) {
             joinAt = now + JOIN_INTERVAL_MILLIS;
             PeerMessage join = new Join(new Member(id, self.address()));
@@ -245,7 +254,7 @@
         }
     }
 
-    /** An acknowledgement that came late, or never, is explained by who led when. */
+    /** Logs changes of role, term and leader, which explain acknowledgements that are late or missing. */
     private void logRole() {
         boolean candidate = raft.role() == Raft.Role.PRE_CANDIDATE || raft.role() == Raft.Role.CANDIDATE;
         Raft.Role role = candidate ? Raft.Role.CANDIDATE : raft.role();
@@ -259,16 +268,16 @@
                 + (loggedLeader == 0 ? "unknown" : Long.toHexString(loggedLeader)) + ", commit " + raft.commitIndex());
     }
 
-    /** The core machines that this one should be linked with. */
+    /** The addresses of the core nodes that this node connects to. */
     private Set<String> desiredCores(long now) {
-        Set<String> wanted = new TreeSet<>(announcedCores);
-        raft.voters().forEach(m -> wanted.add(m.address()));
-        raft.followers().forEach(p -> wanted.add(p.member().address()));
-        if (wanted.size() <= 1 || now - lastFreshAt > SEED_FALLBACK_MILLIS) {
-            wanted.addAll(environment.seeds());
+        Set<String> desired = new TreeSet<>(announcedCores);
+        raft.voters().forEach(m -> desired.add(m.address()));
+        raft.followers().forEach(p -> desired.add(p.member().address()));
+        if (desired.size() <= 1 || now - lastFreshAt > SEED_FALLBACK_MILLIS) {
+            desired.addAll(environment.seeds());
         }
-        wanted.remove(self.address());
-        return wanted;
+        desired.remove(self.address());
+        return desired;
     }
 
     private void planVoters(long now) {
@@ -295,7 +304,7 @@
             List<Member> before = raft.voters();
             plan.next(now, id, before, seen).ifPresent(next -> {
                 if (raft.changeMembers(next)) {
-                    environment.log("voters change from " + before + " to " + next);
+                    environment.log("changing voters from " + before + " to " + next);
                 }
             });
         }
@@ -303,18 +312,18 @@
     }
 
     private long unresponsiveMillis(Progress p, long now) {
-        // Of one that isn't remembered nothing was heard for longer than that, or since the start.
-        long lastHeardAt = receivedAt.getOrDefault(p.member().id(), startedAt);
-        return VoterPlan.unresponsiveMillis(now - p.lastReceivedMillis(), now - lastHeardAt);
+        // A node without an entry has been silent for longer than the retention period, or since this process started.
+        long lastReceivedAt = receivedAt.getOrDefault(p.member().id(), startedAt);
+        return VoterPlan.unresponsiveMillis(now - p.lastReceivedMillis(), now - lastReceivedAt);
     }
 
-    // ---- what it tells
+    // ---- outgoing announcements and host lists
 
     @Override
     public void stateChanged() {
         environment.setHostPolling(raft.hasCommittedInCurrentTerm());
         if (announcedRev != raftDriver.history().rev()) {
-            // First the news, so that the bytes are made while it travels.
+            // Announces first, so that the message for edges is encoded while the announcement is on its way.
             announce();
             if (edgeCount() > 0) {
                 configurations.follow(raftDriver.history());
@@ -322,7 +331,7 @@
         }
     }
 
-    /** The platform's list was fetched. */
+    /** Takes a host list that was fetched from the platform. */
     void hostsFetched(List<HostList.Host> list) {
         fetchedHosts = list;
         publishFetchedHosts();
@@ -344,26 +353,26 @@
     }
 
     /**
-     * Guards against a list from before a later leader's under a version above it: a list gets its version only while
-     * nobody else can lead, so of two versions the higher one was fetched later.
+     * Whether a fetched host list may get a version: only while the leader lease excludes any other leader. Of two
+     * versions the higher one was therefore fetched later, and a list from before a later leader's cannot outrank it.
      */
     boolean mayVersionHostList() {
         return holdsLeaderLease();
     }
 
-    /** Tells those who dialled what there is: at once when it is new, else once a second. */
+    /** Sends the current state to all inbound connections: immediately after a change, otherwise once a second. */
     private void announce() {
         announceAt = environment.millis() + ANNOUNCE_INTERVAL_MILLIS;
         announcedRev = raftDriver.history().rev();
-        Announce said = announcement();
-        announcedLeadership = said.leader();
-        connections.stream().filter(c -> !c.isOutbound()).toList().forEach(c -> c.send(said));
+        Announce announcement = announcement();
+        announcedLeadership = announcement.leader();
+        connections.stream().filter(c -> !c.isOutbound()).toList().forEach(c -> c.send(announcement));
     }
 
     private Announce announcement() {
-        boolean leads = holdsLeaderLease();
+        boolean leader = holdsLeaderLease();
         Set<String> cores = new TreeSet<>(announcedCores);
-        if (leads) {
+        if (leader) {
             cores.clear();
             raft.followers().forEach(p -> cores.add(p.member().address()));
         }
@@ -374,63 +383,63 @@
                 raftDriver.history().rev(),
                 hostList().version(),
                 isFresh(),
-                leads,
+                leader,
                 List.copyOf(cores),
                 edgeCount());
     }
 
-    // ---- what it hears
+    // ---- incoming messages
 
     @Override
-    public void opened(PeerConnection conversation) {
-        connections.add(conversation);
-        if (!conversation.isOutbound()) {
-            conversation.send(announcement());
+    public void opened(PeerConnection connection) {
+        connections.add(connection);
+        if (!connection.isOutbound()) {
+            connection.send(announcement());
         }
     }
 
     @Override
-    public void closed(PeerConnection conversation) {
-        connections.remove(conversation);
+    public void closed(PeerConnection connection) {
+        connections.remove(connection);
     }
 
     @Override
-    public void received(PeerConnection from, PeerMessage signal) {
+    public void received(PeerConnection from, PeerMessage message) {
         if (from.peer().role() == NodeRole.CORE) {
             receivedAt.put(from.peer().id(), environment.millis());
         }
-        if (signal instanceof PeerMessage.RaftMessage s) {
+        if (message instanceof PeerMessage.RaftMessage s) {
             if (s.to() == id) {
                 raftDriver.receive(s.from(), s.message());
             }
-        } else if (signal instanceof Join s) {
+        } else if (message instanceof Join s) {
             if (raft.role() == Raft.Role.LEADER) {
                 joinReceivedAt.put(s.member().id(), environment.millis());
                 raft.addLearner(s.member());
                 raftDriver.pump();
             }
-        } else if (signal instanceof Leave s) {
+        } else if (message instanceof Leave s) {
             leaveReceivedAt.put(s.id(), environment.millis());
             planAt = environment.millis();
-        } else if (signal instanceof PullConfiguration s) {
+        } else if (message instanceof PullConfiguration s) {
             configurations.follow(raftDriver.history());
             PeerMessage newer = configurations.since(s.heldRev());
             if (newer != null) {
                 from.send(newer);
             }
-        } else if (signal instanceof PullHosts s) {
+        } else if (message instanceof PullHosts s) {
             from.send(hosts.since(s.heldVersion()));
-        } else if (signal instanceof Announce s) {
+        } else if (message instanceof Announce s) {
             receivedAnnounce(from, s);
-        } else if (signal instanceof Hosts s) {
+        } else if (message instanceof Hosts s) {
             adoptHostList(s.list());
-        } else if (signal instanceof HostsChanged s) {
+        } else if (message instanceof HostsChanged s) {
             if (s.change().base().isSameAs(hostList().version())) {
                 adoptHostList(s.change().applyTo(hostList()));
             }
-        } else if (signal instanceof Call s) {
-            calls.receivedCall(s, answer -> from.send(answer));
-        } else if (signal instanceof CallResponse s) {
+        } else if (message instanceof Call s) {
+            calls.receivedCall(s, response -> from.send(response));
+        } else if (message instanceof CallResponse s) {
             calls.receivedResponse(from, s);
         }
     }
@@ -444,13 +453,13 @@
     }
 
     private void receivedAnnounce(PeerConnection from, Announce s) {
-        // Guards against what an old leader said before it knew of a later one.
+        // The term guards against announcements of a deposed leader that does not know of its successor yet.
         if (s.leader() && raft.role() != Raft.Role.LEADER && s.term() >= announcedTerm) {
             announcedTerm = s.term();
             announcedCores.clear();
             announcedCores.addAll(s.coreAddresses());
         } else if (s.fresh() && !isFresh() && s.term() >= announcedTerm) {
-            // The way to the leader leads through those who hear it.
+            // A node in contact with the leader knows the way to it.
             announcedCores.addAll(s.coreAddresses());
         }
         long now = environment.millis();
@@ -462,9 +471,9 @@
 
     @Override
     public void send(long to, Message message) {
-        PeerConnection conversation = connectionTo(to);
-        if (conversation != null) {
-            conversation.send(new PeerMessage.RaftMessage(id, to, message));
+        PeerConnection connection = connectionTo(to);
+        if (connection != null) {
+            connection.send(new PeerMessage.RaftMessage(id, to, message));
         }
     }
 
--- a/src/main/java/tinworks/control/CoreNode.java
+++ b/src/main/java/tinworks/control/CoreNode.java
@@ -19,10 +19,11 @@
 import tinworks.raft.PersistentState;
 import tinworks.store.CoreStore;
 
-/** A {@link CoreMachine} with its sockets, its disk and its clock. All on one event loop. */
+/** Runs a {@link CoreMachine} with real sockets, disk and clock on one event loop. */
 public final class CoreNode implements CoreMachine.Environment {
     private static final Logger LOG = LoggerFactory.getLogger(CoreNode.class);
 
+    /** File descriptors kept for operators, the platform and outbound connections. */
     private static final int RESERVED_DESCRIPTORS = 512;
 
     private final EventLoop loop;
@@ -35,7 +36,7 @@
     private final StallWatch stallWatch = new StallWatch(CoreMachine.TICK_MILLIS);
     private BootSettings currentSettings;
 
-    /** A machine with what its disk holds. */
+    /** Creates a node from its stored state. */
     public CoreNode(EventLoop loop, BootSettings settings, CoreStore store, long id, PersistentState stored) {
         this.loop = loop;
         this.settings = settings;
@@ -49,7 +50,7 @@
         poller = new HostPoller(loop, clock, settings.provider(), id, machine::hostsFetched, this::log);
         operator = new OperatorServer(loop, clock, settings.node(), machine, stallWatch);
         LOG.info(
-                "core {} of id {} starts: term {}, {} entries, voters {}",
+                "core node {} with id {} starts: term {}, last index {}, {} voters",
                 settings.node(),
                 Long.toHexString(id),
                 machine.raftDriver().raft().term(),
@@ -57,7 +58,7 @@
                 machine.raftDriver().raft().voters().size());
     }
 
-    /** Starts to listen and to dial; on the event loop. */
+    /** Starts listening and connecting. Must be called on the event loop. */
     public List<ChannelFuture> start() {
         List<ChannelFuture> bound =
                 List.of(connectionManager.listen(settings.inner(), maxConnections()), operator.listen(settings.ctl()));
@@ -65,21 +66,21 @@
         return bound;
     }
 
-    /** All descriptors but some for operators, the platform and the dialled links. */
+    /** All file descriptors except the reserved ones, which are half of them at most. */
     private int maxConnections() {
         return settings.descriptors() - Math.min(RESERVED_DESCRIPTORS, settings.descriptors() / 2);
     }
 
     private void tick() {
         loop.schedule(this::tick, CoreMachine.TICK_MILLIS, TimeUnit.MILLISECONDS);
-        long late = stallWatch.came(millis());
-        if (late > 0) {
-            LOG.warn("the event loop stood still for {} ms", late);
+        long lateMillis = stallWatch.came(millis());
+        if (lateMillis > 0) {
+            LOG.warn("event loop stalled for {} ms", lateMillis);
         }
         runOrExit(machine::tick);
     }
 
-    /** Guards against going on after an error that the event loop would only log. */
+    /** Ends the process on an {@link Error}, which the event loop would only log. */
     private static void runOrExit(Runnable work) {
         try {
             work.run();
@@ -89,18 +90,18 @@
         }
     }
 
-    /** Follows changed settings; on the event loop. */
+    /** Applies changed settings. Must be called on the event loop. */
     public void settingsChanged(BootSettings changed) {
         currentSettings = changed;
         poller.moveTo(changed.provider());
     }
 
-    /** Gets ready to end, and tells whether nothing is left to do; on the event loop. */
+    /** Prepares the shutdown; see {@link CoreMachine#prepareShutdown}. Must be called on the event loop. */
     public boolean prepareShutdown() {
         return machine.prepareShutdown();
     }
 
-    /** Ends; on the event loop. */
+    /** Closes the connections and the disk. Must be called on the event loop. */
     public void close() {
         operator.close();
         connectionManager.close();
@@ -108,7 +109,7 @@
         disk.close();
     }
 
-    /** Waits until the disk is at rest; not on the event loop. */
+    /** Waits until all writes are finished. Must not be called on the event loop. */
     public boolean awaitClosed(long millis) throws InterruptedException {
         return disk.awaitClosed(millis);
     }
@@ -131,8 +132,8 @@
     }
 
     @Override
-    public void setHostPolling(boolean wanted) {
-        poller.turn(wanted);
+    public void setHostPolling(boolean enabled) {
+        poller.turn(enabled);
     }
 
     @Override
--- a/src/main/java/tinworks/control/Disk.java
+++ b/src/main/java/tinworks/control/Disk.java
@@ -2,11 +2,11 @@
 
 import tinworks.raft.Output;
 
-/** Where what an agreement has to remember is written, one output after the other. */
+/** Durable storage for the output of Raft, written in order. */
 interface Disk {
     /**
-     * Writes an output. {@code done} runs on the agreement's own thread once all of it is synced, and in the order of
-     * the calls; it never runs where that can't be had.
+     * Writes an output. {@code done} runs on the thread of the {@link RaftDriver} once the output is synced, in the
+     * order of the calls; if the output cannot be synced, it never runs.
      */
     void write(Output output, Runnable done);
 }
--- a/src/main/java/tinworks/control/DiskThread.java
+++ b/src/main/java/tinworks/control/DiskThread.java
@@ -10,7 +10,7 @@
 import tinworks.raft.Output;
 import tinworks.store.CoreStore;
 
-/** A store written on a thread of its own, so that a disk that stalls holds up nothing else. */
+/** Writes the store on a dedicated thread, so that a stalled disk does not block the event loop. */
 final class DiskThread implements Disk {
     private static final long RETRY_MILLIS = 200;
 
@@ -20,9 +20,9 @@
     private final ExecutorService thread = Executors.newSingleThreadExecutor(work -> new Thread(work, "disk"));
     private volatile boolean closed;
 
-    /** What is done is told on the owner's thread, and so are lines for the operators. */
-    DiskThread(Executor owner, CoreStore store, Consumer<String> log) {
-        this.callbackExecutor = owner;
+    /** Completions and log lines are passed to {@code callbackExecutor}. */
+    DiskThread(Executor callbackExecutor, CoreStore store, Consumer<String> log) {
+        this.callbackExecutor = callbackExecutor;
         this.store = store;
         this.log = log;
     }
@@ -32,9 +32,9 @@
         thread.execute(() -> writeSynced(output, done));
     }
 
-    /** Guards against a disk that is full or fails for a while: nothing is said of what isn't on it. */
+    /** Retries until the output is synced: a full or failing disk must never lead to acknowledging unsynced data. */
     private void writeSynced(Output output, Runnable done) {
-        boolean complained = false;
+        boolean reported = false;
         while (!closed) {
             try {
                 store.write(output);
@@ -43,13 +43,14 @@
             } catch (MVStoreException | IllegalStateException e) {
                 Error fatal = Fatal.in(e);
                 if (fatal != null) {
-                    // No full disk: the store tells of a full heap in the same words. Nobody catches it, and the
-                    // process ends.
+                    // Not a full disk: the store wraps OutOfMemoryError in the same exception. It stays uncaught and
+                    // ends
+                    // the process.
                     throw fatal;
                 }
-                if (!complained) {
-                    complained = true;
-                    report("the disk doesn't take the log, trying again: " + e.getMessage());
+                if (!reported) {
+                    reported = true;
+                    report("writing the log to disk failed, retrying: " + e.getMessage());
                 }
                 recover();
             }
@@ -64,7 +65,7 @@
             Thread.currentThread().interrupt();
             closed = true;
         } catch (CoreStore.CorruptStoreException e) {
-            report("the store can't be opened again yet: " + e.getMessage());
+            report("reopening the store failed, retrying: " + e.getMessage());
         }
     }
 
@@ -72,14 +73,14 @@
         callbackExecutor.execute(() -> log.accept(line));
     }
 
-    /** Ends the thread once what it has begun is written, and closes the store. */
+    /** Closes the store after the write in progress, if any, and ends the thread. Writes still queued are dropped. */
     void close() {
         closed = true;
         thread.execute(store::close);
         thread.shutdown();
     }
 
-    /** Waits for the thread's end; not on the owner's. */
+    /** Waits for the thread to end. Must not be called on the callback thread. */
     boolean awaitClosed(long millis) throws InterruptedException {
         return thread.awaitTermination(millis, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/tinworks/control/OperatorCalls.java
+++ b/src/main/java/tinworks/control/OperatorCalls.java
@@ -24,42 +24,42 @@
 import tinworks.raft.Raft;
 
 /**
- * The operator's calls at a core machine. A machine that doesn't lead passes a call on to the leader, and while there
- * is none it waits a little; a caller gets an answer within a second, and a 503 says that it is open what becomes of a
- * change.
+ * Handles operator calls at a core node. A node that does not lead forwards calls to the leader, and holds them for a
+ * short time while there is none. A caller gets a response within a second; a 503 says that the outcome of a
+ * configuration change is unknown. HTTP is handled by {@link OperatorServer}.
  */
 class OperatorCalls {
     private static final Logger LOG = LoggerFactory.getLogger(OperatorCalls.class);
-    /** The header that names the version which a change builds on. */
+    /** The header with the configuration version that a change is based on. */
     static final String BASE_REV_HEADER = "Base-Rev";
 
     static final int OK = 200;
+    /** The change may or may not be accepted; the caller has to repeat the call. */
     static final int OUTCOME_UNKNOWN = 503;
+
     private static final int CONFLICT = 412;
     private static final int INVALID = 400;
     private static final int NOT_FOUND = 404;
     private static final int TOO_LARGE = 413;
-    /**
-     * What a command may take: eight times what 14,000 routes come to. Guards against a log, and frames, of any length.
-     */
+    /** Eight times the size of a command with 14,000 routes. Bounds the log and the frames between core nodes. */
     static final int MAX_COMMAND_BYTES = 2 << 20;
-    /** What a configuration may take in the memory of any machine. */
+    /** Limit on the memory that a configuration takes on any node. */
     private static final long MAX_WEIGHT_BYTES = ConfigurationWeight.mostByHeap();
-    /** What calls without an answer may take at one machine, the first always. */
+    /** Limit on the total size of the pending calls at one node; a single call is always admitted. */
     static final int MAX_PENDING_BYTES = 4 << 20;
-    /** Callers move on after a second of silence. */
+    /** Shorter than the second after which callers give up. */
     private static final long RESPONSE_TIMEOUT_MILLIS = 850;
 
     private final CoreMachine machine;
     private final LongSupplier clock;
     private final Map<Long, PendingCall> pending = new HashMap<>();
     private long pendingBytes;
-    /** The newest version that was acknowledged or shown here. */
+    /** The newest version that this node has acknowledged or shown. */
     private long newestReportedRev;
 
     private long lastNumber;
 
-    /** A call that has no answer yet; it has been passed on where {@code passedTo} is not null. */
+    /** A call without a response yet; it has been forwarded if {@code forwardedTo} is not null. */
     private static final class PendingCall {
         final boolean read;
         final byte[] command;
@@ -68,11 +68,11 @@
         PeerConnection forwardedTo;
         boolean inProgress;
 
-        PendingCall(boolean read, byte[] command, Consumer<CallResponse> told, long until) {
+        PendingCall(boolean read, byte[] command, Consumer<CallResponse> callback, long deadlineMillis) {
             this.read = read;
             this.command = command;
-            this.callback = told;
-            this.deadlineMillis = until;
+            this.callback = callback;
+            this.deadlineMillis = deadlineMillis;
         }
     }
 
@@ -81,25 +81,26 @@
         this.clock = clock;
     }
 
-    /** How many calls have no answer yet. */
+    /** The number of calls without a response yet. */
     int pendingCount() {
         return pending.size();
     }
 
-    /** A call that was checked: the command that it comes to, or else the answer why there is none. */
+    /** The result of a validation: the command to propose, or else the response that rejects the change. */
     record ValidatedChange(byte[] command, CallResponse rejection) {
         @Override
         public String toString() {
             return command == null
-                    ? "that can't be taken"
-                    : "of " + ConfigurationHistory.rev(command) + " on " + ConfigurationHistory.base(command) + ", "
+                    ? "with an invalid change"
+                    : "with version " + ConfigurationHistory.rev(command) + " based on "
+                            + ConfigurationHistory.base(command) + ", "
                             + command.length + " bytes";
         }
     }
 
     /**
-     * Checks a whole configuration, with what the header says that it builds on. Takes long and holds much memory;
-     * needs nothing of the machine, so it may be done on another thread, one at a time.
+     * Validates a full configuration with the values of its {@link #BASE_REV_HEADER}. This is slow and takes much
+     * memory. It uses no state of the node, so it may run on another thread, one call at a time.
      */
     static ValidatedChange validate(List<String> bases, InputStream json, ByteBuffer... body) {
         try {
@@ -113,31 +114,31 @@
                             new CallResponse(
                                     0,
                                     TOO_LARGE,
-                                    errorBody("", "over " + MAX_COMMAND_BYTES + " bytes when it is packed")));
+                                    errorBody("", "over " + MAX_COMMAND_BYTES + " bytes when compressed")));
         } catch (InvalidConfiguration e) {
-            LOG.info("refused a configuration: {}", e.getMessage());
+            LOG.info("rejected a configuration: {}", e.getMessage());
             int status = e.isTooLarge() ? TOO_LARGE : INVALID;
             return new ValidatedChange(null, new CallResponse(0, status, errorBody(e.where(), e.getMessage())));
         }
     }
 
-    /** A whole configuration that was checked; the answer's number means nothing. */
-    void replace(ValidatedChange call, Consumer<CallResponse> told) {
-        if (call.rejection() != null) {
-            told.accept(call.rejection());
+    /** Replaces the configuration by a validated one. The number of the response is not set. */
+    void replace(ValidatedChange change, Consumer<CallResponse> callback) {
+        if (change.rejection() != null) {
+            callback.accept(change.rejection());
         } else {
-            submit(false, call.command(), told);
+            submit(false, change.command(), callback);
         }
     }
 
-    /** A whole configuration, with what the header says that it builds on; the answer's number means nothing. */
-    void replace(List<String> bases, byte[] body, Consumer<CallResponse> told) {
-        replace(validate(bases, new ByteArrayInputStream(body), ByteBuffer.wrap(body)), told);
+    /** Validates a full configuration and replaces the current one by it. The number of the response is not set. */
+    void replace(List<String> bases, byte[] body, Consumer<CallResponse> callback) {
+        replace(validate(bases, new ByteArrayInputStream(body), ByteBuffer.wrap(body)), callback);
     }
 
-    /** The newest configuration, {@link CompressedBytes} where the status is {@link #OK}. */
-    void show(Consumer<CallResponse> told) {
-        submit(true, new byte[0], told);
+    /** Reads the newest configuration; the body is {@link CompressedBytes} if the status is {@link #OK}. */
+    void show(Consumer<CallResponse> callback) {
+        submit(true, new byte[0], callback);
     }
 
     private static long parseBaseRev(List<String> values) throws InvalidConfiguration {
@@ -147,60 +148,61 @@
                 return base;
             }
         } catch (NumberFormatException e) {
-            LOG.debug("a {} that is no number", BASE_REV_HEADER, e);
+            LOG.debug("{} is not a number", BASE_REV_HEADER, e);
         }
         throw new InvalidConfiguration(
-                BASE_REV_HEADER, "wanted the header once, with the number of the version built on");
+                BASE_REV_HEADER, "header required exactly once, with the number of the base version");
     }
 
-    // ---- calls, from the operator or passed on by another machine
+    // ---- calls from operators and calls forwarded by other core nodes
 
-    /** A call that another machine has passed on. */
-    void receivedCall(Call call, Consumer<CallResponse> told) {
+    /** Handles a call that another core node has forwarded. */
+    void receivedCall(Call call, Consumer<CallResponse> callback) {
         if (machine.raftDriver().raft().role() == Raft.Role.LEADER) {
-            submit(call.read(), call.body(), a -> told.accept(new CallResponse(call.number(), a.status(), a.body())));
+            submit(
+                    call.read(),
+                    call.body(),
+                    a -> callback.accept(new CallResponse(call.number(), a.status(), a.body())));
         } else {
-            told.accept(new CallResponse(call.number(), OUTCOME_UNKNOWN, errorBody("", "not the leader")));
+            callback.accept(new CallResponse(call.number(), OUTCOME_UNKNOWN, errorBody("", "not the leader")));
         }
     }
 
-    /** The leader's answer to a call that was passed on. */
-    void receivedResponse(PeerConnection from, CallResponse answer) {
-        PendingCall call = pending.get(answer.number());
+    /** Handles the leader's response to a forwarded call. */
+    void receivedResponse(PeerConnection from, CallResponse response) {
+        PendingCall call = pending.get(response.number());
         if (call != null && !isExpectedResponder(call.forwardedTo, from)) {
             return;
         }
-        if (call != null && answer.status() == OUTCOME_UNKNOWN) {
-            // Perhaps another leads by now; until its time is over the call goes on.
+        if (call != null && response.status() == OUTCOME_UNKNOWN) {
+            // Another node may lead by now: the call is retried until its deadline.
             call.inProgress = false;
             call.forwardedTo = null;
         } else if (call != null) {
-            remove(answer.number());
-            call.callback.accept(answer);
+            remove(response.number());
+            call.callback.accept(response);
         }
     }
 
-    /** Guards against an answer to another call of the same number: numbers begin anew with each life of a process. */
+    /** Numbers restart with each process, so a response from another node may belong to a different call. */
     boolean isExpectedResponder(PeerConnection passedTo, PeerConnection from) {
         return passedTo == from;
     }
 
-    /**
-     * Guards against calls that together are more than the memory; each is told to come back, and nothing became of it.
-     */
-    private void submit(boolean read, byte[] command, Consumer<CallResponse> told) {
+    /** Admits a call within the limit on pending bytes. A rejected call has had no effect and may be repeated. */
+    private void submit(boolean read, byte[] command, Consumer<CallResponse> callback) {
         if (!pending.isEmpty() && pendingBytes + command.length > MAX_PENDING_BYTES) {
-            told.accept(new CallResponse(0, OUTCOME_UNKNOWN, errorBody("", "too many calls at once")));
+            callback.accept(new CallResponse(0, OUTCOME_UNKNOWN, errorBody("", "too many calls at once")));
             return;
         }
         pendingBytes += command.length;
-        PendingCall call = new PendingCall(read, command, told, clock.getAsLong() + RESPONSE_TIMEOUT_MILLIS);
+        PendingCall call = new PendingCall(read, command, callback, clock.getAsLong() + RESPONSE_TIMEOUT_MILLIS);
         long number = ++lastNumber;
         pending.put(number, call);
         process(number, call);
     }
 
-    /** Gives up calls whose time is over, and takes on those that found no leader. */
+    /** Fails calls whose deadline has passed, and retries those that found no leader. */
     void tick() {
         if (pending.isEmpty()) {
             return;
@@ -211,7 +213,7 @@
             if (now >= call.deadlineMillis) {
                 remove(entry.getKey());
                 call.callback.accept(new CallResponse(
-                        entry.getKey(), OUTCOME_UNKNOWN, errorBody("", "no answer from a leader in time")));
+                        entry.getKey(), OUTCOME_UNKNOWN, errorBody("", "no response from a leader in time")));
             } else {
                 call.inProgress &= call.forwardedTo == null || call.forwardedTo.isOpen();
                 process(entry.getKey(), call);
@@ -227,13 +229,13 @@
         if (call.inProgress) {
             return;
         }
-        RaftDriver agreement = machine.raftDriver();
-        if (agreement.raft().role() == Raft.Role.LEADER) {
+        RaftDriver raftDriver = machine.raftDriver();
+        if (raftDriver.raft().role() == Raft.Role.LEADER) {
             call.inProgress = true;
             if (call.read) {
-                confirmRead(agreement, may -> complete(number, may ? show() : null));
+                confirmRead(raftDriver, confirmed -> complete(number, confirmed ? show() : null));
             } else {
-                proposeChange(number, call, agreement);
+                proposeChange(number, call, raftDriver);
             }
         } else if (machine.leaderConnection() != null) {
             call.inProgress = true;
@@ -243,76 +245,81 @@
     }
 
     /**
-     * Guards against showing what a later leader has gone beyond: told true once a majority has answered a round since.
+     * Confirms that no later leader has superseded the state of this one: the callback gets true once a majority has
+     * answered a round of heartbeats sent after the call.
      */
-    void confirmRead(RaftDriver agreement, Consumer<Boolean> told) {
-        agreement.read(told);
+    void confirmRead(RaftDriver raftDriver, Consumer<Boolean> callback) {
+        raftDriver.read(callback);
     }
 
-    private void proposeChange(long number, PendingCall call, RaftDriver agreement) {
-        ConfigurationHistory history = agreement.history();
+    private void proposeChange(long number, PendingCall call, RaftDriver raftDriver) {
+        ConfigurationHistory history = raftDriver.history();
         long base = ConfigurationHistory.base(call.command);
         long rev = ConfigurationHistory.rev(call.command);
-        Verdict now = history.judge(base, rev, call.command);
-        if (isFinal(now, base, rev, history.rev())) {
-            complete(number, responseFor(now, rev));
-        } else if (now == Verdict.FORGOTTEN || isBaseUnknown(base, history.rev())) {
+        Verdict verdict = history.judge(base, rev, call.command);
+        if (isFinal(verdict, base, rev, history.rev())) {
+            complete(number, responseFor(verdict, rev));
+        } else if (verdict == Verdict.FORGOTTEN || isBaseUnknown(base, history.rev())) {
             complete(number, null);
-        } else if (!agreement.raft().fitsUncommittedLimit(call.command.length)) {
-            // Until what is written before it is committed, or its time is over.
+        } else if (!raftDriver.raft().fitsUncommittedLimit(call.command.length)) {
+            // Retried once earlier entries are committed, until the deadline.
             call.inProgress = false;
         } else {
-            agreement.propose(
-                    call.command, verdict -> complete(number, verdict == null ? null : responseFor(verdict, rev)));
+            raftDriver.propose(
+                    call.command, applied -> complete(number, applied == null ? null : responseFor(applied, rev)));
         }
     }
 
-    /** Whether a verdict is true for good, whoever leads: a version that was taken, or passed, stays so. */
+    /** Whether a verdict holds under any leader: a version that was accepted or superseded stays so. */
     boolean isFinal(Verdict verdict, long base, long rev, long current) {
         return (verdict == Verdict.TAKEN && rev <= current)
                 || verdict == Verdict.NOT_ABOVE
                 || (verdict == Verdict.CONFLICT && base < current && mayReject());
     }
 
-    /** Guards against a leader that was cut off and refuses with an old version at hand; then the log has to say so. */
+    /** Without a lease the log decides: a partitioned leader must not reject a change for its own outdated version. */
     boolean mayReject() {
         return machine.holdsLeaderLease();
     }
 
     /**
-     * Guards against refusing an order that may yet be taken: what it builds on may still be under way, or not be known
-     * here yet, and another copy of it may wait elsewhere. It waits for its base, and nothing is proposed meanwhile.
+     * Whether the base version is not known here yet. It may still be in flight, and a copy of the change may be
+     * pending at another node, so rejecting the change would be wrong if it is accepted later. The call waits for its
+     * base and proposes nothing meanwhile.
      */
     boolean isBaseUnknown(long base, long current) {
         return base > current;
     }
 
-    /** Null where it is open: the call goes on until its time is over. */
-    private void complete(long number, CallResponse answer) {
+    /** Completes a call. With a null response the outcome is unknown, and the call is retried until its deadline. */
+    private void complete(long number, CallResponse response) {
         PendingCall call = pending.get(number);
         if (call == null) {
             return;
         }
-        if (answer == null) {
+        if (response == null) {
             call.inProgress = false;
         } else {
             remove(number);
-            call.callback.accept(answer);
+            call.callback.accept(response);
         }
     }
 
-    /** Null where it is open. A repeat is confirmed under its own number, whatever has come on top of it since. */
+    /**
+     * Null if the outcome is unknown. A repeated change is acknowledged with its own version, even after later ones.
+     */
     private CallResponse responseFor(Verdict verdict, long rev) {
         long current = machine.raftDriver().history().rev();
         if (verdict == Verdict.TAKEN) {
-            Invariant.ACKNOWLEDGED_IS_APPLIED.check(rev <= current, () -> rev + " where " + current + " is applied");
+            Invariant.ACKNOWLEDGED_IS_APPLIED.check(
+                    rev <= current, () -> "version " + rev + " acknowledged while " + current + " is applied");
             newestReportedRev = Math.max(newestReportedRev, rev);
         }
         return switch (verdict) {
             case TAKEN -> new CallResponse(0, OK, ("{\"rev\":" + rev + "}\n").getBytes(StandardCharsets.UTF_8));
             case CONFLICT ->
                 new CallResponse(0, CONFLICT, errorBody(BASE_REV_HEADER, "the current version is " + current));
-            case NOT_ABOVE -> new CallResponse(0, INVALID, errorBody("rev", "not above the version that it builds on"));
+            case NOT_ABOVE -> new CallResponse(0, INVALID, errorBody("rev", "must be above the base version"));
             case FORGOTTEN -> null;
         };
     }
@@ -320,18 +327,19 @@
     private CallResponse show() {
         ConfigurationHistory history = machine.raftDriver().history();
         Invariant.SHOWN_IS_NEWEST.check(
-                history.rev() >= newestReportedRev, () -> history.rev() + " is shown after " + newestReportedRev);
+                history.rev() >= newestReportedRev,
+                () -> "version " + history.rev() + " shown after " + newestReportedRev);
         newestReportedRev = Math.max(newestReportedRev, history.rev());
         return history.rev() == 0
                 ? new CallResponse(0, NOT_FOUND, errorBody("", "no configuration yet"))
                 : new CallResponse(0, OK, history.packed());
     }
 
-    private static byte[] errorBody(String where, String what) {
+    private static byte[] errorBody(String field, String message) {
         StringBuilder json =
-                new StringBuilder("{\"err\":\"").append(escapeJson(what)).append('"');
-        if (!where.isEmpty()) {
-            json.append(",\"field\":\"").append(escapeJson(where)).append('"');
+                new StringBuilder("{\"err\":\"").append(escapeJson(message)).append('"');
+        if (!field.isEmpty()) {
+            json.append(",\"field\":\"").append(escapeJson(field)).append('"');
         }
         return json.append("}\n").toString().getBytes(StandardCharsets.UTF_8);
     }
--- a/src/main/java/tinworks/control/OperatorServer.java
+++ b/src/main/java/tinworks/control/OperatorServer.java
@@ -32,7 +32,7 @@
 import tinworks.node.StallWatch;
 import tinworks.raft.Raft;
 
-/** Where the operator calls: HTTP round {@link OperatorCalls}, and the pages for people and probes. */
+/** The HTTP endpoint for operators: the calls of {@link OperatorCalls}, the status, metrics and readiness pages. */
 final class OperatorServer implements ClientServer.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(OperatorServer.class);
     private static final String REPLACE = "/-/config/replace";
@@ -42,12 +42,12 @@
     private static final String METRICS = "/-/metrics";
     private static final int MAX_CONNECTIONS = 128;
     private static final int MAX_HEAD_BYTES = 16_384;
-    /** Bodies on their way in or out: two of the longest, or seven of 14,000 routes. */
+    /** Limit on the bodies being received and sent: two of maximum size, or seven with 14,000 routes. */
     static final int MAX_BODIES_BYTES = 2 * ConfigurationHistory.LONGEST_BODY;
 
     private static final byte[] OVERLOADED_BODY = errorBody("too many calls at once");
-    private static final byte[] SHUTTING_DOWN_BODY = errorBody("this machine ends");
-    private static final byte[] VALIDATION_FAILED_BODY = errorBody("the configuration could not be checked");
+    private static final byte[] SHUTTING_DOWN_BODY = errorBody("core node is shutting down");
+    private static final byte[] VALIDATION_FAILED_BODY = errorBody("the configuration could not be validated");
     private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
     private final EventLoop loop;
@@ -79,8 +79,8 @@
                 this);
     }
 
-    private static byte[] errorBody(String what) {
-        return ("{\"err\":\"" + what + "\"}\n").getBytes(StandardCharsets.UTF_8);
+    private static byte[] errorBody(String message) {
+        return ("{\"err\":\"" + message + "\"}\n").getBytes(StandardCharsets.UTF_8);
     }
 
     ChannelFuture listen(SocketAddress address) {
@@ -105,7 +105,7 @@
             replace(request, reply);
         } else if (path.equals(SHOW)) {
             requireMethod(request, HttpMethod.GET);
-            machine.calls().show(answer -> show(reply, answer));
+            machine.calls().show(response -> show(reply, response));
         } else if (path.equals(STATUS)) {
             requireMethod(request, HttpMethod.GET);
             write(reply, new CallResponse(0, OperatorCalls.OK, status().getBytes(StandardCharsets.UTF_8)));
@@ -128,8 +128,8 @@
     }
 
     /**
-     * Checked one at a time on a thread of its own: heartbeats don't wait for it, and the memory holds one that is
-     * read.
+     * Validates configurations one at a time on a dedicated thread, so that heartbeats are not delayed and only one
+     * parsed configuration takes memory at a time.
      */
     private void replace(FullHttpRequest request, Reply reply) {
         if (validator.isShutdown()) {
@@ -139,19 +139,19 @@
         reply.retainRequest(request);
         long arrivedAt = MonotonicTime.millis();
         validator.execute(() -> {
-            OperatorCalls.ValidatedChange checked = validate(request);
+            OperatorCalls.ValidatedChange change = validate(request);
             loop.execute(() -> {
                 reply.releaseRequest();
-                machine.calls().replace(checked, answer -> {
+                machine.calls().replace(change, response -> {
                     LOG.info(
-                            "replace {}: {} after {} ms, {} leads",
-                            checked,
-                            answer.status(),
+                            "replace {}: status {} after {} ms, {} leads",
+                            change,
+                            response.status(),
                             MonotonicTime.millis() - arrivedAt,
                             machine.holdsLeaderLease()
-                                    ? "this machine"
+                                    ? "this node"
                                     : machine.leaderConnection() == null ? "nobody" : "another");
-                    write(reply, answer);
+                    write(reply, response);
                 });
             });
         });
@@ -164,17 +164,17 @@
                     new ByteBufInputStream(request.content().duplicate()),
                     request.content().nioBuffers());
         } catch (IllegalArgumentException | IllegalStateException e) {
-            LOG.error("a configuration could not be checked", e);
+            LOG.error("validating a configuration failed", e);
             return new OperatorCalls.ValidatedChange(
                     null, new CallResponse(0, OperatorCalls.OUTCOME_UNKNOWN, VALIDATION_FAILED_BODY));
         }
     }
 
-    /** The configuration as it was sent, while there is room for it; a client may be slow to take it. */
-    private void show(Reply reply, CallResponse answer) {
-        int length = answer.status() == OperatorCalls.OK ? CompressedBytes.length(answer.body()) : 0;
+    /** Sends the configuration as it was submitted, if the budget allows it: a slow client holds its share for long. */
+    private void show(Reply reply, CallResponse response) {
+        int length = response.status() == OperatorCalls.OK ? CompressedBytes.length(response.body()) : 0;
         if (length == 0) {
-            write(reply, answer);
+            write(reply, response);
         } else if (!bodyBudget.tryReserve(length)) {
             write(reply, new CallResponse(0, OperatorCalls.OUTCOME_UNKNOWN, OVERLOADED_BODY));
         } else {
@@ -184,17 +184,17 @@
                     new CallResponse(
                             0,
                             OperatorCalls.OK,
-                            CompressedBytes.unpack(answer.body(), ConfigurationHistory.LONGEST_BODY)));
+                            CompressedBytes.unpack(response.body(), ConfigurationHistory.LONGEST_BODY)));
         }
     }
 
-    private static void write(Reply reply, CallResponse answer) {
+    private static void write(Reply reply, CallResponse response) {
         HttpHeaders headers = new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
         reply.write(
-                HttpResponseStatus.valueOf(answer.status()),
+                HttpResponseStatus.valueOf(response.status()),
                 headers,
-                Unpooled.wrappedBuffer(answer.body()),
-                answer.status() == OperatorCalls.OUTCOME_UNKNOWN ? RETRY_DELAY_NANOS : 0);
+                Unpooled.wrappedBuffer(response.body()),
+                response.status() == OperatorCalls.OUTCOME_UNKNOWN ? RETRY_DELAY_NANOS : 0);
     }
 
     private MetricsPage metrics() {
@@ -202,25 +202,30 @@
         return new MetricsPage()
                 .violations()
                 .log()
-                .gauge("leads", "1 at the leader", raft.role() == Raft.Role.LEADER ? 1 : 0)
-                .gauge("in_touch", "1 where the leader's lease vouches for the state", machine.isFresh() ? 1 : 0)
-                .gauge("term", "The present term of the agreement", (double) raft.term())
-                .gauge("commit_index", "The last entry known to be committed", (double) raft.commitIndex())
-                .gauge("log_entries", "Entries behind the snapshot", (double) raft.logLength())
-                .gauge("voters", "Machines that vote", raft.voters().size())
-                .gauge("configuration_version", "The newest version that was applied here", (double)
+                .gauge("leads", "1 if this node is the leader", raft.role() == Raft.Role.LEADER ? 1 : 0)
+                .gauge(
+                        "in_touch",
+                        "1 if the leader lease vouches for the state of this node",
+                        machine.isFresh() ? 1 : 0)
+                .gauge("term", "The current Raft term", (double) raft.term())
+                .gauge("commit_index", "The index of the last entry known to be committed", (double) raft.commitIndex())
+                .gauge("log_entries", "Log entries after the snapshot", (double) raft.logLength())
+                .gauge("voters", "Number of voters", raft.voters().size())
+                .gauge("configuration_version", "The newest configuration version that was applied", (double)
                         machine.raftDriver().history().rev())
-                .gauge("hosts", "Hosts on the list", machine.hostList().hosts().size())
-                .gauge("edges", "Edges that are linked here or known", machine.edgeCount())
-                .counter("stalls", "How often the event loop stood still for half a second", (double)
-                        stallWatch.stalls())
+                .gauge(
+                        "hosts",
+                        "Number of hosts on the list",
+                        machine.hostList().hosts().size())
+                .gauge("edges", "Number of connected edges", machine.edgeCount())
+                .counter("stalls", "Event loop stalls of half a second or more", (double) stallWatch.stalls())
                 .gauge(
                         "longest_stall_seconds",
-                        "The longest that the event loop stood still",
+                        "The longest event loop stall",
                         (double) stallWatch.longestMillis() / TimeUnit.SECONDS.toMillis(1))
                 .gauge(
                         "calls_waiting",
-                        "Operator's calls without an answer",
+                        "Operator calls without a response",
                         machine.calls().pendingCount());
     }
 
--- a/src/main/java/tinworks/control/RaftDriver.java
+++ b/src/main/java/tinworks/control/RaftDriver.java
@@ -15,23 +15,27 @@
 import tinworks.raft.Raft;
 
 /**
- * Drives one {@link Raft}: time and messages in, writes to the disk, and then messages and applied commands out, in the
- * order that {@link Output} asks for. Knows neither sockets nor files nor threads; all methods belong to one thread.
+ * Drives one {@link Raft}: feeds it time and messages, persists its output, and then sends messages and applies
+ * committed commands in the order that {@link Output} requires. It uses no sockets, files or threads itself; all
+ * methods must be called on one thread.
  */
 final class RaftDriver {
-    /** What the agreement needs of the machine around it. */
+    /** Implemented by the core node that owns the driver. */
     interface Callbacks {
-        /** Sends a message to the member of this id; it may be lost. */
+        /** Sends a message to the member with this id; delivery is best effort. */
         void send(long to, Message message);
 
-        /** Something was applied, or the role changed. */
+        /** Called after entries or a snapshot have been applied, and after a role change. */
         void stateChanged();
 
-        /** A line for the operators. */
+        /** Logs a line for operators. */
         void log(String line);
     }
 
-    /** Behind the snapshot, whichever comes first: what a start reads, and what the log takes of the memory. */
+    /**
+     * The log is compacted once it holds more entries or more bytes than this beyond the snapshot. This bounds what a
+     * restart replays and the memory that the log takes.
+     */
     static final int MAX_LOG_ENTRIES = 64;
 
     static final int MAX_LOG_BYTES = 1 << 20;
@@ -50,12 +54,12 @@
 
     private record Proposal(long term, Consumer<Verdict> callback) {}
 
-    /** Goes by a clock of steady milliseconds. Nothing is done before {@link #pump}. */
-    RaftDriver(Raft raft, Disk disk, LongSupplier clock, Callbacks owner) {
+    /** Uses a monotonic clock in milliseconds. Nothing is written or sent before the first {@link #pump}. */
+    RaftDriver(Raft raft, Disk disk, LongSupplier clock, Callbacks callbacks) {
         this.raft = raft;
         this.disk = disk;
         this.clock = clock;
-        this.callbacks = owner;
+        this.callbacks = callbacks;
     }
 
     Raft raft() {
@@ -66,7 +70,7 @@
         return history;
     }
 
-    /** The last index that the history holds. */
+    /** The index of the last entry that was applied to the history. */
     long appliedIndex() {
         return appliedIndex;
     }
@@ -81,29 +85,32 @@
         pump();
     }
 
-    /** Proposes a command; the verdict follows, or null where it is open what becomes of it. */
-    void propose(byte[] command, Consumer<Verdict> told) {
+    /** Proposes a command. The callback gets the verdict, or null if the outcome is unknown. */
+    void propose(byte[] command, Consumer<Verdict> callback) {
         long index = raft.propose(command);
         if (index == 0) {
-            told.accept(null);
+            callback.accept(null);
             return;
         }
-        proposals.put(index, new Proposal(raft.term(), told));
+        proposals.put(index, new Proposal(raft.term(), callback));
         pump();
     }
 
-    /** Asks to read; told true once the applied state is as new as any acknowledged one. */
-    void read(Consumer<Boolean> told) {
+    /**
+     * Requests a linearizable read (ReadIndex). The callback gets true once the applied state covers every acknowledged
+     * change, or false if this node does not lead or loses the leadership.
+     */
+    void read(Consumer<Boolean> callback) {
         long ticket = raft.read();
         if (ticket == 0) {
-            told.accept(false);
+            callback.accept(false);
             return;
         }
-        reads.put(ticket, told);
+        reads.put(ticket, callback);
         pump();
     }
 
-    /** Does what has come up since the last call. */
+    /** Processes the output that Raft has produced since the last call, and reports a role change. */
     void pump() {
         Output output = raft.drain();
         if (!output.isEmpty()) {
@@ -131,15 +138,16 @@
             history.load(output.restored().state());
             Invariant.APPLIED_IN_ORDER.check(
                     output.restored().index() >= appliedIndex,
-                    () -> "a snapshot up to " + output.restored().index() + " behind " + appliedIndex);
+                    () -> "snapshot up to index " + output.restored().index() + " restored after index "
+                            + appliedIndex);
             appliedIndex = output.restored().index();
             appliedTerm = output.restored().term();
         }
         output.committed().forEach(this::apply);
         output.reads().forEach(ticket -> {
-            Consumer<Boolean> told = reads.remove(ticket);
-            if (told != null) {
-                told.accept(true);
+            Consumer<Boolean> callback = reads.remove(ticket);
+            if (callback != null) {
+                callback.accept(true);
             }
         });
         if (appliedIndex - raft.snapshotIndex() > MAX_LOG_ENTRIES || raft.logBytes(appliedIndex) > MAX_LOG_BYTES) {
@@ -157,7 +165,8 @@
         appliedTerm = entry.term();
         long before = history.rev();
         Verdict verdict = entry.kind() == Entry.Kind.COMMAND ? history.apply(entry.body()) : null;
-        Invariant.VERSION_RISES.check(history.rev() >= before, () -> history.rev() + " behind " + before);
+        Invariant.VERSION_RISES.check(
+                history.rev() >= before, () -> "version " + history.rev() + " applied after " + before);
         Proposal proposal = proposals.remove(entry.index());
         if (proposal != null) {
             proposal.callback().accept(proposal.term() == entry.term() ? verdict : null);
@@ -167,19 +176,19 @@
     private void checkOrder(Entry entry) {
         Invariant.APPLIED_IN_ORDER.check(
                 entry.index() == appliedIndex + 1 && entry.term() >= appliedTerm,
-                () -> entry.index() + " of term " + entry.term() + " behind " + appliedIndex + " of term "
-                        + appliedTerm);
+                () -> "entry " + entry.index() + " of term " + entry.term() + " applied after entry " + appliedIndex
+                        + " of term " + appliedTerm);
     }
 
     private void onRoleChange() {
         lastRole = raft.role();
         if (lastRole != Raft.Role.LEADER) {
-            List<Consumer<Boolean>> readers = new ArrayList<>(reads.values());
+            List<Consumer<Boolean>> failedReads = new ArrayList<>(reads.values());
             reads.clear();
-            readers.forEach(told -> told.accept(false));
-            List<Proposal> open = new ArrayList<>(proposals.values());
+            failedReads.forEach(callback -> callback.accept(false));
+            List<Proposal> unresolved = new ArrayList<>(proposals.values());
             proposals.clear();
-            open.forEach(proposal -> proposal.callback().accept(null));
+            unresolved.forEach(proposal -> proposal.callback().accept(null));
         }
         callbacks.stateChanged();
     }
--- a/src/main/java/tinworks/control/VoterPlan.java
+++ b/src/main/java/tinworks/control/VoterPlan.java
@@ -8,29 +8,33 @@
 import tinworks.raft.Member;
 
 /**
- * Who should vote, from what the leader sees; it remembers whom it let go, and reads no clock.
+ * Selects the voters from the leader's view of the members. It remembers the voters that it has replaced, and reads no
+ * clock.
  *
- * <p>So many machines vote that the losses to be borne leave a majority, and no more: with three of four machines
- * voting, any one may go while the fourth, which holds the log too, takes its place. With four of four, a second
- * machine that is merely slow would stop the log. Who is gone changes places with a learner in one change: there are
- * never fewer voters than there were, and one that nobody can take the place of stays. Two of three have to agree with
- * a dead third as without one, and the dead one may yet come back.
+ * <p>The number of voters is the smallest whose majority survives the tolerated losses. With three voters of four
+ * nodes, any one may fail while the fourth, a learner that holds the log too, takes its place. With four voters, a
+ * second node that is merely slow would stop the log. A failed voter is replaced by a learner in a single change, so
+ * the number of voters never falls, and a voter without a successor stays: two of three have to agree with a dead third
+ * voter as without it, and the dead one may still come back.
  */
 class VoterPlan {
     /**
-     * One that gets the log. {@code silentMillis} is how long it has said nothing; {@code leaves} that it is about to
-     * end.
+     * The leader's view of another member, voter or learner.
+     *
+     * @param caughtUp whether it has the log
+     * @param unresponsiveMillis how long it has been unresponsive
+     * @param shuttingDown whether it has announced a graceful shutdown
      */
     record ObservedMember(Member member, boolean caughtUp, long unresponsiveMillis, boolean shuttingDown) {}
 
-    /** A restart takes less; a voter that is gone for longer is replaced where another can take its place. */
+    /** Longer than a restart. A voter that is unresponsive for longer is replaced if a learner can take its place. */
     static final long REPLACE_AFTER_MILLIS = 2_500;
     /**
-     * Who was let go for its silence takes no silent voter's place for so long, or two that come and go would change
-     * for ever.
+     * A voter that was replaced while unresponsive does not replace another unresponsive one for this long. Otherwise
+     * two nodes that fail by turns would replace each other endlessly.
      */
     static final long REINSTATE_DELAY_MILLIS = 20_000;
-    /** Who is alive answers a leader within less. */
+    /** A live member responds to the leader faster than this. */
     static final long RESPONSE_TIMEOUT_MILLIS = 500;
 
     private static final long LIVENESS_MILLIS = 1_000;
@@ -38,28 +42,29 @@
     private final int targetVoters;
     private final Map<Long, Long> replacedAt = new HashMap<>();
 
-    /** {@code losses} is how many voters may be lost at a time. */
-    VoterPlan(int losses) {
-        targetVoters = 2 * losses + 1;
+    /** {@code toleratedLosses} is the number of voters that may fail at the same time. */
+    VoterPlan(int toleratedLosses) {
+        targetVoters = 2 * toleratedLosses + 1;
     }
 
     /**
-     * For how long a member counts as silent. Guards against each new leader counting a dead voter's silence anew; and
-     * against a leader that was frozen or cut off and has heard nobody: it waits for an answer first.
+     * How long a member counts as unresponsive. The time carries over from earlier leaders, so that a new leader does
+     * not start counting from zero for a dead voter. A leader that was frozen or partitioned, and has therefore
+     * received nothing from anyone, first gives the members time to respond.
      *
-     * @param unanswered for how long it hasn't answered the leader, from the beginning of the term at most
-     * @param unheard for how long the leader's machine has heard nothing of it, whoever led
+     * @param unansweredMillis how long the member has not responded to the leader, at most since the term began
+     * @param unheardMillis how long the leader's node has received nothing from the member, under any leader
      */
-    static long unresponsiveMillis(long unanswered, long unheard) {
-        boolean gone = unanswered > RESPONSE_TIMEOUT_MILLIS && unheard > REPLACE_AFTER_MILLIS;
-        return gone ? Math.max(unanswered, unheard) : unanswered;
+    static long unresponsiveMillis(long unansweredMillis, long unheardMillis) {
+        boolean unresponsive = unansweredMillis > RESPONSE_TIMEOUT_MILLIS && unheardMillis > REPLACE_AFTER_MILLIS;
+        return unresponsive ? Math.max(unansweredMillis, unheardMillis) : unansweredMillis;
     }
 
     /**
-     * The voters that there should be instead, or nothing where they are well.
+     * Returns the voters to change to, or empty if no change is needed or possible.
      *
-     * @param now steady milliseconds
-     * @param self the leader, which stays
+     * @param now monotonic time in milliseconds
+     * @param self the leader, which stays a voter
      */
     Optional<List<Member>> next(long now, long self, List<Member> voters, List<ObservedMember> others) {
         replacedAt.values().removeIf(at -> now - at >= REINSTATE_DELAY_MILLIS);
@@ -72,25 +77,25 @@
                 .toList());
         List<Member> next = new ArrayList<>(voters);
         for (Member voter : voters) {
-            // The machine has come back without its disk: what voted under this id is no more.
+            // The node came back without its disk under a new id; the old id will never vote again.
             boolean replaced = voter.id() != self
                     && learners.stream().anyMatch(l -> l.member().address().equals(voter.address()));
             if (replaced) {
                 successor(voter, learners, ready, others)
-                        .ifPresent(successor -> replace(next, voter, successor, ready));
+                        .ifPresent(substitute -> replace(next, voter, substitute, ready));
             }
         }
         for (ObservedMember other : others) {
-            long silentSince = now - other.unresponsiveMillis();
-            Optional<Member> rested =
-                    ready.stream().filter(m -> mayReplace(m, silentSince)).findFirst();
+            long unresponsiveSince = now - other.unresponsiveMillis();
+            Optional<Member> successor =
+                    ready.stream().filter(m -> mayReplace(m, unresponsiveSince)).findFirst();
             if (next.contains(other.member()) && other.shuttingDown() && !ready.isEmpty()) {
-                // While all are there: once it has ended, one more loss might leave no majority.
-                replace(next, other.member(), rested.orElse(ready.get(0)), ready);
+                // Replaced while all voters are up: after its shutdown one more loss might leave no majority.
+                replace(next, other.member(), successor.orElse(ready.get(0)), ready);
             } else if (next.contains(other.member())
                     && other.unresponsiveMillis() > REPLACE_AFTER_MILLIS
-                    && rested.isPresent()) {
-                replace(next, other.member(), rested.get(), ready);
+                    && successor.isPresent()) {
+                replace(next, other.member(), successor.get(), ready);
             }
         }
         while (next.size() < targetVoters && !ready.isEmpty()) {
@@ -106,17 +111,19 @@
     }
 
     /**
-     * Guards against two that come and go by turns and change places for ever: one that was let go takes the place only
-     * of a voter that didn't answer any more by then.
+     * Whether a learner may replace a voter that has been unresponsive since the given time. A learner that was itself
+     * replaced may only do so if the voter was unresponsive before that. Otherwise two nodes that fail by turns would
+     * replace each other endlessly.
      */
-    boolean mayReplace(Member learner, long silentSince) {
+    boolean mayReplace(Member learner, long unresponsiveSince) {
         Long at = replacedAt.get(learner.id());
-        return at == null || silentSince + RESPONSE_TIMEOUT_MILLIS < at;
+        return at == null || unresponsiveSince + RESPONSE_TIMEOUT_MILLIS < at;
     }
 
     /**
-     * Who takes the place of a voter whose machine came back as somebody else: that one or another that has the log.
-     * Where nobody has it the new one comes in without it: it can vote, and the old one never will again.
+     * The successor of a voter whose node came back under a new id: that member if it has the log, else another learner
+     * that has it. If none has the log, the new member comes in without it: it can vote, and the old id never will
+     * again.
      */
     private static Optional<Member> successor(
             Member voter, List<ObservedMember> learners, List<Member> ready, List<ObservedMember> others) {
@@ -131,18 +138,21 @@
         return Optional.of(ready.contains(back) ? back : ready.get(0));
     }
 
-    /** Guards against a late word of an earlier life, which would put an id that is gone in place of one that votes. */
+    /**
+     * Whether a voter responds. Guards against a late message of an earlier process, which would replace a live voter
+     * by an id that no longer exists.
+     */
     private static boolean isResponsive(Member voter, List<ObservedMember> others) {
         return others.stream()
                 .anyMatch(o -> o.member().equals(voter) && o.unresponsiveMillis() <= RESPONSE_TIMEOUT_MILLIS);
     }
 
-    private static void replace(List<Member> next, Member gone, Member successor, List<Member> ready) {
-        next.set(next.indexOf(gone), successor);
+    private static void replace(List<Member> next, Member old, Member successor, List<Member> ready) {
+        next.set(next.indexOf(old), successor);
         ready.remove(successor);
     }
 
-    /** Guards against a change that can't be committed: it takes a majority of those before and of those to come. */
+    /** Whether a majority is alive. A change is committed by majorities of both the old and the new voters. */
     private static boolean hasLiveMajority(long self, List<Member> voters, List<ObservedMember> others) {
         long alive = voters.stream()
                 .filter(v -> v.id() == self
--- a/src/main/java/tinworks/control/package-info.java
+++ b/src/main/java/tinworks/control/package-info.java
@@ -1,2 +1,2 @@
-/** The core machines: they agree on the configuration, watch the platform's list, and tell the edges of both. */
+/** The core nodes (control plane): they replicate the configuration, poll the hosts, and push both to edges. */
 package tinworks.control;
