--- a/src/test/java/tinworks/control/OrdersTest.java
+++ b/src/test/java/tinworks/control/ConfigurationChangeTest.java
@@ -18,21 +18,22 @@
 import tinworks.control.CoreNetwork.Node;
 import tinworks.raft.Raft;
 
-/** Orders that race, repeat and lose their answers while machines are cut off, frozen and killed. */
-class OrdersTest {
+/** Concurrent and retried configuration changes with lost responses, under partitions, freezes and crashes. */
+class ConfigurationChangeTest {
     private static final int RUNS = 200;
     private static final int LEASE_MILLIS = 450;
-    private static final int WAY_MILLIS = 10;
+    private static final int NETWORK_DELAY_MILLIS = 10;
 
     private static List<CallResponse> replace(Node node, long base, byte[] body) {
-        List<CallResponse> answers = new ArrayList<>();
-        node.scheduleInProcess(1, () -> node.machine.calls().replace(List.of(Long.toString(base)), body, answers::add));
-        return answers;
+        List<CallResponse> responses = new ArrayList<>();
+        node.scheduleInProcess(
+                1, () -> node.machine.calls().replace(List.of(Long.toString(base)), body, responses::add));
+        return responses;
     }
 
-    private static int status(List<CallResponse> answers) {
-        assertEquals(1, answers.size());
-        return answers.get(0).status();
+    private static int status(List<CallResponse> responses) {
+        assertEquals(1, responses.size());
+        return responses.get(0).status();
     }
 
     private static Node other(CoreNetwork network, Node... than) {
@@ -43,30 +44,30 @@
     }
 
     @Test
-    void aRepeatIsConfirmedUnderItsOwnNumberAlsoWhenALaterOneIsInForce() {
+    void aRetryIsAcknowledgedWithItsOwnVersionAfterALaterChange() {
         CoreNetwork network = new CoreNetwork(1, 3, CoreMachine::new);
         network.awaitLeader(3_000);
         byte[] first = Operators.configurationJson(2, "a");
         for (Node node : network.nodes) {
-            List<CallResponse> answers = replace(node, 0, first);
+            List<CallResponse> responses = replace(node, 0, first);
             network.runUntil(network.nowMillis + 200);
-            assertEquals(200, status(answers));
-            assertEquals(2, Operators.rev(answers.get(0)));
+            assertEquals(200, status(responses));
+            assertEquals(2, Operators.rev(responses.get(0)));
         }
         List<CallResponse> next = replace(network.nodes.get(0), 2, Operators.configurationJson(9, "b"));
         network.runUntil(network.nowMillis + 200);
         assertEquals(9, Operators.rev(next.get(0)));
         for (Node node : network.nodes) {
-            List<CallResponse> again = replace(node, 0, first);
+            List<CallResponse> retries = replace(node, 0, first);
             network.runUntil(network.nowMillis + 200);
-            assertEquals(200, status(again));
-            assertEquals(2, Operators.rev(again.get(0)), "another's number");
+            assertEquals(200, status(retries));
+            assertEquals(2, Operators.rev(retries.get(0)), "acknowledged with the version of another change");
         }
     }
 
-    /** A copy that waits for a leader must not come into force after another copy was refused. */
+    /** A copy that is pending until there is a leader must not be accepted after another copy was rejected. */
     @Test
-    void anOrderOnAVersionThatIsStillUnderWayIsNotRefused() {
+    void aChangeBasedOnAVersionInFlightIsNotRejected() {
         CoreNetwork network = new CoreNetwork(2, 3, CoreMachine::new);
         Node leader = network.awaitLeader(3_000);
         byte[] second = Operators.configurationJson(4, "b");
@@ -75,18 +76,18 @@
         List<CallResponse> first = replace(leader, 0, Operators.configurationJson(3, "a"));
         network.runUntil(network.nowMillis + 300);
         assertEquals(200, status(first));
-        assertEquals(200, status(early), "it waits for what it builds on");
+        assertEquals(200, status(early), "it waits for its base version");
         List<CallResponse> never = replace(leader, 8, Operators.configurationJson(9, "c"));
         network.runUntil(network.nowMillis + 1_000);
-        assertEquals(503, status(never), "a base that nobody knows");
+        assertEquals(503, status(never), "an unknown base version");
         assertEquals(0, leader.machine.calls().pendingCount());
         List<CallResponse> below = replace(leader, 8, Operators.configurationJson(8, "d"));
         network.runUntil(network.nowMillis + 10);
-        assertEquals(400, status(below), "whatever comes, it can't be taken");
+        assertEquals(400, status(below), "it can never be accepted");
     }
 
     @Test
-    void anOrderWhoseFirstCopyANewLeaderHoldsIsTakenOnce() {
+    void aChangeWhoseFirstCopyIsInTheNewLeadersLogIsAppliedOnce() {
         for (long seed = 0; seed < 20; seed++) {
             CoreNetwork network = new CoreNetwork(seed, 3, CoreMachine::new);
             Node leader = network.awaitLeader(3_000);
@@ -99,31 +100,31 @@
             long first = next.raft().lastIndex();
             leader.kill();
             assertEquals(0, lost.size());
-            List<List<CallResponse>> again = new ArrayList<>();
+            List<List<CallResponse>> attempts = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
-                again.add(replace(network.nodes.get(i % 3), 0, body));
-                again.add(replace(next, 0, Operators.configurationJson(3, "another's")));
+                attempts.add(replace(network.nodes.get(i % 3), 0, body));
+                attempts.add(replace(next, 0, Operators.configurationJson(3, "another's")));
                 network.runUntil(network.nowMillis + 200);
             }
             network.runUntil(network.nowMillis + 1_000);
-            for (List<CallResponse> answers : again) {
-                answers.forEach(a -> assertTrue(a.status() != 200 || Operators.rev(a) == 3));
+            for (List<CallResponse> responses : attempts) {
+                responses.forEach(a -> assertTrue(a.status() != 200 || Operators.rev(a) == 3));
             }
             Node led = network.awaitLeader(3_000);
             assertTrue(led.raft().commitIndex() > first);
             assertEquals(3, led.machine.raftDriver().history().rev());
-            long confirmed = again.stream()
+            long acknowledged = attempts.stream()
                     .filter(a -> !a.isEmpty() && a.get(0).status() == 200)
                     .count();
-            long refused = again.stream()
+            long refused = attempts.stream()
                     .filter(a -> !a.isEmpty() && a.get(0).status() == 412)
                     .count();
-            assertTrue(confirmed > 0 && refused > 0, confirmed + " confirmed, " + refused + " refused");
+            assertTrue(acknowledged > 0 && refused > 0, acknowledged + " acknowledged, " + refused + " refused");
         }
     }
 
     @Test
-    void aVerdictThatComesAfterTheCallersTimeIsLeftUnclearAndItsRepeatConfirmed() {
+    void aCommitAfterTheDeadlineGivesAnUnknownOutcomeAndItsRetryIsAcknowledged() {
         CoreNetwork network = new CoreNetwork(3, 3, CoreMachine::new);
         Node leader = network.awaitLeader(3_000);
         network.nodes.stream().filter(n -> n != leader).forEach(n -> network.partition(n, leader));
@@ -134,21 +135,21 @@
         network.runUntil(network.nowMillis + 200);
         network.nodes.forEach(n -> n.maxSyncMillis = 4);
         network.runUntil(network.nowMillis + 12_000);
-        assertEquals(503, status(late), "one answer and no second one");
-        assertEquals(3, leader.machine.raftDriver().history().rev(), "it was taken later");
-        List<CallResponse> again = replace(other(network, leader), 0, Operators.configurationJson(3, "a"));
+        assertEquals(503, status(late), "exactly one response");
+        assertEquals(3, leader.machine.raftDriver().history().rev(), "it was committed later");
+        List<CallResponse> retries = replace(other(network, leader), 0, Operators.configurationJson(3, "a"));
         network.runUntil(network.nowMillis + 400);
-        assertEquals(200, status(again));
+        assertEquals(200, status(retries));
     }
 
-    /** Its own entry can't be committed, so it doesn't know yet what its predecessor acknowledged. */
+    /** Until its own entry is committed, a new leader does not know what its predecessor has acknowledged. */
     @Test
     void aNewLeaderShowsNothingBeforeItHasCommittedInItsTerm() {
         CoreNetwork network = new CoreNetwork(4, 3, CoreMachine::new);
         Node old = network.awaitLeader(3_000);
-        List<CallResponse> taken = replace(old, 0, Operators.configurationJson(3, "a"));
+        List<CallResponse> acknowledged = replace(old, 0, Operators.configurationJson(3, "a"));
         network.runUntil(network.nowMillis + 300);
-        assertEquals(200, status(taken));
+        assertEquals(200, status(acknowledged));
         old.kill();
         Node next = null;
         while (next == null) {
@@ -170,7 +171,9 @@
         assertEquals(3, Operators.rev(shown.get(0)));
     }
 
-    /** Who says that it leads is alone in that, and who says that it is fresh is behind by less than a lease. */
+    /**
+     * At most one node announces that it leads, and a node that announces fresh state is behind by less than a lease.
+     */
     private static void check(CoreNetwork network, Operators operators, Node node, Announce s) {
         if (s.leader()) {
             network.nodes.forEach(n -> assertTrue(
@@ -180,39 +183,41 @@
                             || n.raft().term() < s.term(),
                     node.hello().node() + " leads beside " + n.hello().node()));
         }
-        long told = operators.newestReported(network.nowMillis - LEASE_MILLIS);
+        long reported = operators.newestReported(network.nowMillis - LEASE_MILLIS);
         assertTrue(
-                !s.fresh() || s.rev() >= told, node.hello().node() + " is fresh with " + s.rev() + " behind " + told);
+                !s.fresh() || s.rev() >= reported,
+                node.hello().node() + " is fresh with " + s.rev() + " behind " + reported);
     }
 
     /**
-     * An edge that starts now goes into service only with what was the newest less than a lease ago, but for the way to
-     * it, and of two lists takes the one that was fetched later.
+     * Starts an edge. It must become ready only with a configuration that was the newest less than a lease plus the
+     * network delay ago, and of two host lists it must use the one that was fetched later.
      */
     private static CoreNetwork.Edge edge(CoreNetwork network, Operators operators) {
         CoreNetwork.Edge[] edge = {null};
         boolean[] served = {false};
-        long[] fetched = {0};
+        long[] lastFetchedAt = {0};
         edge[0] = network.new Edge(() -> {
             for (HostList.Host host : edge[0].follower.hostList().hosts()) {
-                long asked = Long.parseLong(host.id().substring(2));
-                assertTrue(asked >= fetched[0], "a list of " + asked + " after one of " + fetched[0]);
-                fetched[0] = asked;
+                long fetchedAt = Long.parseLong(host.id().substring(2));
+                assertTrue(
+                        fetchedAt >= lastFetchedAt[0], "a list of " + fetchedAt + " after one of " + lastFetchedAt[0]);
+                lastFetchedAt[0] = fetchedAt;
             }
             if (edge[0].follower.hasBeenUpToDate() && !served[0]) {
                 served[0] = true;
-                long told = operators.newestReported(network.nowMillis - LEASE_MILLIS - WAY_MILLIS);
+                long reported = operators.newestReported(network.nowMillis - LEASE_MILLIS - NETWORK_DELAY_MILLIS);
                 assertTrue(
-                        edge[0].follower.rev() >= told,
-                        "an edge serves with " + edge[0].follower.rev() + " behind " + told);
+                        edge[0].follower.rev() >= reported,
+                        "an edge serves with " + edge[0].follower.rev() + " behind " + reported);
             }
         });
         return edge[0];
     }
 
-    /** One run: faults for some seconds, then calm, then everything said is checked. */
-    private static Operators play(long seed, CoreNetwork.CoreMachineFactory maker) {
-        CoreNetwork network = new CoreNetwork(seed, 3, maker);
+    /** One run: random faults for some seconds, then recovery, then a check of all responses. */
+    private static Operators simulate(long seed, CoreNetwork.CoreMachineFactory factory) {
+        CoreNetwork network = new CoreNetwork(seed, 3, factory);
         network.fetchesHostList = true;
         network.awaitLeader(3_000);
         Operators operators = new Operators(network, 0.3);
@@ -226,7 +231,7 @@
                 operators.show();
             }
             if (network.random.nextInt(12) == 0) {
-                trouble(network);
+                injectFault(network);
             }
             if (network.random.nextInt(8) == 0) {
                 edges.add(edge(network, operators));
@@ -242,11 +247,11 @@
                 edge.follower.rev() == newest.rev()
                         && edge.follower.hasBeenUpToDate()
                         && !edge.follower.hostList().hosts().isEmpty(),
-                edge.follower.rev() + " at an edge, not " + newest.rev()));
+                edge.follower.rev() + " at an edge instead of " + newest.rev()));
         return operators;
     }
 
-    private static void trouble(CoreNetwork network) {
+    private static void injectFault(CoreNetwork network) {
         Node leader = network.leader();
         Node node = leader != null && network.random.nextBoolean()
                 ? leader
@@ -275,13 +280,13 @@
     }
 
     @Test
-    void nothingThatWasTakenIsRefusedAndNothingRefusedIsInForce() {
+    void noAcceptedChangeIsRejectedAndNoRejectedChangeIsApplied() {
         int runs = Integer.getInteger("orders", RUNS);
         int acknowledged = 0;
         int refused = 0;
         for (long seed = 0; seed < runs; seed++) {
             try {
-                Operators operators = play(seed, CoreMachine::new);
+                Operators operators = simulate(seed, CoreMachine::new);
                 acknowledged += operators.acknowledged;
                 refused += operators.refused;
             } catch (AssertionError e) {
@@ -293,14 +298,15 @@
                 acknowledged + " acknowledged, " + refused + " refused");
     }
 
-    private static CoreNetwork.CoreMachineFactory with(BiFunction<CoreMachine, LongSupplier, OperatorCalls> handled) {
-        return (self, stored, disk, around) -> new CoreMachine(self, stored, disk, around, handled);
+    private static CoreNetwork.CoreMachineFactory with(
+            BiFunction<CoreMachine, LongSupplier, OperatorCalls> callHandler) {
+        return (self, stored, disk, environment) -> new CoreMachine(self, stored, disk, environment, callHandler);
     }
 
-    private static void assertCaught(CoreNetwork.CoreMachineFactory flawed) {
+    private static void assertCaught(CoreNetwork.CoreMachineFactory mutant) {
         for (long seed = 0; seed < RUNS; seed++) {
             try {
-                play(seed, flawed);
+                simulate(seed, mutant);
             } catch (AssertionError e) {
                 return;
             }
@@ -309,7 +315,7 @@
     }
 
     @Test
-    void refusingWhatIsAheadOfTheBaseIsCaught() {
+    void rejectingAChangeWithAnUnknownBaseIsCaught() {
         assertCaught(with((machine, clock) -> new OperatorCalls(machine, clock) {
             @Override
             boolean isBaseUnknown(long base, long current) {
@@ -319,7 +325,7 @@
     }
 
     @Test
-    void takingTheVerdictOfALeaderThatIsBehindForSettledIsCaught() {
+    void treatingAConflictAtAnOutdatedLeaderAsFinalIsCaught() {
         assertCaught(with((machine, clock) -> new OperatorCalls(machine, clock) {
             @Override
             boolean isFinal(Verdict verdict, long base, long rev, long current) {
@@ -329,8 +335,8 @@
     }
 
     @Test
-    void sayingThatItIsFreshFromWhatWasReceivedIsCaught() {
-        assertCaught((self, stored, disk, around) -> new CoreMachine(self, stored, disk, around) {
+    void announcingFreshStateWithoutALeaseIsCaught() {
+        assertCaught((self, stored, disk, environment) -> new CoreMachine(self, stored, disk, environment) {
             @Override
             boolean isFresh() {
                 return raftDriver().raft().role() == Raft.Role.LEADER
@@ -340,8 +346,8 @@
     }
 
     @Test
-    void sayingThatItLeadsWithoutALeaseIsCaught() {
-        assertCaught((self, stored, disk, around) -> new CoreMachine(self, stored, disk, around) {
+    void announcingLeadershipWithoutALeaseIsCaught() {
+        assertCaught((self, stored, disk, environment) -> new CoreMachine(self, stored, disk, environment) {
             @Override
             boolean holdsLeaderLease() {
                 return raftDriver().raft().hasCommittedInCurrentTerm();
@@ -350,8 +356,8 @@
     }
 
     @Test
-    void numberingAListWithoutALeaseIsCaught() {
-        assertCaught((self, stored, disk, around) -> new CoreMachine(self, stored, disk, around) {
+    void versioningAHostListWithoutALeaseIsCaught() {
+        assertCaught((self, stored, disk, environment) -> new CoreMachine(self, stored, disk, environment) {
             @Override
             boolean mayVersionHostList() {
                 return true;
@@ -360,11 +366,11 @@
     }
 
     @Test
-    void showingWithoutARoundOfHeartbeatsIsCaught() {
+    void readingWithoutARoundOfHeartbeatsIsCaught() {
         assertCaught(with((machine, clock) -> new OperatorCalls(machine, clock) {
             @Override
-            void confirmRead(RaftDriver agreement, Consumer<Boolean> told) {
-                told.accept(true);
+            void confirmRead(RaftDriver driver, Consumer<Boolean> callback) {
+                callback.accept(true);
             }
         }));
     }
--- a/src/test/java/tinworks/control/ConfigurationFeedTest.java
+++ b/src/test/java/tinworks/control/ConfigurationFeedTest.java
@@ -21,9 +21,9 @@
 import tinworks.config.ConfigurationHistory;
 import tinworks.config.ConfigurationReader;
 
-/** What edges are told of the configuration: changes that lead to the very same, in bytes of the change's own size. */
+/** Configuration messages for edges: changes lead to the same configuration and are as small as the change itself. */
 class ConfigurationFeedTest {
-    private static final int MOST = 8 << 20;
+    private static final int MAX_BYTES = 8 << 20;
 
     private final ConfigurationHistory history = new ConfigurationHistory();
     private final ConfigurationFeed feed = new ConfigurationFeed();
@@ -46,7 +46,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    private Configuration take(byte[] json) throws Exception {
+    private Configuration commit(byte[] json) throws Exception {
         Configuration read = ConfigurationReader.read(json);
         assertEquals(
                 ConfigurationHistory.Verdict.TAKEN,
@@ -55,29 +55,29 @@
         return read;
     }
 
-    /** Routes in any order: by their places they are the same. */
-    private static void assertSame(Configuration wanted, Configuration is) {
-        assertEquals(wanted.rev(), is.rev());
-        assertEquals(wanted.routes().size(), is.routes().size());
-        assertEquals(new HashSet<>(wanted.routes()), new HashSet<>(is.routes()));
-        assertEquals(wanted.services(), is.services());
-        assertEquals(wanted.limits(), is.limits());
+    /** Compares routes without regard to their order. */
+    private static void assertSame(Configuration expected, Configuration actual) {
+        assertEquals(expected.rev(), actual.rev());
+        assertEquals(expected.routes().size(), actual.routes().size());
+        assertEquals(new HashSet<>(expected.routes()), new HashSet<>(actual.routes()));
+        assertEquals(expected.services(), actual.services());
+        assertEquals(expected.limits(), actual.limits());
     }
 
-    private static Configuration taught(Configuration held, PeerMessage told) throws MalformedDataException {
-        if (told instanceof PeerMessage.ConfigurationBody body) {
-            return ConfigurationCodec.read(CompressedBytes.unpack(body.compressed(), MOST));
+    private static Configuration received(Configuration held, PeerMessage message) throws MalformedDataException {
+        if (message instanceof PeerMessage.ConfigurationBody body) {
+            return ConfigurationCodec.read(CompressedBytes.unpack(body.compressed(), MAX_BYTES));
         }
-        PeerMessage.ConfigurationChanged changed = assertInstanceOf(PeerMessage.ConfigurationChanged.class, told);
-        return ConfigurationCodec.readChange(CompressedBytes.unpack(changed.compressed(), MOST))
+        PeerMessage.ConfigurationChanged changed = assertInstanceOf(PeerMessage.ConfigurationChanged.class, message);
+        return ConfigurationCodec.readChange(CompressedBytes.unpack(changed.compressed(), MAX_BYTES))
                 .appliedTo(held);
     }
 
     @Test
-    void whoeverHoldsAnOlderVersionComesToTheNewest() throws Exception {
+    void anEdgeWithAnyOlderVersionReachesTheNewest() throws Exception {
         SplittableRandom random = new SplittableRandom(11);
         List<Configuration> all = new ArrayList<>();
-        assertNull(feed.since(0), "nothing to tell yet");
+        assertNull(feed.since(0), "there is no configuration yet");
         for (int i = 1; i <= 40; i++) {
             List<String> services = new ArrayList<>(List.of(service("fixed", 9)));
             for (int n = 0; n < 4; n++) {
@@ -91,24 +91,24 @@
                     routes.add(route(n, 2_000 + random.nextInt(2), "s0"));
                 }
             }
-            all.add(take(json(i * 3L, routes, services, 15_000 + random.nextInt(2))));
+            all.add(commit(json(i * 3L, routes, services, 15_000 + random.nextInt(2))));
         }
         Configuration newest = all.get(all.size() - 1);
-        int byChange = 0;
+        int fromChanges = 0;
         for (Configuration held : all.subList(0, all.size() - 1)) {
-            PeerMessage told = feed.since(held.rev());
-            byChange += told instanceof PeerMessage.ConfigurationChanged ? 1 : 0;
-            assertSame(newest, taught(held, told));
+            PeerMessage message = feed.since(held.rev());
+            fromChanges += message instanceof PeerMessage.ConfigurationChanged ? 1 : 0;
+            assertSame(newest, received(held, message));
         }
-        assertEquals(16, byChange);
-        assertSame(newest, taught(null, feed.since(0)));
+        assertEquals(16, fromChanges);
+        assertSame(newest, received(null, feed.since(0)));
         assertNull(feed.since(newest.rev()));
-        assertNull(feed.since(newest.rev() + 1), "this core machine is behind");
+        assertNull(feed.since(newest.rev() + 1), "the edge is ahead of this core node");
     }
 
-    /** Held in CI: a changed route costs its own size, however many there are. */
+    /** A changed route costs its own size, however many routes there are. */
     @Test
-    void oneChangedRouteOfManyIsUnderAKilobyte() throws Exception {
+    void changingOneOfManyRoutesTakesLessThan300Bytes() throws Exception {
         for (int count : new int[] {10, 1_400, 10_000}) {
             List<String> routes = new ArrayList<>();
             for (int n = 0; n < count; n++) {
@@ -116,27 +116,32 @@
             }
             List<String> services = List.of(service("s0", 1), service("fixed", 1));
             long rev = history.rev() + 1;
-            Configuration before = take(json(rev, routes, services, 1_000));
+            Configuration before = commit(json(rev, routes, services, 1_000));
             routes.set(3, route(3, 2_001, "s0"));
-            Configuration after = take(json(rev + 1, routes, services, 1_000));
-            PeerMessage.ConfigurationChanged told =
+            Configuration after = commit(json(rev + 1, routes, services, 1_000));
+            PeerMessage.ConfigurationChanged message =
                     assertInstanceOf(PeerMessage.ConfigurationChanged.class, feed.since(rev));
-            assertTrue(told.compressed().length < 300, told.compressed().length + " bytes for one of " + count);
-            assertSame(after, taught(before, told));
-            assertThrows(IllegalArgumentException.class, () -> taught(after, told), "it builds on another version");
+            assertTrue(message.compressed().length < 300, message.compressed().length + " bytes for one of " + count);
+            assertSame(after, received(before, message));
+            assertThrows(
+                    IllegalArgumentException.class,
+                    () -> received(after, message),
+                    "the change is based on another version");
         }
     }
 
-    /** Each version changes every route: as changes they would be as long as the whole, sixteen times over. */
+    /**
+     * If each version changes every route, sixteen retained changes would take sixteen times the full configuration.
+     */
     @Test
-    void changesOfEverythingAreKeptWithinABoundOfBytes() throws Exception {
+    void retainedChangesStayWithinTheirByteLimit() throws Exception {
         List<String> services = List.of(service("s0", 1), service("fixed", 1));
         for (int version = 1; version <= 20; version++) {
             List<String> routes = new ArrayList<>();
             for (int n = 0; n < 1_000; n++) {
                 routes.add(route(n, 2_000 + version, "s0"));
             }
-            take(json(version, routes, services, 1_000));
+            commit(json(version, routes, services, 1_000));
         }
         assertTrue(feed.retainedChanges() > 0 && feed.retainedChanges() < 16, feed.retainedChanges() + " changes");
         assertInstanceOf(PeerMessage.ConfigurationBody.class, feed.since(5));
@@ -144,26 +149,26 @@
     }
 
     @Test
-    void bytesThatAreCutOrSpoiltAreRefusedWithoutHarm() throws Exception {
-        take(json(1, List.of(route(1, 2_000, "s0")), List.of(service("s0", 1), service("fixed", 1)), 1_000));
+    void truncatedOrCorruptedBytesAreRejected() throws Exception {
+        commit(json(1, List.of(route(1, 2_000, "s0")), List.of(service("s0", 1), service("fixed", 1)), 1_000));
         byte[] whole = ConfigurationCodec.write(ConfigurationReader.read(history.body()));
         for (int i = 0; i < whole.length; i++) {
-            byte[] cut = Arrays.copyOf(whole, i);
-            assertThrows(MalformedDataException.class, () -> ConfigurationCodec.read(cut));
+            byte[] truncated = Arrays.copyOf(whole, i);
+            assertThrows(MalformedDataException.class, () -> ConfigurationCodec.read(truncated));
         }
         byte[] longer = Arrays.copyOf(whole, whole.length + 1);
         assertThrows(MalformedDataException.class, () -> ConfigurationCodec.read(longer));
         SplittableRandom random = new SplittableRandom(3);
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 5_000; i++) {
-            byte[] spoilt = whole.clone();
-            spoilt[random.nextInt(spoilt.length)] = (byte) random.nextInt(256);
+            byte[] corrupted = whole.clone();
+            corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt(256);
             try {
-                ConfigurationCodec.read(spoilt);
+                ConfigurationCodec.read(corrupted);
             } catch (MalformedDataException e) {
-                refused++;
+                rejected++;
             }
         }
-        assertTrue(refused > 500, refused + " of 5,000 were refused");
+        assertTrue(rejected > 500, rejected + " of 5,000 were rejected");
     }
 }
--- a/src/test/java/tinworks/control/CoreMachineTest.java
+++ b/src/test/java/tinworks/control/CoreMachineTest.java
@@ -18,23 +18,23 @@
 import tinworks.control.CoreNetwork.Node;
 import tinworks.raft.Message;
 
-/** What a core machine says of itself when it is cut off or frozen, or hears from one that was. */
+/** What a core node announces while it is partitioned or frozen, and how it treats messages from such a node. */
 class CoreMachineTest {
     private static final int LEASE_MILLIS = 450;
 
     private final CoreNetwork network = new CoreNetwork(5, 3, CoreMachine::new);
 
-    /** One that dialled the machine and records what that says. */
-    private static final class Caller implements PeerConnection {
-        final List<PeerMessage> heard = new ArrayList<>();
+    /** A peer with an inbound connection that records the messages it receives. */
+    private static final class RecordingPeer implements PeerConnection {
+        final List<PeerMessage> messages = new ArrayList<>();
         private final Hello peer;
 
-        Caller(NodeRole part, long id) {
+        RecordingPeer(NodeRole part, long id) {
             peer = new Hello(part, id, "x:1", "x", "z");
         }
 
         Announce last() {
-            return (Announce) heard.stream()
+            return (Announce) messages.stream()
                     .filter(Announce.class::isInstance)
                     .reduce((a, b) -> b)
                     .orElseThrow();
@@ -56,8 +56,8 @@
         }
 
         @Override
-        public void send(PeerMessage signal) {
-            heard.add(signal);
+        public void send(PeerMessage message) {
+            messages.add(message);
         }
 
         @Override
@@ -70,7 +70,7 @@
         return new HostList.Host(id, "s", "10.0.0.1:80", "z", 3, false, 0);
     }
 
-    private Node settled() {
+    private Node stableLeader() {
         Node leader = network.awaitLeader(3_000);
         network.runUntil(network.nowMillis + 1_000);
         network.nodes.forEach(
@@ -80,16 +80,16 @@
     }
 
     @Test
-    void aLeaderThatIsCutOffNeitherLeadsNorIsFreshOnceItsLeaseIsOver() {
-        Node leader = settled();
-        Caller edge = new Caller(NodeRole.EDGE, 77);
+    void aPartitionedLeaderIsNeitherLeaderNorFreshAfterItsLease() {
+        Node leader = stableLeader();
+        RecordingPeer edge = new RecordingPeer(NodeRole.EDGE, 77);
         leader.machine.opened(edge);
         assertTrue(edge.last().fresh() && edge.last().leader());
         network.isolate(leader);
         network.runUntil(network.nowMillis + LEASE_MILLIS);
-        assertTrue(leader.raft().hasCommittedInCurrentTerm(), "it doesn't know yet that another may lead");
+        assertTrue(leader.raft().hasCommittedInCurrentTerm(), "it does not know yet that another may lead");
         assertFalse(leader.machine.holdsLeaderLease() || leader.machine.isFresh());
-        Caller late = new Caller(NodeRole.EDGE, 78);
+        RecordingPeer late = new RecordingPeer(NodeRole.EDGE, 78);
         leader.machine.opened(late);
         assertFalse(late.last().fresh() || late.last().leader());
         network.runUntil(network.nowMillis + 3_000);
@@ -99,8 +99,8 @@
     }
 
     @Test
-    void aFollowerThatIsCutOffIsNotFresh() {
-        Node leader = settled();
+    void aPartitionedFollowerIsNotFresh() {
+        Node leader = stableLeader();
         Node follower =
                 network.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
         network.isolate(follower);
@@ -110,32 +110,34 @@
     }
 
     @Test
-    void aLeaderThatThawsSaysNothingOfWhatItWas() {
-        Node leader = settled();
-        Caller edge = new Caller(NodeRole.EDGE, 77);
+    void aLeaderThatWasFrozenDoesNotAnnounceItsOldState() {
+        Node leader = stableLeader();
+        RecordingPeer edge = new RecordingPeer(NodeRole.EDGE, 77);
         leader.machine.opened(edge);
         leader.freeze();
-        // What waits for it when it thaws, before any message of a later term.
+        // Events that it processes when it resumes, before any message of a later term.
         leader.scheduleInProcess(1, () -> leader.machine.hostsFetched(List.of(host("i-9"))));
         leader.scheduleInProcess(1, leader.machine::stateChanged);
         network.runUntil(network.nowMillis + 5_000);
         Node next = network.leader();
         assertTrue(next != null && next != leader && next.machine.holdsLeaderLease());
-        int heard = edge.heard.size();
+        int messagesBefore = edge.messages.size();
         leader.thaw();
-        edge.heard.subList(heard, edge.heard.size()).stream()
+        edge.messages.subList(messagesBefore, edge.messages.size()).stream()
                 .filter(Announce.class::isInstance)
                 .map(Announce.class::cast)
                 .forEach(s -> assertFalse(s.leader() || s.fresh(), s.toString()));
-        assertTrue(leader.machine.hostList().version().isSameAs(HostListVersion.NONE), "a list from before");
+        assertTrue(
+                leader.machine.hostList().version().isSameAs(HostListVersion.NONE),
+                "a host list fetched before the freeze");
         network.runUntil(network.nowMillis + 1_000);
         assertFalse(leader.machine.holdsLeaderLease());
         assertTrue(leader.machine.hostList().version().isSameAs(HostListVersion.NONE));
     }
 
     @Test
-    void aListThatIsFetchedWithoutALeaseIsToldOnceThatIsThereAgain() {
-        Node leader = settled();
+    void aHostListFetchedWithoutALeaseIsPublishedOnceTheLeaseIsRenewed() {
+        Node leader = stableLeader();
         leader.machine.hostsFetched(List.of(host("i-1")));
         HostListVersion first = leader.machine.hostList().version();
         assertTrue(first.isSameAs(new HostListVersion(leader.raft().term(), 1)));
@@ -145,77 +147,79 @@
         assertTrue(leader.machine.hostList().version().isSameAs(first));
         network.heal();
         network.runUntil(network.nowMillis + 300);
-        assertTrue(leader.machine.holdsLeaderLease(), "nobody else had the time to stand");
+        assertTrue(leader.machine.holdsLeaderLease(), "no other node had time to become a candidate");
         assertTrue(leader.machine.hostList().version().isSameAs(new HostListVersion(first.term(), 2)));
     }
 
     @Test
-    void aLeaderThatIsCutOffRefusesNothing() {
-        Node leader = settled();
-        List<CallResponse> answers = new ArrayList<>();
-        leader.machine.calls().replace(List.of("0"), Operators.configurationJson(3, "a"), answers::add);
+    void aPartitionedLeaderRejectsNothing() {
+        Node leader = stableLeader();
+        List<CallResponse> responses = new ArrayList<>();
+        leader.machine.calls().replace(List.of("0"), Operators.configurationJson(3, "a"), responses::add);
         network.runUntil(network.nowMillis + 100);
-        leader.machine.calls().replace(List.of("0"), Operators.configurationJson(4, "b"), answers::add);
+        leader.machine.calls().replace(List.of("0"), Operators.configurationJson(4, "b"), responses::add);
         assertEquals(
-                List.of(200, 412), answers.stream().map(CallResponse::status).toList());
+                List.of(200, 412), responses.stream().map(CallResponse::status).toList());
         network.isolate(leader);
         network.runUntil(network.nowMillis + LEASE_MILLIS);
-        leader.machine.calls().replace(List.of("0"), Operators.configurationJson(5, "c"), answers::add);
-        leader.machine.calls().replace(List.of("0"), Operators.configurationJson(3, "a"), answers::add);
-        leader.machine.calls().show(answers::add);
+        leader.machine.calls().replace(List.of("0"), Operators.configurationJson(5, "c"), responses::add);
+        leader.machine.calls().replace(List.of("0"), Operators.configurationJson(3, "a"), responses::add);
+        leader.machine.calls().show(responses::add);
         network.runUntil(network.nowMillis + 1_000);
         assertEquals(
                 List.of(200, 412, 200, 503, 503),
-                answers.stream().map(CallResponse::status).toList(),
-                "what was taken is confirmed, nothing is refused, nothing is shown");
+                responses.stream().map(CallResponse::status).toList(),
+                "an accepted change is acknowledged, nothing is rejected or shown");
     }
 
     @Test
-    void anAnswerCountsOnlyFromWhomTheCallWasPassedTo() {
-        assertEquals(List.of(), answersFromAnother(CoreMachine::new));
+    void aResponseCountsOnlyFromTheNodeThatTheCallWasForwardedTo() {
+        assertEquals(List.of(), responsesFromAnother(CoreMachine::new));
         assertEquals(
                 1,
-                answersFromAnother((self, stored, disk, around) -> new CoreMachine(
-                                self, stored, disk, around, (machine, clock) -> new OperatorCalls(machine, clock) {
+                responsesFromAnother((self, stored, disk, environment) -> new CoreMachine(
+                                self, stored, disk, environment, (machine, clock) -> new OperatorCalls(machine, clock) {
                                     @Override
                                     boolean isExpectedResponder(PeerConnection passedTo, PeerConnection from) {
                                         return true;
                                     }
                                 }))
                         .size(),
-                "matched by the number alone");
+                "responses matched by number alone");
     }
 
-    /** What a caller is told when somebody else answers a call of the same number. */
-    private static List<CallResponse> answersFromAnother(CoreNetwork.CoreMachineFactory maker) {
-        CoreNetwork network = new CoreNetwork(6, 3, maker);
+    /** The responses that a caller gets when another node responds to a call with the same number. */
+    private static List<CallResponse> responsesFromAnother(CoreNetwork.CoreMachineFactory factory) {
+        CoreNetwork network = new CoreNetwork(6, 3, factory);
         Node leader = network.awaitLeader(3_000);
         network.runUntil(network.nowMillis + 500);
-        Node asked = network.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
-        List<CallResponse> answers = new ArrayList<>();
+        Node forwarder =
+                network.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
+        List<CallResponse> responses = new ArrayList<>();
         leader.freeze();
-        asked.machine.calls().replace(List.of("0"), Operators.configurationJson(3, "a"), answers::add);
-        asked.machine.received(new Caller(NodeRole.CORE, 9), new CallResponse(1, OperatorCalls.OK, new byte[0]));
-        return answers;
+        forwarder.machine.calls().replace(List.of("0"), Operators.configurationJson(3, "a"), responses::add);
+        forwarder.machine.received(
+                new RecordingPeer(NodeRole.CORE, 9), new CallResponse(1, OperatorCalls.OK, new byte[0]));
+        return responses;
     }
 
     @Test
-    void aMachineThatDialledAgainIsReachedByItsLatestConnection() {
+    void messagesToANodeThatReconnectedUseItsLatestConnection() {
         Node node = network.nodes.get(0);
-        Caller earlier = new Caller(NodeRole.CORE, 55);
-        Caller latest = new Caller(NodeRole.CORE, 55);
+        RecordingPeer earlier = new RecordingPeer(NodeRole.CORE, 55);
+        RecordingPeer latest = new RecordingPeer(NodeRole.CORE, 55);
         node.machine.opened(earlier);
         node.machine.opened(latest);
         node.machine.send(55, new Message.TimeoutNow(1));
-        assertFalse(earlier.heard.stream().anyMatch(PeerMessage.RaftMessage.class::isInstance));
-        assertTrue(latest.heard.stream().anyMatch(PeerMessage.RaftMessage.class::isInstance));
+        assertFalse(earlier.messages.stream().anyMatch(PeerMessage.RaftMessage.class::isInstance));
+        assertTrue(latest.messages.stream().anyMatch(PeerMessage.RaftMessage.class::isInstance));
     }
 
     @Test
-    void theCoreMachinesAreThoseThatTheLatestLeaderTold() {
+    void theCoreNodesAreThoseThatTheLatestLeaderAnnounced() {
         Node node = network.nodes.get(0);
-        Caller later = new Caller(NodeRole.CORE, 55);
-        Caller old = new Caller(NodeRole.CORE, 56);
+        RecordingPeer later = new RecordingPeer(NodeRole.CORE, 55);
+        RecordingPeer old = new RecordingPeer(NodeRole.CORE, 56);
         node.machine.opened(later);
         node.machine.opened(old);
         node.machine.received(later, new Announce(6, 0, HostListVersion.NONE, true, true, List.of("n:1"), 0));
--- a/src/test/java/tinworks/control/CoreTest.java
+++ b/src/test/java/tinworks/control/CoreTest.java
@@ -13,26 +13,26 @@
 import tinworks.store.CoreStore;
 import tinworks.store.SimulatedDisk;
 
-/** How a core machine finds out who it is, and what it does with a damaged store. */
+/** How a core node determines its identity, and what it does with a corrupt store. */
 class CoreTest {
-    private static final long LARGEST_FIRST_ID = 1L + 0xffff_ffffL;
+    private static final long MAX_BOOTSTRAP_ID = 1L + 0xffff_ffffL;
 
     @Test
-    void theIdOfAnEmptyMachineIsPositiveAndAboveAllOfAFirstStart() {
+    void theIdOfAnEmptyNodeIsAboveAllBootstrapIds() {
         for (int i = 0; i < 200; i++) {
             long id = Core.newId("10.1.0." + i + ":7540");
-            assertTrue(id > LARGEST_FIRST_ID, Long.toString(id));
+            assertTrue(id > MAX_BOOTSTRAP_ID, Long.toString(id));
         }
     }
 
-    private static BootSettings settings(int machine, boolean bootstrap) {
+    private static BootSettings settings(int node, boolean bootstrap) {
         return new BootSettings(
-                "core-" + machine,
+                "core-" + node,
                 "z",
                 null,
                 null,
                 null,
-                new InetSocketAddress("10.1.0." + machine, 7540),
+                new InetSocketAddress("10.1.0." + node, 7540),
                 List.of("10.1.0.1:7540", "10.1.0.2:7540", "10.1.0.3:7540"),
                 bootstrap,
                 800,
@@ -42,7 +42,7 @@
                 null);
     }
 
-    /** Starts a machine on its disk; who it is, or 0 where the disk gave out. */
+    /** Starts a node on its disk. Returns its id, or 0 if the disk failed. */
     private static long start(SimulatedDisk disk, BootSettings settings) throws CoreStore.CorruptStoreException {
         try (CoreStore store = Core.open(disk.directory())) {
             return Core.identity(store, settings);
@@ -57,45 +57,47 @@
         }
     }
 
-    /** Power goes on all three at every operation of a first start, and they come back with or without bootstrap. */
+    /** Power is lost at every disk operation of a bootstrap, and the node restarts with or without bootstrap. */
     @Test
-    void aFirstStartThatLostItsPowerFoundsTheSameSystemOrNone() throws Exception {
+    void aBootstrapInterruptedByPowerLossFoundsTheSameSystemOrNone() throws Exception {
         long first = start(new SimulatedDisk(0), settings(1, true));
         int founded = 0;
         for (int after = 0; after < 60; after++) {
             SimulatedDisk disk = new SimulatedDisk(after);
             disk.failAfter(after);
-            long before = start(disk, settings(1, true));
+            long idBefore = start(disk, settings(1, true));
             disk.powerLoss();
             boolean bootstrap = after % 2 == 0;
             long id = start(disk, settings(1, bootstrap));
-            assertTrue(before == 0 || id == before, "an identity that was told of is gone after operation " + after);
             assertTrue(
-                    id == first || (!bootstrap && voters(disk).isEmpty() && id > LARGEST_FIRST_ID),
+                    idBefore == 0 || id == idBefore, "an identity that was returned is lost after operation " + after);
+            assertTrue(
+                    id == first || (!bootstrap && voters(disk).isEmpty() && id > MAX_BOOTSTRAP_ID),
                     "operation " + after);
             assertEquals(id == first ? 3 : 0, voters(disk).size());
-            founded += before == first ? 1 : 0;
+            founded += idBefore == first ? 1 : 0;
         }
-        assertTrue(founded > 0 && founded < 60, founded + " founded before power went");
+        assertTrue(founded > 0 && founded < 60, founded + " founded before the power loss");
     }
 
     /**
-     * It may have voted under its old id, so it may not take it again: with most voters gone so, there is no leader.
+     * The node may have voted under its old id, so it must not take it again. If most voters lose their stores like
+     * this, there is no leader.
      */
     @Test
-    void aMachineWhoseStoreWasSetAsideIsNoVoterWhateverItsSettingsSay() throws Exception {
-        for (int machine = 1; machine <= 3; machine++) {
-            SimulatedDisk disk = new SimulatedDisk(machine);
-            long first = start(disk, settings(machine, true));
+    void aNodeWhoseStoreWasQuarantinedIsNotAVoterWhateverItsSettings() throws Exception {
+        for (int node = 1; node <= 3; node++) {
+            SimulatedDisk disk = new SimulatedDisk(node);
+            long first = start(disk, settings(node, true));
             disk.crash();
             byte[] bytes = disk.read("state.mv");
             Arrays.fill(bytes, 0, bytes.length, (byte) 0x55);
             disk.put("state.mv", bytes);
-            long id = start(disk, settings(machine, true));
-            assertTrue(id != first && id > LARGEST_FIRST_ID, Long.toString(id));
+            long id = start(disk, settings(node, true));
+            assertTrue(id != first && id > MAX_BOOTSTRAP_ID, Long.toString(id));
             assertEquals(List.of(), voters(disk));
             disk.powerLoss();
-            assertEquals(id, start(disk, settings(machine, true)), "who it became is gone with the power");
+            assertEquals(id, start(disk, settings(node, true)), "the new identity did not survive the power loss");
             assertEquals(
                     1,
                     disk.files().stream()
@@ -104,9 +106,9 @@
         }
     }
 
-    /** Also when power goes anywhere between setting it aside and beginning anew. */
+    /** Also if power is lost at any point between the quarantine and the start with an empty store. */
     @Test
-    void aDamagedVoterNeverTakesItsOldIdThroughAnyLossOfPower() throws Exception {
+    void aVoterWithACorruptStoreNeverTakesItsOldIdAfterPowerLoss() throws Exception {
         for (int seed = 0; seed < 400; seed++) {
             SimulatedDisk disk = new SimulatedDisk(seed);
             disk.put("state.mv", new byte[20_000]);
@@ -114,13 +116,13 @@
             disk.failAfter(after);
             start(disk, settings(1, true));
             disk.powerLoss();
-            assertTrue(start(disk, settings(1, true)) > LARGEST_FIRST_ID, "operation " + after + ", seed " + seed);
+            assertTrue(start(disk, settings(1, true)) > MAX_BOOTSTRAP_ID, "operation " + after + ", seed " + seed);
         }
     }
 
-    /** A full disk takes no write, but what is on it can be read: it isn't damage. */
+    /** A full disk accepts no writes but can be read, so its store must not count as corrupt. */
     @Test
-    void aFullDiskIsNotADamagedStore() throws Exception {
+    void aFullDiskIsNotACorruptStore() throws Exception {
         SimulatedDisk disk = new SimulatedDisk(5);
         disk.setFull(true);
         assertEquals(0, start(disk, settings(1, true)));
--- a/src/test/java/tinworks/control/DiskThreadTest.java
+++ b/src/test/java/tinworks/control/DiskThreadTest.java
@@ -24,7 +24,7 @@
 import tinworks.raft.Snapshot;
 import tinworks.store.CoreStore;
 
-/** Writes run in order on the thread of the disk. */
+/** Errors and retries of {@link DiskThread}: a full disk is retried, a fatal error is not. */
 @Timeout(value = 30, unit = TimeUnit.SECONDS)
 class DiskThreadTest {
     @TempDir
@@ -33,12 +33,12 @@
     private final BlockingQueue<Throwable> uncaught = new LinkedBlockingQueue<>();
     private final List<String> lines = Collections.synchronizedList(new ArrayList<>());
     private final BlockingQueue<String> written = new LinkedBlockingQueue<>();
-    private Thread.UncaughtExceptionHandler before;
+    private Thread.UncaughtExceptionHandler previousHandler;
     private DiskThread disk;
 
     @BeforeEach
     void start() throws Exception {
-        before = Thread.getDefaultUncaughtExceptionHandler();
+        previousHandler = Thread.getDefaultUncaughtExceptionHandler();
         Thread.setDefaultUncaughtExceptionHandler((thread, thrown) -> uncaught.add(thrown));
         CoreStore store = CoreStore.open(folder);
         store.initialize(1, HardState.NONE, Snapshot.NONE);
@@ -49,10 +49,10 @@
     void stop() throws InterruptedException {
         disk.close();
         assertTrue(disk.awaitClosed(5_000));
-        Thread.setDefaultUncaughtExceptionHandler(before);
+        Thread.setDefaultUncaughtExceptionHandler(previousHandler);
     }
 
-    /** An output that fails where its first entry is looked at, at each write anew. */
+    /** An output that calls the supplier, which may throw, whenever its first entry is read. */
     private static Output failing(Supplier<Entry> entry) {
         return new Output(
                 1,
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void anErrorIsNotTakenForAFullDiskWhetherBareOrInAnException() throws Exception {
+    void anErrorIsNotRetriedWhetherBareOrWrapped() throws Exception {
         disk.write(
                 failing(() -> {
                     throw new OutOfMemoryError("bare");
@@ -90,23 +90,23 @@
                         .getMessage());
         disk.write(
                 failing(() -> {
-                    throw new IllegalStateException("as the store tells it", new OutOfMemoryError("wrapped"));
+                    throw new IllegalStateException("as the store reports it", new OutOfMemoryError("wrapped"));
                 }),
                 () -> written.add("never"));
         assertEquals(
                 "wrapped",
                 assertInstanceOf(OutOfMemoryError.class, uncaught.poll(10, TimeUnit.SECONDS))
                         .getMessage());
-        assertEquals(List.of(), lines, "nothing is tried again");
+        assertEquals(List.of(), lines, "nothing is retried");
         assertTrue(written.isEmpty());
     }
 
     @Test
-    void aDiskThatFailsForAWhileIsTriedAgain() throws Exception {
-        int[] times = {0};
+    void aWriteThatFailsOnceIsRetried() throws Exception {
+        int[] reads = {0};
         disk.write(
                 failing(() -> {
-                    if (++times[0] == 1) {
+                    if (++reads[0] == 1) {
                         throw new IllegalStateException("disk full");
                     }
                     return new Entry(1, 1, Entry.Kind.NO_OP, new byte[0]);
--- a/src/test/java/tinworks/control/LogMemoryTest.java
+++ b/src/test/java/tinworks/control/LogMemoryTest.java
@@ -21,26 +21,23 @@
 import tinworks.raft.PersistentState;
 import tinworks.raft.Snapshot;
 
-/**
- * What a core machine's log and its operators' calls take of the memory, with a disk that keeps up and with one that
- * stalls.
- */
+/** Memory limits of a core node's log and operator calls, with a responsive disk and with a stalled one. */
 class LogMemoryTest {
-    private static final List<Member> ALONE = List.of(new Member(1, "10.0.0.1:7"));
+    private static final List<Member> SINGLE_VOTER = List.of(new Member(1, "10.0.0.1:7"));
 
-    /** A core machine that votes alone, on a clock and a disk of the test's. */
-    private static final class Machine implements CoreMachine.Environment, ConnectionManager {
-        private final ArrayDeque<Runnable> stalled = new ArrayDeque<>();
+    /** A core node that is the only voter, with a simulated clock and disk. */
+    private static final class Node implements CoreMachine.Environment, ConnectionManager {
+        private final ArrayDeque<Runnable> pendingWrites = new ArrayDeque<>();
         private final CoreMachine core;
-        private boolean stalls;
+        private boolean diskStalled;
         private long now;
         private long snapshots;
         private long snapshotBytes;
 
-        Machine() {
+        Node() {
             core = new CoreMachine(
                     new CoreMachine.Identity(1, "10.0.0.1:7", 0),
-                    new PersistentState(HardState.NONE, new Snapshot(0, 0, ALONE, new byte[0]), List.of()),
+                    new PersistentState(HardState.NONE, new Snapshot(0, 0, SINGLE_VOTER, new byte[0]), List.of()),
                     this::write,
                     this);
             while (!core.raftDriver().raft().hasCommittedInCurrentTerm()) {
@@ -53,8 +50,8 @@
                 snapshots++;
                 snapshotBytes += output.snapshot().state().length;
             }
-            if (stalls) {
-                stalled.add(done);
+            if (diskStalled) {
+                pendingWrites.add(done);
             } else {
                 done.run();
             }
@@ -95,7 +92,7 @@
         }
     }
 
-    /** A valid configuration that hardly packs to under half. */
+    /** A valid configuration that compresses to little less than half. */
     private static byte[] body(long rev, int bytes) {
         byte[] random = new byte[bytes / 2];
         new SplittableRandom(rev).nextBytes(random);
@@ -104,76 +101,74 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    private static List<CallResponse> send(Machine machine, long base, byte[] body) {
+    private static List<CallResponse> send(Node node, long base, byte[] body) {
         List<CallResponse> answers = new ArrayList<>();
-        machine.core.calls().replace(List.of(Long.toString(base)), body, answers::add);
+        node.core.calls().replace(List.of(Long.toString(base)), body, answers::add);
         return answers;
     }
 
     @Test
-    void theLogIsCompactedByItsBytesAndNotWithEachChange() {
-        Machine machine = new Machine();
-        long packed = ConfigurationHistory.command(0, 1, body(1, 400_000)).length;
-        long most = 0;
+    void theLogIsCompactedBySizeAndNotWithEachChange() {
+        Node node = new Node();
+        long commandBytes = ConfigurationHistory.command(0, 1, body(1, 400_000)).length;
+        long maxBytes = 0;
         int changes = 100;
         for (long rev = 1; rev <= changes; rev++) {
-            assertEquals(200, send(machine, rev - 1, body(rev, 400_000)).get(0).status());
-            most = Math.max(most, machine.core.raftDriver().raft().logBytes(Long.MAX_VALUE));
+            assertEquals(200, send(node, rev - 1, body(rev, 400_000)).get(0).status());
+            maxBytes = Math.max(maxBytes, node.core.raftDriver().raft().logBytes(Long.MAX_VALUE));
         }
-        assertTrue(most <= RaftDriver.MAX_LOG_BYTES + 2 * packed, most + " bytes of log");
-        assertTrue(machine.snapshots * 4 <= changes, machine.snapshots + " snapshots for " + changes + " changes");
+        assertTrue(maxBytes <= RaftDriver.MAX_LOG_BYTES + 2 * commandBytes, maxBytes + " bytes of log");
+        assertTrue(node.snapshots * 4 <= changes, node.snapshots + " snapshots for " + changes + " changes");
         assertTrue(
-                machine.snapshotBytes < changes * packed / 3,
-                "more is written for snapshots than a third of the changes");
-        assertEquals(changes, machine.core.raftDriver().history().rev());
+                node.snapshotBytes < changes * commandBytes / 3,
+                "snapshots write more than a third of the size of the changes");
+        assertEquals(changes, node.core.raftDriver().history().rev());
     }
 
     @Test
-    void smallChangesAreCompactedByTheirNumber() {
-        Machine machine = new Machine();
+    void smallChangesAreCompactedByCount() {
+        Node node = new Node();
         for (long rev = 1; rev <= 300; rev++) {
-            assertEquals(200, send(machine, rev - 1, body(rev, 100)).get(0).status());
-            assertTrue(machine.core.raftDriver().raft().logLength() <= RaftDriver.MAX_LOG_ENTRIES + 2);
+            assertEquals(200, send(node, rev - 1, body(rev, 100)).get(0).status());
+            assertTrue(node.core.raftDriver().raft().logLength() <= RaftDriver.MAX_LOG_ENTRIES + 2);
         }
-        assertTrue(machine.snapshots <= 5, machine.snapshots + " snapshots");
+        assertTrue(node.snapshots <= 5, node.snapshots + " snapshots");
     }
 
-    /**
-     * Eight at once on a disk that stalls: what finds no room is told so at once, and the rest when its time is over.
-     */
+    /** Eight calls on a stalled disk: those over the limit are rejected at once, the others at their deadline. */
     @Test
-    void callsThatPileUpOnAStalledDiskAreBoundedAndToldToComeBack() {
-        Machine machine = new Machine();
-        machine.stalls = true;
+    void callsOnAStalledDiskAreBoundedAndGetARetryableStatus() {
+        Node node = new Node();
+        node.diskStalled = true;
         List<List<CallResponse>> all = new ArrayList<>();
-        long held = 0;
+        long pendingBytes = 0;
         for (long rev = 1; rev <= 8; rev++) {
             byte[] body = body(rev, 2_600_000);
-            all.add(send(machine, 0, body));
-            held += all.get(all.size() - 1).isEmpty() ? ConfigurationHistory.command(0, rev, body).length : 0;
+            all.add(send(node, 0, body));
+            pendingBytes += all.get(all.size() - 1).isEmpty() ? ConfigurationHistory.command(0, rev, body).length : 0;
         }
-        long atOnce = all.stream()
+        long rejectedAtOnce = all.stream()
                 .filter(answers -> !answers.isEmpty() && answers.get(0).status() == OperatorCalls.OUTCOME_UNKNOWN)
                 .count();
-        assertTrue(atOnce > 0 && atOnce < 8, atOnce + " told at once");
-        assertTrue(held <= OperatorCalls.MAX_PENDING_BYTES, held + " bytes held");
+        assertTrue(rejectedAtOnce > 0 && rejectedAtOnce < 8, rejectedAtOnce + " rejected at once");
+        assertTrue(pendingBytes <= OperatorCalls.MAX_PENDING_BYTES, pendingBytes + " bytes pending");
         assertTrue(
-                machine.core.raftDriver().raft().logBytes(Long.MAX_VALUE) <= 2 * OperatorCalls.MAX_COMMAND_BYTES,
-                "written ahead");
+                node.core.raftDriver().raft().logBytes(Long.MAX_VALUE) <= 2 * OperatorCalls.MAX_COMMAND_BYTES,
+                "uncommitted log");
         for (int i = 0; i < 40; i++) {
-            machine.tick();
+            node.tick();
         }
         assertTrue(all.stream()
                 .allMatch(answers -> answers.size() == 1 && answers.get(0).status() == OperatorCalls.OUTCOME_UNKNOWN));
-        machine.stalls = false;
-        while (!machine.stalled.isEmpty()) {
-            machine.stalled.poll().run();
+        node.diskStalled = false;
+        while (!node.pendingWrites.isEmpty()) {
+            node.pendingWrites.poll().run();
         }
-        assertEquals(200, send(machine, 0, body(1, 2_600_000)).get(0).status(), "a repeat of the one that was taken");
+        assertEquals(200, send(node, 0, body(1, 2_600_000)).get(0).status(), "a retry of the change that was accepted");
     }
 
     @Test
-    void whatDoesNotPackIsRefusedAsTooLong() {
-        assertEquals(413, send(new Machine(), 0, body(1, 6_000_000)).get(0).status());
+    void aChangeThatIsTooLargeWhenCompressedIsRejected() {
+        assertEquals(413, send(new Node(), 0, body(1, 6_000_000)).get(0).status());
     }
 }
--- a/src/test/java/tinworks/control/SuppressedLogs.java
+++ b/src/test/java/tinworks/control/SuppressedLogs.java
@@ -6,7 +6,7 @@
 import org.slf4j.event.Level;
 import tinworks.logging.JsonLog;
 
-/** Keeps the lines of a thousand days out of the log; errors are told. */
+/** Suppresses log lines below ERROR while tests run many simulated days. */
 final class SuppressedLogs implements BeforeAllCallback, AfterAllCallback {
     @Override
     public void beforeAll(ExtensionContext context) {
--- a/src/test/java/tinworks/control/VoterPlanTest.java
+++ b/src/test/java/tinworks/control/VoterPlanTest.java
@@ -10,7 +10,7 @@
 import tinworks.control.VoterPlan.ObservedMember;
 import tinworks.raft.Member;
 
-/** Which machines the leader makes voters. */
+/** Which members the leader selects as voters. */
 class VoterPlanTest {
     private static final Member A = new Member(1, "a");
     private static final Member B = new Member(2, "b");
@@ -33,83 +33,90 @@
         return new ObservedMember(member, false, 100, false);
     }
 
-    private static ObservedMember silent(Member member) {
+    private static ObservedMember unresponsive(Member member) {
         return new ObservedMember(member, true, VoterPlan.REPLACE_AFTER_MILLIS + 1, false);
     }
 
-    private static ObservedMember silentFor(Member member, long millis) {
+    private static ObservedMember unresponsiveFor(Member member, long millis) {
         return new ObservedMember(member, true, millis, false);
     }
 
-    private static ObservedMember leaving(Member member) {
+    private static ObservedMember shuttingDown(Member member) {
         return new ObservedMember(member, true, 100, true);
     }
 
     @Test
-    void aVoterThatIsAboutToEndChangesPlacesWhileAllAreThere() {
-        assertEquals(Optional.of(List.of(A, B, D)), next(List.of(A, B, C), alive(B), leaving(C), alive(D)));
-        assertEquals(Optional.empty(), next(List.of(A, B, C), alive(B), leaving(C), behind(D)));
-        assertEquals(Optional.empty(), next(List.of(A, B, C), alive(B), leaving(C)));
+    void aVoterThatIsShuttingDownIsReplacedWhileAllAreUp() {
+        assertEquals(Optional.of(List.of(A, B, D)), next(List.of(A, B, C), alive(B), shuttingDown(C), alive(D)));
+        assertEquals(Optional.empty(), next(List.of(A, B, C), alive(B), shuttingDown(C), behind(D)));
+        assertEquals(Optional.empty(), next(List.of(A, B, C), alive(B), shuttingDown(C)));
         assertEquals(
                 Optional.empty(),
-                next(List.of(A, B, C), alive(B), silent(C), leaving(D)),
-                "no voter that is about to end");
+                next(List.of(A, B, C), alive(B), unresponsive(C), shuttingDown(D)),
+                "a node that is shutting down does not become a voter");
     }
 
     @Test
-    void aFourthMachineWaitsWhileThreeVote() {
+    void aFourthNodeStaysALearnerWhileThreeVote() {
         assertEquals(Optional.empty(), next(List.of(A, B, C), alive(B), alive(C), alive(D)));
     }
 
     @Test
-    void theFourthTakesThePlaceOfAVoterThatIsGoneInOneChange() {
-        assertEquals(Optional.of(List.of(A, B, D)), next(List.of(A, B, C), alive(B), silent(C), alive(D)));
+    void theFourthNodeReplacesAFailedVoterInOneChange() {
+        assertEquals(Optional.of(List.of(A, B, D)), next(List.of(A, B, C), alive(B), unresponsive(C), alive(D)));
         assertEquals(Optional.of(List.of(A, B, D)), next(List.of(A, B), alive(B), alive(D)));
     }
 
     @Test
-    void aVoterThatIsGoneStaysWhereNobodyCanTakeItsPlace() {
-        assertEquals(Optional.empty(), next(List.of(A, B, C), alive(B), silent(C)));
-        assertEquals(Optional.empty(), next(List.of(A, B, C), alive(B), silent(C), behind(D)));
-        assertEquals(Optional.empty(), next(List.of(A, B, C), silent(B), silent(C), alive(D)), "two can't commit it");
+    void aFailedVoterWithoutASuccessorStays() {
+        assertEquals(Optional.empty(), next(List.of(A, B, C), alive(B), unresponsive(C)));
+        assertEquals(Optional.empty(), next(List.of(A, B, C), alive(B), unresponsive(C), behind(D)));
         assertEquals(
                 Optional.empty(),
-                next(List.of(A, B, C), silent(B), silent(C), alive(D), alive(E)),
-                "nor can one of three");
+                next(List.of(A, B, C), unresponsive(B), unresponsive(C), alive(D)),
+                "no live majority to commit it");
+        assertEquals(
+                Optional.empty(),
+                next(List.of(A, B, C), unresponsive(B), unresponsive(C), alive(D), alive(E)),
+                "one of three is no majority");
     }
 
     @Test
-    void aMachineThatCameBackEmptyReplacesItsEarlierLifeOnceItHasTheLog() {
+    void aNodeThatLostItsDiskReplacesItsOldIdOnceItHasTheLog() {
         ObservedMember before = new ObservedMember(C, true, 500, false);
         assertEquals(Optional.empty(), next(List.of(A, B, C), alive(B), before, behind(C2)), "three stay three");
         assertEquals(Optional.of(List.of(A, B, C2)), next(List.of(A, B, C), alive(B), before, alive(C2)));
         assertEquals(
                 Optional.of(List.of(A, B, D)),
                 next(List.of(A, B, C), alive(B), before, behind(C2), alive(D)),
-                "the fourth has it");
+                "the fourth node has the log");
         assertEquals(
                 Optional.of(List.of(A, B, C2)),
                 next(List.of(A, B, C), alive(B), before, alive(D), alive(C2)),
-                "its own place first");
+                "a node takes its own old place first");
     }
 
-    /** Its disk may be full, so that it never has the log; it can vote, and its earlier life never will. */
+    /** Its disk may be full, so that it never gets the log. It can vote nevertheless, and its old id never will. */
     @Test
-    void aMachineThatCameBackEmptyReplacesItsSilentEarlierLifeWithoutTheLog() {
+    void aNodeThatLostItsDiskReplacesItsUnresponsiveOldIdWithoutTheLog() {
         List<Member> voters = List.of(A, B, C);
-        ObservedMember answers = silentFor(C, VoterPlan.RESPONSE_TIMEOUT_MILLIS);
-        ObservedMember gone = silentFor(C, VoterPlan.RESPONSE_TIMEOUT_MILLIS + 1);
-        assertEquals(Optional.of(List.of(A, B, C2)), next(voters, alive(B), gone, behind(C2)));
+        ObservedMember answers = unresponsiveFor(C, VoterPlan.RESPONSE_TIMEOUT_MILLIS);
+        ObservedMember unresponsive = unresponsiveFor(C, VoterPlan.RESPONSE_TIMEOUT_MILLIS + 1);
+        assertEquals(Optional.of(List.of(A, B, C2)), next(voters, alive(B), unresponsive, behind(C2)));
         assertEquals(
                 Optional.of(List.of(A, B, D)),
-                next(voters, alive(B), gone, behind(C2), alive(D)),
-                "who has the log first");
-        assertEquals(Optional.empty(), next(voters, alive(B), answers, behind(C2)), "a late word of an earlier life");
-        assertEquals(Optional.empty(), next(voters, silent(B), silent(C), behind(C2)), "one of three can't commit it");
+                next(voters, alive(B), unresponsive, behind(C2), alive(D)),
+                "a learner that has the log comes first");
+        assertEquals(
+                Optional.empty(), next(voters, alive(B), answers, behind(C2)), "a late message of an earlier process");
+        assertEquals(
+                Optional.empty(),
+                next(voters, unresponsive(B), unresponsive(C), behind(C2)),
+                "one of three cannot commit it");
     }
 
     @Test
-    void twoOfFiveChangePlacesAtOnce() {
+    void twoOfFiveVotersAreReplacedInOneChange() {
         Member f = new Member(6, "f");
         Member g = new Member(7, "g");
         assertEquals(
@@ -119,10 +126,10 @@
                                 now,
                                 A.id(),
                                 List.of(A, B, C, D, E),
-                                List.of(silent(B), alive(C), silent(D), alive(E), alive(f), alive(g))));
+                                List.of(unresponsive(B), alive(C), unresponsive(D), alive(E), alive(f), alive(g))));
     }
 
-    /** The first start knows three seeds, and two losses of five are to be borne. */
+    /** The system bootstraps from three seeds and has to tolerate two losses of five voters. */
     @Test
     void threeSeedsBecomeFiveVotersAsTheOthersCatchUp() {
         VoterPlan five = new VoterPlan(2);
@@ -135,14 +142,16 @@
                 five.next(now, A.id(), seeds, List.of(alive(B), alive(C), alive(D), behind(E))));
     }
 
-    /** Changes of voters within two minutes in which these machines are silent for 2.6 s of each 5 s, by turns. */
-    private int changes(VoterPlan plan, Member... comeAndGo) {
+    /**
+     * Counts voter changes within two minutes while the given nodes are unresponsive for 2.6 s of each 5 s, by turns.
+     */
+    private int changes(VoterPlan plan, Member... flapping) {
         List<Member> voters = new ArrayList<>(List.of(A, B, C));
         int changes = 0;
         for (long at = 0; at < 120_000; at += 50) {
             List<ObservedMember> seen = new ArrayList<>();
             for (Member member : List.of(B, C, D)) {
-                int turn = List.of(comeAndGo).indexOf(member);
+                int turn = List.of(flapping).indexOf(member);
                 long phase = (at + 2_500L * Math.max(turn, 0)) % 5_000;
                 seen.add(new ObservedMember(member, true, turn < 0 ? 50 : phase <= 2_600 ? phase : 50, false));
             }
@@ -155,12 +164,12 @@
     }
 
     @Test
-    void oneThatComesAndGoesIsReplacedOnce() {
+    void aFlappingNodeIsReplacedOnce() {
         assertEquals(1, changes(plan, C));
     }
 
     @Test
-    void twoThatComeAndGoByTurnsChangePlacesSeldom() {
+    void twoNodesFlappingByTurnsReplaceEachOtherRarely() {
         int changes = changes(plan, C, D);
         assertTrue(
                 changes >= 1 && changes <= 120_000 / VoterPlan.REINSTATE_DELAY_MILLIS,
@@ -168,20 +177,20 @@
     }
 
     @Test
-    void withoutTheirRestTwoThatComeAndGoByTurnsChangePlacesForEver() {
-        VoterPlan restless = new VoterPlan(1) {
+    void withoutTheDelayTwoNodesFlappingByTurnsReplaceEachOtherEndlessly() {
+        VoterPlan withoutDelay = new VoterPlan(1) {
             @Override
-            boolean mayReplace(Member learner, long silentSince) {
+            boolean mayReplace(Member learner, long unresponsiveSince) {
                 return true;
             }
         };
-        int changes = changes(restless, C, D);
+        int changes = changes(withoutDelay, C, D);
         assertTrue(changes > 120_000 / VoterPlan.REINSTATE_DELAY_MILLIS, changes + " changes in two minutes");
     }
 
-    /** The first successor took the place of another voter, which then came back. */
+    /** A replaced voter comes back while another voter has been unresponsive since before the replacement. */
     @Test
-    void oneThatWasLetGoTakesThePlaceOfAVoterThatWasSilentBefore() {
+    void aReplacedVoterReplacesOneThatWasUnresponsiveBefore() {
         VoterPlan five = new VoterPlan(2);
         Member f = new Member(6, "f");
         List<Member> next = List.of(A, f, C, D, E);
@@ -191,37 +200,47 @@
                         now,
                         A.id(),
                         List.of(A, B, C, D, E),
-                        List.of(silent(B), alive(C), silent(D), alive(E), alive(f))));
+                        List.of(unresponsive(B), alive(C), unresponsive(D), alive(E), alive(f))));
         now += 1_000;
-        ObservedMember stillSilent = silentFor(D, VoterPlan.REPLACE_AFTER_MILLIS + 1_001);
+        ObservedMember stillUnresponsive = unresponsiveFor(D, VoterPlan.REPLACE_AFTER_MILLIS + 1_001);
         assertEquals(
                 Optional.of(List.of(A, f, C, B, E)),
-                five.next(now, A.id(), next, List.of(alive(B), alive(C), stillSilent, alive(E), alive(f))));
-        ObservedMember silentSince = silentFor(D, 1_000 + VoterPlan.RESPONSE_TIMEOUT_MILLIS);
+                five.next(now, A.id(), next, List.of(alive(B), alive(C), stillUnresponsive, alive(E), alive(f))));
+        ObservedMember unresponsiveSince = unresponsiveFor(D, 1_000 + VoterPlan.RESPONSE_TIMEOUT_MILLIS);
         assertEquals(
                 Optional.empty(),
-                five.next(now + 2_000, A.id(), next, List.of(alive(B), alive(C), silentSince, alive(E), alive(f))));
+                five.next(
+                        now + 2_000, A.id(), next, List.of(alive(B), alive(C), unresponsiveSince, alive(E), alive(f))));
     }
 
     @Test
-    void aVoterIsSilentForAsLongAsNothingWasHeardOfItOnceItDoesNotAnswer() {
+    void theTimeWithoutMessagesCountsOnceAVoterDoesNotRespond() {
         long answered = VoterPlan.RESPONSE_TIMEOUT_MILLIS;
-        long gone = VoterPlan.REPLACE_AFTER_MILLIS + 1;
-        assertEquals(gone, VoterPlan.unresponsiveMillis(answered + 1, gone));
-        assertEquals(answered, VoterPlan.unresponsiveMillis(answered, gone), "the leader itself may have stood still");
-        assertEquals(answered + 1, VoterPlan.unresponsiveMillis(answered + 1, gone - 1));
-        assertEquals(gone + 1, VoterPlan.unresponsiveMillis(gone + 1, 0), "its disk stalls, though it says something");
+        long replaceable = VoterPlan.REPLACE_AFTER_MILLIS + 1;
+        assertEquals(replaceable, VoterPlan.unresponsiveMillis(answered + 1, replaceable));
+        assertEquals(
+                answered,
+                VoterPlan.unresponsiveMillis(answered, replaceable),
+                "the leader itself may have been frozen");
+        assertEquals(answered + 1, VoterPlan.unresponsiveMillis(answered + 1, replaceable - 1));
+        assertEquals(
+                replaceable + 1,
+                VoterPlan.unresponsiveMillis(replaceable + 1, 0),
+                "its disk stalls although it still sends messages");
     }
 
     @Test
-    void oneThatWasLetGoReplacesALostDiskAtOnceAndASilentVoterAfterItsRest() {
-        assertEquals(Optional.of(List.of(A, B, D)), next(List.of(A, B, C), alive(B), silent(C), alive(D)));
+    void aReplacedVoterReplacesALostDiskAtOnceAndAnUnresponsiveVoterAfterTheDelay() {
+        assertEquals(Optional.of(List.of(A, B, D)), next(List.of(A, B, C), alive(B), unresponsive(C), alive(D)));
         now += 4_000;
-        assertEquals(Optional.empty(), next(List.of(A, B, D), alive(B), alive(C), silent(D)), "two of three are left");
-        assertEquals(Optional.of(List.of(A, B, E)), next(List.of(A, B, D), alive(B), alive(C), silent(D), alive(E)));
+        assertEquals(
+                Optional.empty(), next(List.of(A, B, D), alive(B), alive(C), unresponsive(D)), "two of three are left");
+        assertEquals(
+                Optional.of(List.of(A, B, E)), next(List.of(A, B, D), alive(B), alive(C), unresponsive(D), alive(E)));
         Member d2 = new Member(10, "d");
-        assertEquals(Optional.of(List.of(A, B, C)), next(List.of(A, B, D), alive(B), alive(C), silent(D), behind(d2)));
+        assertEquals(
+                Optional.of(List.of(A, B, C)), next(List.of(A, B, D), alive(B), alive(C), unresponsive(D), behind(d2)));
         now += VoterPlan.REINSTATE_DELAY_MILLIS;
-        assertEquals(Optional.of(List.of(A, B, C)), next(List.of(A, B, D), alive(B), alive(C), silent(D)));
+        assertEquals(Optional.of(List.of(A, B, C)), next(List.of(A, B, D), alive(B), alive(C), unresponsive(D)));
     }
 }
