--- a/src/main/java/tinworks/control/CoreMachine.java
+++ b/src/main/java/tinworks/control/CoreMachine.java
@@ -239,7 +239,6 @@
         environment.setHostPolling(raft.hasCommittedInCurrentTerm());
         publishFetchedHosts();
         // A voter that was removed while unreachable does not know of it, and no leader replicates the log to it.
-        // it.
         if (raft.shouldRequestJoin() && now >= joinAt) {
             joinAt = now + JOIN_INTERVAL_MILLIS;
             PeerMessage join = new Join(new Member(id, self.address()));
