--- a/src/main/java/tinworks/control/ConfigurationFeed.java
+++ b/src/main/java/tinworks/control/ConfigurationFeed.java
@@ -48,7 +48,7 @@
         followedRev = history.rev();
         Configuration next;
         try {
-            next = ConfigurationReader.read(CompressedBytes.open(history.packed()));
+            next = ConfigurationReader.read(CompressedBytes.decompressingStream(history.compressedBody()));
         } catch (InvalidConfiguration e) {
             LOG.error(
                     "cannot parse committed configuration {}, keeping the previous one: {}",
@@ -94,19 +94,19 @@
         for (EncodedChange encoded : changes) {
             ConfigurationChange change = encoded.change();
             if (merged != null) {
-                merged = merged.then(change);
+                merged = merged.andThen(change);
             } else if (change.base() == held) {
                 merged = change;
             }
         }
         if (merged != null) {
             lastChangeMessage = new PeerMessage.ConfigurationChanged(
-                    held, newest.rev(), CompressedBytes.pack(ConfigurationCodec.write(merged)));
+                    held, newest.rev(), CompressedBytes.compress(ConfigurationCodec.write(merged)));
             return lastChangeMessage;
         }
         if (fullMessage == null) {
             fullMessage = new PeerMessage.ConfigurationBody(
-                    newest.rev(), CompressedBytes.pack(ConfigurationCodec.write(newest)));
+                    newest.rev(), CompressedBytes.compress(ConfigurationCodec.write(newest)));
         }
         return fullMessage;
     }
--- a/src/main/java/tinworks/control/DiskThread.java
+++ b/src/main/java/tinworks/control/DiskThread.java
@@ -41,7 +41,7 @@
                 callbackExecutor.execute(done);
                 return;
             } catch (MVStoreException | IllegalStateException e) {
-                Error fatal = Fatal.in(e);
+                Error fatal = Fatal.findError(e);
                 if (fatal != null) {
                     // Not a full disk: the store wraps OutOfMemoryError in the same exception. It stays uncaught and
                     // ends
--- a/src/main/java/tinworks/control/OperatorCalls.java
+++ b/src/main/java/tinworks/control/OperatorCalls.java
@@ -17,8 +17,8 @@
 import tinworks.config.CompressedBytes;
 import tinworks.config.ConfigurationHistory;
 import tinworks.config.ConfigurationHistory.Verdict;
+import tinworks.config.ConfigurationMemoryEstimate;
 import tinworks.config.ConfigurationReader;
-import tinworks.config.ConfigurationWeight;
 import tinworks.config.InvalidConfiguration;
 import tinworks.invariant.Invariant;
 import tinworks.raft.Raft;
@@ -44,7 +44,7 @@
     /** Eight times the size of a command with 14,000 routes. Bounds the log and the frames between core nodes. */
     static final int MAX_COMMAND_BYTES = 2 << 20;
     /** Limit on the memory that a configuration takes on any node. */
-    private static final long MAX_WEIGHT_BYTES = ConfigurationWeight.mostByHeap();
+    private static final long MAX_WEIGHT_BYTES = ConfigurationMemoryEstimate.maxBytesForHeap();
     /** Limit on the total size of the pending calls at one node; a single call is always admitted. */
     static final int MAX_PENDING_BYTES = 4 << 20;
     /** Shorter than the second after which callers give up. */
@@ -118,7 +118,7 @@
         } catch (InvalidConfiguration e) {
             LOG.info("rejected a configuration: {}", e.getMessage());
             int status = e.isTooLarge() ? TOO_LARGE : INVALID;
-            return new ValidatedChange(null, new CallResponse(0, status, errorBody(e.where(), e.getMessage())));
+            return new ValidatedChange(null, new CallResponse(0, status, errorBody(e.fieldPath(), e.getMessage())));
         }
     }
 
@@ -256,10 +256,10 @@
         ConfigurationHistory history = raftDriver.history();
         long base = ConfigurationHistory.base(call.command);
         long rev = ConfigurationHistory.rev(call.command);
-        Verdict verdict = history.judge(base, rev, call.command);
+        Verdict verdict = history.evaluate(base, rev, call.command);
         if (isFinal(verdict, base, rev, history.rev())) {
             complete(number, responseFor(verdict, rev));
-        } else if (verdict == Verdict.FORGOTTEN || isBaseUnknown(base, history.rev())) {
+        } else if (verdict == Verdict.OUTSIDE_WINDOW || isBaseUnknown(base, history.rev())) {
             complete(number, null);
         } else if (!raftDriver.raft().fitsUncommittedLimit(call.command.length)) {
             // Retried once earlier entries are committed, until the deadline.
@@ -272,8 +272,8 @@
 
     /** Whether a verdict holds under any leader: a version that was accepted or superseded stays so. */
     boolean isFinal(Verdict verdict, long base, long rev, long current) {
-        return (verdict == Verdict.TAKEN && rev <= current)
-                || verdict == Verdict.NOT_ABOVE
+        return (verdict == Verdict.ACCEPTED && rev <= current)
+                || verdict == Verdict.VERSION_NOT_INCREASED
                 || (verdict == Verdict.CONFLICT && base < current && mayReject());
     }
 
@@ -310,17 +310,18 @@
      */
     private CallResponse responseFor(Verdict verdict, long rev) {
         long current = machine.raftDriver().history().rev();
-        if (verdict == Verdict.TAKEN) {
+        if (verdict == Verdict.ACCEPTED) {
             Invariant.ACKNOWLEDGED_IS_APPLIED.check(
                     rev <= current, () -> "version " + rev + " acknowledged while " + current + " is applied");
             newestReportedRev = Math.max(newestReportedRev, rev);
         }
         return switch (verdict) {
-            case TAKEN -> new CallResponse(0, OK, ("{\"rev\":" + rev + "}\n").getBytes(StandardCharsets.UTF_8));
+            case ACCEPTED -> new CallResponse(0, OK, ("{\"rev\":" + rev + "}\n").getBytes(StandardCharsets.UTF_8));
             case CONFLICT ->
                 new CallResponse(0, CONFLICT, errorBody(BASE_REV_HEADER, "the current version is " + current));
-            case NOT_ABOVE -> new CallResponse(0, INVALID, errorBody("rev", "must be above the base version"));
-            case FORGOTTEN -> null;
+            case VERSION_NOT_INCREASED ->
+                new CallResponse(0, INVALID, errorBody("rev", "must be above the base version"));
+            case OUTSIDE_WINDOW -> null;
         };
     }
 
@@ -332,7 +333,7 @@
         newestReportedRev = Math.max(newestReportedRev, history.rev());
         return history.rev() == 0
                 ? new CallResponse(0, NOT_FOUND, errorBody("", "no configuration yet"))
-                : new CallResponse(0, OK, history.packed());
+                : new CallResponse(0, OK, history.compressedBody());
     }
 
     private static byte[] errorBody(String field, String message) {
--- a/src/main/java/tinworks/control/OperatorServer.java
+++ b/src/main/java/tinworks/control/OperatorServer.java
@@ -43,7 +43,7 @@
     private static final int MAX_CONNECTIONS = 128;
     private static final int MAX_HEAD_BYTES = 16_384;
     /** Limit on the bodies being received and sent: two of maximum size, or seven with 14,000 routes. */
-    static final int MAX_BODIES_BYTES = 2 * ConfigurationHistory.LONGEST_BODY;
+    static final int MAX_BODIES_BYTES = 2 * ConfigurationHistory.MAX_BODY_BYTES;
 
     private static final byte[] OVERLOADED_BODY = errorBody("too many calls at once");
     private static final byte[] SHUTTING_DOWN_BODY = errorBody("core node is shutting down");
@@ -73,7 +73,7 @@
                         TimeUnit.SECONDS.toNanos(10),
                         TimeUnit.SECONDS.toNanos(30),
                         MAX_HEAD_BYTES,
-                        ConfigurationHistory.LONGEST_BODY,
+                        ConfigurationHistory.MAX_BODY_BYTES,
                         READYZ),
                 bodyBudget,
                 this);
@@ -172,7 +172,7 @@
 
     /** Sends the configuration as it was submitted, if the budget allows it: a slow client holds its share for long. */
     private void show(Reply reply, CallResponse response) {
-        int length = response.status() == OperatorCalls.OK ? CompressedBytes.length(response.body()) : 0;
+        int length = response.status() == OperatorCalls.OK ? CompressedBytes.uncompressedLength(response.body()) : 0;
         if (length == 0) {
             write(reply, response);
         } else if (!bodyBudget.tryReserve(length)) {
@@ -184,7 +184,7 @@
                     new CallResponse(
                             0,
                             OperatorCalls.OK,
-                            CompressedBytes.unpack(response.body(), ConfigurationHistory.LONGEST_BODY)));
+                            CompressedBytes.decompress(response.body(), ConfigurationHistory.MAX_BODY_BYTES)));
         }
     }
 
@@ -200,8 +200,8 @@
     private MetricsPage metrics() {
         Raft raft = machine.raftDriver().raft();
         return new MetricsPage()
-                .violations()
-                .log()
+                .invariantViolations()
+                .droppedLogLines()
                 .gauge("leads", "1 if this node is the leader", raft.role() == Raft.Role.LEADER ? 1 : 0)
                 .gauge(
                         "in_touch",
--- a/src/test/java/tinworks/control/ConfigurationFeedTest.java
+++ b/src/test/java/tinworks/control/ConfigurationFeedTest.java
@@ -49,7 +49,7 @@
     private Configuration commit(byte[] json) throws Exception {
         Configuration read = ConfigurationReader.read(json);
         assertEquals(
-                ConfigurationHistory.Verdict.TAKEN,
+                ConfigurationHistory.Verdict.ACCEPTED,
                 history.apply(ConfigurationHistory.command(history.rev(), read.rev(), json)));
         feed.follow(history);
         return read;
@@ -66,11 +66,11 @@
 
     private static Configuration received(Configuration held, PeerMessage message) throws MalformedDataException {
         if (message instanceof PeerMessage.ConfigurationBody body) {
-            return ConfigurationCodec.read(CompressedBytes.unpack(body.compressed(), MAX_BYTES));
+            return ConfigurationCodec.read(CompressedBytes.decompress(body.compressed(), MAX_BYTES));
         }
         PeerMessage.ConfigurationChanged changed = assertInstanceOf(PeerMessage.ConfigurationChanged.class, message);
-        return ConfigurationCodec.readChange(CompressedBytes.unpack(changed.compressed(), MAX_BYTES))
-                .appliedTo(held);
+        return ConfigurationCodec.readChange(CompressedBytes.decompress(changed.compressed(), MAX_BYTES))
+                .applyTo(held);
     }
 
     @Test
