--- a/src/test/java/tinworks/raft/Model.java
+++ b/src/test/java/tinworks/raft/Model.java
@@ -18,44 +18,59 @@
 import tinworks.raft.Output.Envelope;
 
 /**
- * Every order in which a bounded number of things can happen to a few members, each of them the production state
- * machine: time-outs, commands, changes of voters, connections that break, and crashes: between events, or in the
- * middle of one, before or after its sync. What one member has sent another is taken together and in order, as from a
- * connection; one that breaks loses all of it, or all but the first. States that were seen are not gone into again.
+ * A bounded model checker. It explores every order of a limited number of events for a few members, each of them the
+ * production state machine: election timeouts, commands, membership changes, broken connections, and crashes between
+ * events or within one, before or after its sync. The messages from one member to another are delivered together and in
+ * order, as by a connection; a broken connection loses all of them, or all but the first. States already visited are
+ * not explored again.
  */
 final class Model {
-    /** How often each thing may happen. */
+    /** The maximum number of events of each kind. */
     record Bounds(
-            int timeouts,
+            int electionTimeouts,
             int heartbeats,
             int commands,
-            int losses,
+            int connectionLosses,
             int crashes,
-            int changes,
-            int queries,
-            int candidacies) {
-        /** One in which nobody asks for the end of a lease, and time passes before anybody stands. */
-        Bounds(int timeouts, int heartbeats, int commands, int losses, int crashes, int changes) {
-            this(timeouts, heartbeats, commands, losses, crashes, changes, 0, 0);
+            int membershipChanges,
+            int leaseQueries,
+            int preVotes) {
+        /** Creates bounds without lease queries and without pre-votes before an election timeout. */
+        Bounds(
+                int electionTimeouts,
+                int heartbeats,
+                int commands,
+                int connectionLosses,
+                int crashes,
+                int membershipChanges) {
+            this(electionTimeouts, heartbeats, commands, connectionLosses, crashes, membershipChanges, 0, 0);
         }
     }
 
-    /** Makes a member; a flawed one is caught by the invariants. */
-    interface Maker {
-        Raft make(long id, PersistentState stored, long now);
+    /** Creates a member, possibly a mutant that the invariants have to catch. */
+    interface RaftFactory {
+        Raft create(long id, PersistentState stored, long now);
     }
 
-    /** What a whole search found. */
-    record Found(long states, long steps, int deepest, long committed, long latestTerm) {}
+    /** The statistics of a complete search. */
+    record SearchResult(long states, long steps, int maxDepth, long maxCommitted, long latestTerm) {}
 
     private static final long TIMEOUT_MILLIS = 10_000;
     private static final Timing TIMING = Cluster.TIMING;
     /**
-     * What only says when a time-out comes, which here comes at any time, what never changes, and what followers tell
-     * of leases, which decides nothing here and which {@link Cluster} checks.
+     * Fields of {@link Raft} that are not part of a state: those that are constant or only time the next timeout, which
+     * here may come at any time, and the freshness of followers, which has no effect here and is checked by
+     * {@link Cluster}.
      */
-    private static final Set<String> LEFT_OUT =
-            Set.of("self", "timing", "random", "electionAt", "heartbeatAt", "life", "freshUntil", "freshIndex");
+    private static final Set<String> IGNORED_FIELDS = Set.of(
+            "self",
+            "timing",
+            "random",
+            "electionTimeoutAt",
+            "nextHeartbeatAt",
+            "incarnation",
+            "freshUntil",
+            "freshIndex");
 
     private static final List<Field> FIELDS = fields();
     private static final Field LOG = FIELDS.stream()
@@ -63,159 +78,163 @@
             .findFirst()
             .orElseThrow();
 
-    private final Maker maker;
-    private final int machines;
-    /** False where disks only say that they have synced. */
+    private final RaftFactory factory;
+    private final int nodeCount;
+    /** False if disks report syncs that they do not carry out. */
     private final boolean syncs;
     /**
-     * Whether leases are part of a state and checked; else members forget their promises with a crash, and none is
-     * looked at.
+     * Whether leases are part of a state and checked. Otherwise a crash ends a member's support for a lease, and leases
+     * are ignored.
      */
     private final boolean leases;
 
-    private final Set<Key> seen = new HashSet<>();
+    private final Set<Key> visited = new HashSet<>();
     private long steps;
-    private int deepest;
-    private long committedAtMost;
-    /** The latest term in which a member has led. */
+    private int maxDepth;
+    private long maxCommitted;
+    /** The latest term in which a member was leader. */
     private long latestTerm;
 
     private record Key(long high, long low) {}
 
-    Model(int machines, boolean syncs, Maker maker) {
-        this(machines, syncs, false, maker);
+    Model(int nodeCount, boolean syncs, RaftFactory factory) {
+        this(nodeCount, syncs, false, factory);
     }
 
-    private Model(int machines, boolean syncs, boolean leases, Maker maker) {
-        this.machines = machines;
+    private Model(int nodeCount, boolean syncs, boolean leases, RaftFactory factory) {
+        this.nodeCount = nodeCount;
         this.syncs = syncs;
         this.leases = leases;
-        this.maker = maker;
+        this.factory = factory;
     }
 
-    /** One that checks leases too: lives begin when they do, and time stands still but for time-outs. */
-    static Model withLeases(int machines, Maker maker) {
-        return new Model(machines, true, true, maker);
+    /** Creates a model that checks leases too. Members start at the current time, which only timeouts advance. */
+    static Model withLeases(int nodeCount, RaftFactory factory) {
+        return new Model(nodeCount, true, true, factory);
     }
 
-    /** Members whose promises have lapsed at any start. */
-    static Raft plain(long id, PersistentState stored, long now) {
+    /** Creates a member whose support for a lease has expired at its start. */
+    static Raft createWithoutLeases(long id, PersistentState stored, long now) {
         return new Raft(id, stored, TIMING, 1, 0);
     }
 
-    static Raft leased(long id, PersistentState stored, long now) {
+    static Raft createWithLeases(long id, PersistentState stored, long now) {
         return new Raft(id, stored, TIMING, 1, now);
     }
 
-    /** Goes through all that can happen; a broken invariant ends as {@link Cluster.Broken}. */
-    Found search(int voters, Bounds bounds) {
+    /** Explores all states; throws {@link Cluster.InvariantViolation} if an invariant is violated. */
+    SearchResult search(int voters, Bounds bounds) {
         return search(voters, bounds, List.of());
     }
 
-    /** The same, after these first steps. */
-    Found search(int voters, Bounds bounds, List<Step> begin) {
-        World first = first(voters, bounds);
-        for (Step step : begin) {
-            first = next(first, step);
-        }
-        ArrayDeque<World> open = new ArrayDeque<>();
-        open.push(first);
-        seen.add(first.key());
-        while (!open.isEmpty()) {
-            World world = open.pop();
+    /** Explores all states that follow the given first steps. */
+    SearchResult search(int voters, Bounds bounds, List<Step> prefix) {
+        World first = initialWorld(voters, bounds);
+        for (Step step : prefix) {
+            first = successor(first, step);
+        }
+        ArrayDeque<World> unexplored = new ArrayDeque<>();
+        unexplored.push(first);
+        visited.add(first.key());
+        while (!unexplored.isEmpty()) {
+            World world = unexplored.pop();
             for (Step step : world.steps()) {
-                World next = next(world, step);
-                if (seen.add(next.key())) {
-                    open.push(next);
+                World next = successor(world, step);
+                if (visited.add(next.key())) {
+                    unexplored.push(next);
                 }
             }
         }
-        return new Found(seen.size(), steps, deepest, committedAtMost, latestTerm);
+        return new SearchResult(visited.size(), steps, maxDepth, maxCommitted, latestTerm);
     }
 
-    /** A time-out of a member, and then what each of these wires holds is taken, from one to the other. */
+    /**
+     * Returns an election timeout of a member, followed by deliveries on the given links (pairs of sender and
+     * receiver).
+     */
     List<Step> election(int member, int... fromAndTo) {
         List<Step> steps = new ArrayList<>();
-        steps.add(new Step(What.TIMEOUT, member, 0, End.WHOLE));
+        steps.add(new Step(EventKind.TIMEOUT, member, 0, Completion.COMPLETED));
         for (int i = 0; i < fromAndTo.length; i += 2) {
-            steps.add(new Step(What.TAKE, fromAndTo[i] * machines + fromAndTo[i + 1], 0, End.WHOLE));
+            steps.add(
+                    new Step(EventKind.DELIVER, fromAndTo[i] * nodeCount + fromAndTo[i + 1], 0, Completion.COMPLETED));
         }
         return steps;
     }
 
     /**
-     * Goes so many ways by chance, each to its end, after the same first steps; returns the first that breaks an
-     * invariant, or -1 where none does.
+     * Runs random walks from the state after the given first steps, each until no event is possible. Returns the number
+     * of the first walk that violates an invariant, or -1.
      */
-    int walk(int voters, Bounds bounds, List<Step> begin, long seed, int ways) {
+    int randomWalks(int voters, Bounds bounds, List<Step> prefix, long seed, int walks) {
         SplittableRandom random = new SplittableRandom(seed);
-        for (int way = 0; way < ways; way++) {
+        for (int walk = 0; walk < walks; walk++) {
             try {
-                World world = first(voters, bounds);
-                for (Step step : begin) {
-                    world = next(world, step);
+                World world = initialWorld(voters, bounds);
+                for (Step step : prefix) {
+                    world = successor(world, step);
                 }
-                for (List<Step> can = world.steps(); !can.isEmpty(); can = world.steps()) {
-                    world = next(world, can.get(random.nextInt(can.size())));
+                for (List<Step> enabled = world.steps(); !enabled.isEmpty(); enabled = world.steps()) {
+                    world = successor(world, enabled.get(random.nextInt(enabled.size())));
                 }
-            } catch (Cluster.Broken | IllegalStateException e) {
-                return way;
+            } catch (Cluster.InvariantViolation | IllegalStateException e) {
+                return walk;
             }
         }
         return -1;
     }
 
-    private World first(int voters, Bounds bounds) {
+    private World initialWorld(int voters, Bounds bounds) {
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < voters; i++) {
             members.add(new Member(i + 1, "m" + i));
         }
         World first = new World(bounds);
-        for (int i = 0; i < machines; i++) {
+        for (int i = 0; i < nodeCount; i++) {
             PersistentState disk = i < voters
                     ? new PersistentState(HardState.NONE, new Snapshot(0, 0, members, new byte[0]), List.of())
                     : PersistentState.EMPTY;
-            first.nodes.add(new Node(i + 1, disk, maker.make(i + 1, disk, 0)));
+            first.nodes.add(new Node(i + 1, disk, factory.create(i + 1, disk, 0)));
         }
         return first;
     }
 
-    private World next(World world, Step step) {
+    private World successor(World world, Step step) {
         World next = new World(world);
-        next.take(step);
+        next.apply(step);
         steps++;
         next.check();
-        committedAtMost = Math.max(committedAtMost, next.committed.size());
-        deepest = Math.max(deepest, next.depth);
-        latestTerm = next.leaders.keySet().stream().reduce(latestTerm, Math::max);
+        maxCommitted = Math.max(maxCommitted, next.committed.size());
+        maxDepth = Math.max(maxDepth, next.depth);
+        latestTerm = next.leaderByTerm.keySet().stream().reduce(latestTerm, Math::max);
         return next;
     }
 
     /** The kinds of event. */
-    enum What {
+    enum EventKind {
         TIMEOUT,
         HEARTBEAT,
         COMMAND,
-        TAKE,
-        LOSE,
-        TAKE_ONE,
+        DELIVER,
+        DROP,
+        DELIVER_FIRST,
         CRASH,
-        CHANGE,
-        QUERY,
-        STAND
+        MEMBERSHIP_CHANGE,
+        LEASE_QUERY,
+        PRE_VOTE
     }
 
-    /** How an event ends: carried out, or by a crash before or after the sync that it asks for. */
-    enum End {
-        WHOLE,
-        UNWRITTEN,
-        UNSENT
+    /** How an event ends: completed, or by a crash before or after the sync that it requires. */
+    enum Completion {
+        COMPLETED,
+        CRASH_BEFORE_SYNC,
+        CRASH_AFTER_SYNC
     }
 
     /** One event of a path through the model. */
-    record Step(What what, int node, int other, End end) {}
+    record Step(EventKind kind, int node, int other, Completion completion) {}
 
-    /** A member; only one that a step is about to change is copied, and the others are shared between worlds. */
+    /** A member. A step copies only the member that it changes; worlds share the others. */
     private static final class Node {
         private final long id;
         private final PersistentState disk;
@@ -240,39 +259,39 @@
 
     private final class World {
         private final List<Node> nodes = new ArrayList<>();
-        private final Map<Integer, List<Message>> wires = new TreeMap<>();
-        private final Map<Long, Long> leaders = new TreeMap<>();
-        /** What some member has applied, by index. */
+        private final Map<Integer, List<Message>> links = new TreeMap<>();
+        private final Map<Long, Long> leaderByTerm = new TreeMap<>();
+        /** Entries applied by any member, by index. */
         private final Map<Long, Entry> committed = new TreeMap<>();
 
-        private final int[] left;
+        private final int[] remaining;
         private final int depth;
         private long now;
-        private int written;
+        private int lastCommand;
 
         World(Bounds b) {
-            left = new int[] {
-                b.timeouts(),
+            remaining = new int[] {
+                b.electionTimeouts(),
                 b.heartbeats(),
                 b.commands(),
-                b.losses(),
+                b.connectionLosses(),
                 b.crashes(),
-                b.changes(),
-                b.queries(),
-                b.candidacies()
+                b.membershipChanges(),
+                b.leaseQueries(),
+                b.preVotes()
             };
             depth = 0;
         }
 
         World(World other) {
             nodes.addAll(other.nodes);
-            wires.putAll(other.wires);
-            leaders.putAll(other.leaders);
+            links.putAll(other.links);
+            leaderByTerm.putAll(other.leaderByTerm);
             committed.putAll(other.committed);
-            left = other.left.clone();
+            remaining = other.remaining.clone();
             depth = other.depth + 1;
             now = other.now;
-            written = other.written;
+            lastCommand = other.lastCommand;
         }
 
         List<Step> steps() {
@@ -280,102 +299,99 @@
             for (int i = 0; i < nodes.size(); i++) {
                 Raft raft = nodes.get(i).raft;
                 boolean leads = raft.role() == Raft.Role.LEADER;
-                if (!leads && left[0] > 0 && raft.isVoter(nodes.get(i).id)) {
-                    add(steps, What.TIMEOUT, i, 0);
+                if (!leads && remaining[0] > 0 && raft.isVoter(nodes.get(i).id)) {
+                    add(steps, EventKind.TIMEOUT, i, 0);
                 }
-                if (leads && left[1] > 0) {
-                    add(steps, What.HEARTBEAT, i, 0);
+                if (leads && remaining[1] > 0) {
+                    add(steps, EventKind.HEARTBEAT, i, 0);
                 }
-                if (leads && left[2] > 0) {
-                    add(steps, What.COMMAND, i, 0);
+                if (leads && remaining[2] > 0) {
+                    add(steps, EventKind.COMMAND, i, 0);
                 }
-                if (left[6] > 0 && raft.mayHavePromised()) {
-                    add(steps, What.QUERY, i, 0);
+                if (remaining[6] > 0 && raft.isBoundByPriorLease()) {
+                    add(steps, EventKind.LEASE_QUERY, i, 0);
                 }
-                if (!raft.content() && left[7] > 0 && raft.isVoter(nodes.get(i).id)) {
-                    add(steps, What.STAND, i, 0);
+                if (!raft.hasActiveLeader() && remaining[7] > 0 && raft.isVoter(nodes.get(i).id)) {
+                    add(steps, EventKind.PRE_VOTE, i, 0);
                 }
-                if (left[4] > 0) {
-                    steps.add(new Step(What.CRASH, i, 0, End.WHOLE));
+                if (remaining[4] > 0) {
+                    steps.add(new Step(EventKind.CRASH, i, 0, Completion.COMPLETED));
                 }
-                for (int other = 0; left[5] > 0 && raft.mayChangeMembers() && other < nodes.size(); other++) {
-                    add(steps, What.CHANGE, i, other);
+                for (int other = 0; remaining[5] > 0 && raft.mayChangeMembers() && other < nodes.size(); other++) {
+                    add(steps, EventKind.MEMBERSHIP_CHANGE, i, other);
                 }
             }
-            for (int wire : wires.keySet()) {
-                add(steps, What.TAKE, wire, 0);
-                if (left[3] > 0) {
-                    steps.add(new Step(What.LOSE, wire, 0, End.WHOLE));
-                    if (wires.get(wire).size() > 1) {
-                        steps.add(new Step(What.TAKE_ONE, wire, 0, End.WHOLE));
+            for (int link : links.keySet()) {
+                add(steps, EventKind.DELIVER, link, 0);
+                if (remaining[3] > 0) {
+                    steps.add(new Step(EventKind.DROP, link, 0, Completion.COMPLETED));
+                    if (links.get(link).size() > 1) {
+                        steps.add(new Step(EventKind.DELIVER_FIRST, link, 0, Completion.COMPLETED));
                     }
                 }
             }
             return steps;
         }
 
-        private void add(List<Step> steps, What what, int node, int other) {
-            for (End end : left[4] > 0 ? End.values() : new End[] {End.WHOLE}) {
-                steps.add(new Step(what, node, other, end));
+        private void add(List<Step> steps, EventKind kind, int node, int other) {
+            for (Completion end : remaining[4] > 0 ? Completion.values() : new Completion[] {Completion.COMPLETED}) {
+                steps.add(new Step(kind, node, other, end));
             }
         }
 
-        void take(Step step) {
-            int i = step.node() % machines;
-            own(i);
-            switch (step.what()) {
+        void apply(Step step) {
+            int i = step.node() % nodeCount;
+            copyNode(i);
+            switch (step.kind()) {
                 case TIMEOUT -> {
-                    left[0]--;
+                    remaining[0]--;
                     now += TIMEOUT_MILLIS;
                     nodes.get(i).raft.tick(now);
                 }
                 case HEARTBEAT -> {
-                    left[1]--;
-                    now += TIMING.heartbeatMillis();
+                    remaining[1]--;
+                    now += TIMING.heartbeatIntervalMillis();
                     nodes.get(i).raft.tick(now);
                 }
                 case COMMAND -> {
-                    left[2]--;
-                    nodes.get(i).raft.propose(new byte[] {(byte) ++written});
+                    remaining[2]--;
+                    nodes.get(i).raft.propose(new byte[] {(byte) ++lastCommand});
                 }
-                case CHANGE -> change(i, step.other());
-                case QUERY -> {
-                    left[6]--;
-                    nodes.get(i).raft.askLastLeader();
+                case MEMBERSHIP_CHANGE -> changeMembership(i, step.other());
+                case LEASE_QUERY -> {
+                    remaining[6]--;
+                    nodes.get(i).raft.queryLastLeader();
                 }
-                case STAND -> {
-                    left[7]--;
-                    nodes.get(i).raft.ask();
+                case PRE_VOTE -> {
+                    remaining[7]--;
+                    nodes.get(i).raft.startPreVote();
                 }
                 case CRASH -> crash(i);
-                default -> message(step);
+                default -> deliver(step);
             }
-            carryOut(i, step.end());
+            complete(i, step.completion());
         }
 
-        private void own(int i) {
+        private void copyNode(int i) {
             Node node = nodes.get(i);
             nodes.set(i, new Node(node.id, node.disk, copy(node.raft, node.id, node.disk)));
         }
 
-        /** Takes or loses what is on a wire. */
-        private void message(Step step) {
-            List<Message> wire = wires.remove(step.node());
-            int to = step.node() % machines;
-            if (step.what() != What.TAKE) {
-                left[3]--;
+        /** Delivers or drops the messages on a link. */
+        private void deliver(Step step) {
+            List<Message> link = links.remove(step.node());
+            int to = step.node() % nodeCount;
+            if (step.kind() != EventKind.DELIVER) {
+                remaining[3]--;
             }
-            int taken = step.what() == What.LOSE ? 0 : step.what() == What.TAKE_ONE ? 1 : wire.size();
-            wire.subList(0, taken)
-                    .forEach(message -> nodes.get(to).raft.receive(now, step.node() / machines + 1, message));
+            int taken = step.kind() == EventKind.DROP ? 0 : step.kind() == EventKind.DELIVER_FIRST ? 1 : link.size();
+            link.subList(0, taken)
+                    .forEach(message -> nodes.get(to).raft.receive(now, step.node() / nodeCount + 1, message));
         }
 
-        /**
-         * The machine that has no vote is let in; a voter changes places with one that has none, or goes where there is
-         * none.
-         */
-        private void change(int leader, int other) {
-            left[5]--;
+        /** Adds a node that is not a voter, or replaces a voter by such a node, or removes it if there is none. */
+        private void changeMembership(int leader, int other) {
+            remaining[5]--;
             Raft raft = nodes.get(leader).raft;
             List<Member> wanted = new ArrayList<>(raft.voters());
             wanted.remove(member(other));
@@ -394,50 +410,50 @@
         }
 
         private void crash(int i) {
-            left[4]--;
+            remaining[4]--;
             Node node = nodes.get(i);
-            nodes.set(i, new Node(node.id, node.disk, maker.make(node.id, node.disk, now)));
-            wires.keySet().removeIf(wire -> wire / machines == i || wire % machines == i);
+            nodes.set(i, new Node(node.id, node.disk, factory.create(node.id, node.disk, now)));
+            links.keySet().removeIf(link -> link / nodeCount == i || link % nodeCount == i);
         }
 
-        /** Writes, syncs, sends and applies what came of an event, as far as its end lets it. */
-        private void carryOut(int i, End end) {
+        /** Writes, syncs, sends and applies the output of an event, up to the crash if there is one. */
+        private void complete(int i, Completion end) {
             Output output = nodes.get(i).raft.drain();
             while (!output.isEmpty()) {
                 Node node = nodes.get(i);
-                if (end != End.UNWRITTEN && syncs) {
-                    nodes.set(i, new Node(node.id, Cluster.written(node.disk, output), node.raft));
+                if (end != Completion.CRASH_BEFORE_SYNC && syncs) {
+                    nodes.set(i, new Node(node.id, Cluster.persist(node.disk, output), node.raft));
                 }
-                if (end != End.WHOLE) {
+                if (end != Completion.COMPLETED) {
                     break;
                 }
                 node.raft.persisted(output);
                 for (Envelope envelope : output.messages()) {
-                    wires.merge(i * machines + (int) envelope.to() - 1, List.of(envelope.message()), Model::joined);
+                    links.merge(i * nodeCount + (int) envelope.to() - 1, List.of(envelope.message()), Model::concat);
                 }
-                output.committed().forEach(this::applied);
+                output.committed().forEach(this::recordApplied);
                 output = node.raft.drain();
             }
-            if (end != End.WHOLE) {
+            if (end != Completion.COMPLETED) {
                 crash(i);
-                carryOut(i, End.WHOLE);
+                complete(i, Completion.COMPLETED);
             }
         }
 
-        private void applied(Entry entry) {
+        private void recordApplied(Entry entry) {
             Entry before = committed.putIfAbsent(entry.index(), entry);
             if (before != null && !before.equals(entry)) {
-                throw new Cluster.Broken("two entries were applied at index " + entry.index());
+                throw new Cluster.InvariantViolation("two entries were applied at index " + entry.index());
             }
         }
 
-        /** One leader a term, logs that match, leaders that have what was committed. */
+        /** Checks election safety, log matching and leader completeness. */
         void check() {
             for (Node node : nodes) {
                 if (node.raft.role() == Raft.Role.LEADER) {
-                    Long before = leaders.putIfAbsent(node.raft.term(), node.id);
+                    Long before = leaderByTerm.putIfAbsent(node.raft.term(), node.id);
                     if (before != null && before != node.id) {
-                        throw new Cluster.Broken("two leaders in term " + node.raft.term());
+                        throw new Cluster.InvariantViolation("two leaders in term " + node.raft.term());
                     }
                     checkComplete(node);
                     checkLease(node);
@@ -450,12 +466,13 @@
             }
         }
 
-        /** Nobody has led a later term while one holds a lease. */
+        /** Checks that there was no leader of a later term while one holds a lease. */
         private void checkLease(Node leader) {
             if (leases
                     && leader.raft.holdsLease(now)
-                    && leaders.keySet().stream().anyMatch(term -> term > leader.raft.term())) {
-                throw new Cluster.Broken("a lease of term " + leader.raft.term() + " while one leads a later term");
+                    && leaderByTerm.keySet().stream().anyMatch(term -> term > leader.raft.term())) {
+                throw new Cluster.InvariantViolation(
+                        "a lease of term " + leader.raft.term() + " while there is a leader in a later term");
             }
         }
 
@@ -464,50 +481,53 @@
             committed.forEach((index, entry) -> {
                 if (leader.raft.term() >= entry.term()
                         && isNewest(leader)
-                        && index > log.base().index()
+                        && index > log.baseSnapshot().index()
                         && (index > log.lastIndex() || !log.entry(index).equals(entry))) {
-                    throw new Cluster.Broken(
+                    throw new Cluster.InvariantViolation(
                             "the leader of term " + leader.raft.term() + " lacks the committed entry " + index);
                 }
             });
         }
 
-        /** One that was cut off may go on as a leader for a while, and need not know what was committed since. */
+        /** A disconnected leader may go on for a while and need not know of later commits. */
         private boolean isNewest(Node leader) {
             return nodes.stream().allMatch(node -> node.raft.term() <= leader.raft.term());
         }
 
         private void checkMatch(Log a, Log b) {
             long last = Math.min(a.lastIndex(), b.lastIndex());
-            boolean alike = false;
-            for (long index = last; index > Math.max(a.base().index(), b.base().index()); index--) {
+            boolean matched = false;
+            for (long index = last;
+                    index > Math.max(a.baseSnapshot().index(), b.baseSnapshot().index());
+                    index--) {
                 boolean same = a.entry(index).equals(b.entry(index));
-                if ((a.term(index) == b.term(index) && !same) || (alike && !same)) {
-                    throw new Cluster.Broken("logs differ at index " + index + " below or at a term that they share");
+                if ((a.term(index) == b.term(index) && !same) || (matched && !same)) {
+                    throw new Cluster.InvariantViolation(
+                            "logs differ at index " + index + " although they share a term at or above it");
                 }
-                alike |= same;
+                matched |= same;
             }
         }
 
-        /** All by which the future of two states can differ. */
+        /** Returns a digest of everything that can influence the future of a state. */
         Key key() {
             StringBuilder text = new StringBuilder(2_048);
             nodes.forEach(node -> text.append(node.describe(now, leases)));
-            text.append(wires).append(leaders).append(committed);
-            for (int one : left) {
+            text.append(links).append(leaderByTerm).append(committed);
+            for (int one : remaining) {
                 text.append(one).append(',');
             }
-            return digest(text.append(written).toString());
+            return digest(text.append(lastCommand).toString());
         }
     }
 
-    private static List<Message> joined(List<Message> first, List<Message> last) {
+    private static List<Message> concat(List<Message> first, List<Message> last) {
         List<Message> both = new ArrayList<>(first);
         both.addAll(last);
         return both;
     }
 
-    // ---- what tells states apart
+    // ---- identity of states
 
     private static String describe(Node node, long now, boolean leases) {
         StringBuilder text = new StringBuilder(512);
@@ -515,11 +535,11 @@
             Object value = get(field, node.raft);
             switch (field.getName()) {
                 case "now", "startedAt" -> {}
-                case "promiseOpen" -> text.append(leases ? node.raft.mayHavePromised() : value);
-                case "rounds" -> text.append(leases ? ages((Map<?, ?>) value, now) : "");
-                case "roundAt" -> text.append(now - (long) value >= TIMING.heartbeatMillis() / 2);
-                case "leavesAt" -> text.append((long) value != 0);
-                case "heardLeaderAt" -> text.append(now - (long) value < TIMING.electionMillis());
+                case "priorLeasePending" -> text.append(leases ? node.raft.isBoundByPriorLease() : value);
+                case "roundSentAt" -> text.append(leases ? ages((Map<?, ?>) value, now) : "");
+                case "roundStartedAt" -> text.append(now - (long) value >= TIMING.heartbeatIntervalMillis() / 2);
+                case "transferDeadline" -> text.append((long) value != 0);
+                case "leaderContactAt" -> text.append(now - (long) value < TIMING.electionTimeoutMillis());
                 case "progress" -> ((Map<?, ?>) value).values().forEach(p -> describe(text, (Progress) p, now, leases));
                 case "log" -> describe(text, (Log) value);
                 default -> text.append(value);
@@ -533,7 +553,7 @@
                 .toString();
     }
 
-    /** When each round that may still count for a lease was sent. */
+    /** Returns the rounds that may still count for a lease, each with the time since it was sent. */
     private static List<Object> ages(Map<?, ?> rounds, long now) {
         List<Object> ages = new ArrayList<>();
         rounds.forEach((round, sentAt) -> {
@@ -546,24 +566,25 @@
     }
 
     private static void describe(StringBuilder text, Progress p, long now, boolean leases) {
-        long silent = now - p.heardAt;
+        long sinceReceived = now - p.lastReceivedMillis;
         text.append(p.member.id())
                 .append(' ')
-                .append(p.next)
+                .append(p.nextIndex)
                 .append(' ')
-                .append(p.match)
+                .append(p.matchIndex)
                 .append(' ')
-                .append(p.round)
+                .append(p.ackedRound)
                 .append(' ')
-                .append(silent < TIMING.electionMillis())
-                .append(silent < 2 * TIMING.electionMillis())
-                .append(now - p.rewoundAt >= TIMING.heartbeatMillis() / 4)
-                .append(leases ? Math.min(now - p.askedAt, TIMING.leaseMillis()) : "")
+                .append(sinceReceived < TIMING.electionTimeoutMillis())
+                .append(sinceReceived < 2 * TIMING.electionTimeoutMillis())
+                .append(now - p.lastRewindAt >= TIMING.heartbeatIntervalMillis() / 4)
+                .append(leases ? Math.min(now - p.ackedRoundSentAt, TIMING.leaseMillis()) : "")
                 .append(',');
     }
 
     private static void describe(StringBuilder text, Log log) {
-        text.append(log.base().index()).append(log.from(log.base().index() + 1, Integer.MAX_VALUE));
+        text.append(log.baseSnapshot().index())
+                .append(log.entriesFrom(log.baseSnapshot().index() + 1, Integer.MAX_VALUE));
     }
 
     // ---- copies of the state machine, field by field
@@ -571,7 +592,7 @@
     private static List<Field> fields() {
         List<Field> fields = new ArrayList<>();
         for (Field field : Raft.class.getDeclaredFields()) {
-            if (!Modifier.isStatic(field.getModifiers()) && !LEFT_OUT.contains(field.getName())) {
+            if (!Modifier.isStatic(field.getModifiers()) && !IGNORED_FIELDS.contains(field.getName())) {
                 field.setAccessible(true);
                 fields.add(field);
             }
@@ -588,7 +609,7 @@
     }
 
     private Raft copy(Raft raft, long id, PersistentState disk) {
-        Raft copy = maker.make(id, disk, 0);
+        Raft copy = factory.create(id, disk, 0);
         try {
             for (Field field : FIELDS) {
                 field.set(copy, copyOf(field.get(raft)));
@@ -601,7 +622,8 @@
 
     private static Object copyOf(Object value) {
         if (value instanceof Log log) {
-            return new Log(log.base(), log.from(log.base().index() + 1, Integer.MAX_VALUE));
+            return new Log(
+                    log.baseSnapshot(), log.entriesFrom(log.baseSnapshot().index() + 1, Integer.MAX_VALUE));
         } else if (value instanceof LinkedHashMap<?, ?> map) {
             Map<Object, Object> copy = new LinkedHashMap<>();
             map.forEach((key, one) -> copy.put(key, one instanceof Progress p ? copyOf(p) : one));
@@ -615,12 +637,12 @@
     }
 
     private static Progress copyOf(Progress p) {
-        Progress copy = new Progress(p.member, p.next, p.heardAt);
-        copy.match = p.match;
-        copy.target = p.target;
-        copy.round = p.round;
-        copy.rewoundAt = p.rewoundAt;
-        copy.askedAt = p.askedAt;
+        Progress copy = new Progress(p.member, p.nextIndex, p.lastReceivedMillis);
+        copy.matchIndex = p.matchIndex;
+        copy.catchUpIndex = p.catchUpIndex;
+        copy.ackedRound = p.ackedRound;
+        copy.lastRewindAt = p.lastRewindAt;
+        copy.ackedRoundSentAt = p.ackedRoundSentAt;
         return copy;
     }
 
--- a/src/test/java/tinworks/raft/ReplicationTest.java
+++ b/src/test/java/tinworks/raft/ReplicationTest.java
@@ -13,16 +13,13 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/**
- * How a leader sends its log: by entries as long as it can, by pieces of a snapshot else, and never more than its bound
- * ahead.
- */
+/** Tests log replication by entries and by snapshot chunks, its flow control, and mutants without a guard. */
 class ReplicationTest {
     private static final Timing TIMING = Cluster.TIMING;
     private static final int BODY = 60_000;
     private static final List<Member> VOTERS = List.of(new Member(1, "a"), new Member(2, "b"), new Member(3, "c"));
 
-    /** A guard that is taken out. */
+    /** The guard that a mutant lacks. */
     enum Mutant {
         NONE,
         NO_FLOW_CONTROL,
@@ -30,23 +27,20 @@
         NO_CHECKSUM
     }
 
-    /**
-     * A leader and two followers on connections that keep their order, where each message can be looked at, lost or
-     * spoilt.
-     */
-    private static final class Trio {
+    /** A leader and two followers on ordered connections, whose messages tests can inspect, drop or corrupt. */
+    private static final class ThreeNodeCluster {
         private final Mutant mutant;
         private final Map<Long, Raft> rafts = new HashMap<>();
         private final Map<Long, byte[]> states = new HashMap<>();
         private final Map<Long, PersistentState> disks = new HashMap<>();
-        private final ArrayDeque<Output.Envelope> wire = new ArrayDeque<>();
+        private final ArrayDeque<Output.Envelope> messages = new ArrayDeque<>();
         private final ArrayDeque<Long> senders = new ArrayDeque<>();
-        private final Map<Long, Long> sentTo = new HashMap<>();
-        private final List<Message.InstallSnapshot> pieces = new ArrayList<>();
-        private long silent;
+        private final Map<Long, Long> bytesSentTo = new HashMap<>();
+        private final List<Message.InstallSnapshot> chunks = new ArrayList<>();
+        private long isolated;
         private long now;
 
-        Trio(Mutant mutant) {
+        ThreeNodeCluster(Mutant mutant) {
             this.mutant = mutant;
             for (Member member : VOTERS) {
                 disks.put(
@@ -65,18 +59,18 @@
             states.put(id, new byte[0]);
             rafts.put(id, new Raft(id, disks.get(id), TIMING, id, now) {
                 @Override
-                boolean mayFly(long unanswered) {
-                    return mutant == Mutant.NO_FLOW_CONTROL || super.mayFly(unanswered);
+                boolean hasInFlightCapacity(long unacknowledgedBytes) {
+                    return mutant == Mutant.NO_FLOW_CONTROL || super.hasInFlightCapacity(unacknowledgedBytes);
                 }
 
                 @Override
-                int tailBytes() {
-                    return mutant == Mutant.NO_TAIL ? 0 : super.tailBytes();
+                int retainedTailBytes() {
+                    return mutant == Mutant.NO_TAIL ? 0 : super.retainedTailBytes();
                 }
 
                 @Override
-                boolean isSound(SnapshotAssembler whole) {
-                    return mutant == Mutant.NO_CHECKSUM || super.isSound(whole);
+                boolean hasValidChecksum(SnapshotAssembler assembler) {
+                    return mutant == Mutant.NO_CHECKSUM || super.hasValidChecksum(assembler);
                 }
             });
             pump(id);
@@ -93,16 +87,16 @@
             pump(1);
         }
 
-        /** The applied state is the last command. */
+        /** Carries out the output of a member, whose applied state is the last command. */
         void pump(long id) {
             Raft raft = rafts.get(id);
             for (Output output = raft.drain(); !output.isEmpty(); output = raft.drain()) {
-                disks.put(id, Cluster.written(disks.get(id), output));
+                disks.put(id, Cluster.persist(disks.get(id), output));
                 raft.persisted(output);
                 for (Output.Envelope envelope : output.messages()) {
-                    wire.add(envelope);
+                    messages.add(envelope);
                     senders.add(id);
-                    sentTo.merge(envelope.to(), size(envelope.message()), Long::sum);
+                    bytesSentTo.merge(envelope.to(), size(envelope.message()), Long::sum);
                 }
                 if (output.restored() != null) {
                     states.put(id, output.restored().state());
@@ -119,16 +113,16 @@
                     : message instanceof Message.InstallSnapshot i ? i.chunk().length : 0;
         }
 
-        /** Takes the next message; what is for or from the silent one is lost. */
+        /** Delivers the next message; messages to or from the isolated member are lost. */
         boolean step() {
-            if (wire.isEmpty()) {
+            if (messages.isEmpty()) {
                 return false;
             }
-            Output.Envelope envelope = wire.poll();
+            Output.Envelope envelope = messages.poll();
             long from = senders.poll();
-            if (envelope.to() != silent && from != silent) {
+            if (envelope.to() != isolated && from != isolated) {
                 if (envelope.message() instanceof Message.InstallSnapshot i && i.chunk().length > 0) {
-                    pieces.add(i);
+                    chunks.add(i);
                 }
                 rafts.get(envelope.to()).receive(now, from, envelope.message());
                 pump(envelope.to());
@@ -138,269 +132,280 @@
 
         void run() {
             for (int i = 0; step(); i++) {
-                assertTrue(i < 20_000, "the network never comes to rest");
+                assertTrue(i < 20_000, "the network does not come to rest");
             }
         }
 
         void heartbeat() {
-            now += TIMING.heartbeatMillis();
+            now += TIMING.heartbeatIntervalMillis();
             leader().tick(now);
             pump(1);
         }
 
-        /** The applied state in place of the log. */
+        /** Replaces the leader's log by a snapshot of this state. */
         void compact(byte[] state) {
             leader().compact(leader().commitIndex(), state);
             pump(1);
         }
 
-        void assertAlike(long id) {
+        void assertSameStateAsLeader(long id) {
             assertArrayEquals(states.get(1L), states.get(id));
             assertEquals(leader().commitIndex(), rafts.get(id).commitIndex());
         }
     }
 
-    private static long piledUp(Mutant mutant) {
-        Trio trio = new Trio(mutant);
-        trio.silent = 3;
-        trio.sentTo.clear();
+    private static long bytesSentToIsolatedFollower(Mutant mutant) {
+        ThreeNodeCluster cluster = new ThreeNodeCluster(mutant);
+        cluster.isolated = 3;
+        cluster.bytesSentTo.clear();
         for (int i = 0; i < 100; i++) {
-            trio.propose(BODY);
-            trio.run();
-            trio.heartbeat();
-            trio.run();
+            cluster.propose(BODY);
+            cluster.run();
+            cluster.heartbeat();
+            cluster.run();
         }
-        assertEquals(trio.leader().lastIndex(), trio.leader().commitIndex());
-        long ahead = trio.sentTo.get(3L);
-        trio.silent = 0;
-        trio.heartbeat();
-        trio.run();
-        trio.heartbeat();
-        trio.run();
-        trio.assertAlike(3);
+        assertEquals(cluster.leader().lastIndex(), cluster.leader().commitIndex());
+        long ahead = cluster.bytesSentTo.get(3L);
+        cluster.isolated = 0;
+        cluster.heartbeat();
+        cluster.run();
+        cluster.heartbeat();
+        cluster.run();
+        cluster.assertSameStateAsLeader(3);
         return ahead;
     }
 
     @Test
-    void aSilentFollowerIsSentNoMoreThanTheBoundAheadAndAllOnceItAnswers() {
-        assertTrue(piledUp(Mutant.NONE) <= Raft.MOST_IN_FLIGHT + BODY);
+    void unresponsiveFollowerReceivesAtMostTheInFlightLimitAndTheRestLater() {
+        assertTrue(bytesSentToIsolatedFollower(Mutant.NONE) <= Raft.MAX_IN_FLIGHT_BYTES + BODY);
         assertTrue(
-                piledUp(Mutant.NO_FLOW_CONTROL) > 2 * Raft.MOST_IN_FLIGHT, "without the guard it is sent everything");
+                bytesSentToIsolatedFollower(Mutant.NO_FLOW_CONTROL) > 2 * Raft.MAX_IN_FLIGHT_BYTES,
+                "without flow control it is sent everything");
     }
 
-    /** How many snapshots a follower is sent that has missed two entries when the log is compacted. */
+    /** Returns how many snapshot chunks are sent to a follower that lacks two entries when the log is compacted. */
     private static int snapshotsForTwoEntries(Mutant mutant) {
-        Trio trio = new Trio(mutant);
-        trio.propose(BODY);
-        trio.run();
-        trio.silent = 3;
-        trio.propose(BODY);
-        trio.propose(BODY);
-        trio.run();
-        trio.compact(trio.states.get(1L));
-        assertEquals(0, trio.leader().logLength());
-        trio.silent = 0;
+        ThreeNodeCluster cluster = new ThreeNodeCluster(mutant);
+        cluster.propose(BODY);
+        cluster.run();
+        cluster.isolated = 3;
+        cluster.propose(BODY);
+        cluster.propose(BODY);
+        cluster.run();
+        cluster.compact(cluster.states.get(1L));
+        assertEquals(0, cluster.leader().logLength());
+        cluster.isolated = 0;
         for (int i = 0; i < 4; i++) {
-            trio.heartbeat();
-            trio.run();
+            cluster.heartbeat();
+            cluster.run();
         }
-        trio.assertAlike(3);
-        return trio.pieces.size();
+        cluster.assertSameStateAsLeader(3);
+        return cluster.chunks.size();
     }
 
     @Test
-    void aFollowerThatIsAFewEntriesBehindIsSentThoseAndNoSnapshot() {
+    void slightlyLaggingFollowerReceivesEntriesAndNoSnapshot() {
         assertEquals(0, snapshotsForTwoEntries(Mutant.NONE));
-        assertTrue(snapshotsForTwoEntries(Mutant.NO_TAIL) > 0, "without a tail it is sent everything");
+        assertTrue(snapshotsForTwoEntries(Mutant.NO_TAIL) > 0, "without a tail it is sent a snapshot");
     }
 
-    /** A log of which the last snapshot is as large as this, and a follower that lacks far more than the tail. */
-    private static Trio farBehind(Mutant mutant, int bytes) {
-        Trio trio = new Trio(mutant);
-        trio.silent = 3;
+    /**
+     * Creates a cluster with a snapshot of this size and a follower that lacks far more entries than the tail holds.
+     */
+    private static ThreeNodeCluster withFollowerFarBehind(Mutant mutant, int bytes) {
+        ThreeNodeCluster cluster = new ThreeNodeCluster(mutant);
+        cluster.isolated = 3;
         for (int i = 0; i < 40; i++) {
-            trio.propose(BODY);
-            trio.run();
+            cluster.propose(BODY);
+            cluster.run();
         }
-        trio.propose(bytes);
-        trio.run();
-        trio.compact(trio.states.get(1L));
-        trio.run();
-        trio.silent = 0;
-        return trio;
+        cluster.propose(bytes);
+        cluster.run();
+        cluster.compact(cluster.states.get(1L));
+        cluster.run();
+        cluster.isolated = 0;
+        return cluster;
     }
 
     @Test
-    void aSnapshotComesInPiecesWithHeartbeatsBetweenAndIsTakenWhole() {
-        Trio trio = farBehind(Mutant.NONE, 10 * Transfer.PIECE_BYTES + 1);
-        trio.heartbeat();
+    void snapshotIsSentInChunksBetweenHeartbeatsAndInstalledAsAWhole() {
+        ThreeNodeCluster cluster = withFollowerFarBehind(Mutant.NONE, 10 * SnapshotTransfer.CHUNK_BYTES + 1);
+        cluster.heartbeat();
         int rounds = 0;
-        while (trio.wire.size() > 0) {
-            trio.step();
+        while (cluster.messages.size() > 0) {
+            cluster.step();
             if (++rounds % 3 == 0 && rounds < 60) {
-                trio.heartbeat();
+                cluster.heartbeat();
             }
-            long underWay = trio.wire.stream()
+            long inFlight = cluster.messages.stream()
                     .filter(e -> e.message() instanceof Message.InstallSnapshot i && i.chunk().length > 0)
                     .count();
-            assertTrue(underWay <= 1, underWay + " pieces under way");
-            byte[] state = trio.states.get(3L);
+            assertTrue(inFlight <= 1, inFlight + " chunks in flight");
+            byte[] state = cluster.states.get(3L);
             assertTrue(
-                    state.length == 0 || state.length == trio.states.get(1L).length, "part of a snapshot was applied");
+                    state.length == 0 || state.length == cluster.states.get(1L).length,
+                    "part of a snapshot was applied");
         }
-        assertEquals(11, trio.pieces.size());
-        assertTrue(trio.pieces.stream().allMatch(i -> i.chunk().length <= Transfer.PIECE_BYTES));
-        trio.assertAlike(3);
+        assertEquals(11, cluster.chunks.size());
+        assertTrue(cluster.chunks.stream().allMatch(i -> i.chunk().length <= SnapshotTransfer.CHUNK_BYTES));
+        cluster.assertSameStateAsLeader(3);
     }
 
     @Test
-    void whatHasComeIsNotSentAgainAfterABreakAndALostPieceIs() {
-        Trio trio = farBehind(Mutant.NONE, 10 * Transfer.PIECE_BYTES);
-        trio.heartbeat();
-        while (trio.pieces.size() < 5) {
-            trio.step();
+    void afterABrokenConnectionOnlyTheLostChunkIsSentAgain() {
+        ThreeNodeCluster cluster = withFollowerFarBehind(Mutant.NONE, 10 * SnapshotTransfer.CHUNK_BYTES);
+        cluster.heartbeat();
+        while (cluster.chunks.size() < 5) {
+            cluster.step();
         }
-        // The connection breaks for a while: all that is on it is lost, whether a piece or its answer.
-        trio.silent = 3;
-        trio.heartbeat();
-        trio.run();
-        trio.heartbeat();
-        trio.run();
-        trio.silent = 0;
+        // Breaks the connection for a while, which loses the chunk or the reply in flight.
+        cluster.isolated = 3;
+        cluster.heartbeat();
+        cluster.run();
+        cluster.heartbeat();
+        cluster.run();
+        cluster.isolated = 0;
         for (int i = 0; i < 3; i++) {
-            trio.heartbeat();
-            trio.run();
+            cluster.heartbeat();
+            cluster.run();
         }
-        trio.assertAlike(3);
-        assertTrue(trio.pieces.size() <= 11, trio.pieces.size() + " pieces, of which one at most came twice");
+        cluster.assertSameStateAsLeader(3);
+        assertTrue(
+                cluster.chunks.size() <= 11,
+                cluster.chunks.size() + " chunks, of which at most one may be a duplicate");
     }
 
     @Test
-    void aFollowerThatStartsAnewInTheMiddleBeginsAnewAndANewerSnapshotDoesNotDisturbTheOneUnderWay() {
-        Trio trio = farBehind(Mutant.NONE, 10 * Transfer.PIECE_BYTES);
-        trio.heartbeat();
-        while (trio.pieces.size() < 5) {
-            trio.step();
+    void restartedFollowerRestartsTheTransferAndANewerSnapshotDoesNotInterruptIt() {
+        ThreeNodeCluster cluster = withFollowerFarBehind(Mutant.NONE, 10 * SnapshotTransfer.CHUNK_BYTES);
+        cluster.heartbeat();
+        while (cluster.chunks.size() < 5) {
+            cluster.step();
         }
-        trio.propose(100);
-        trio.compact(trio.states.get(1L));
-        while (trio.pieces.size() < 7) {
-            trio.step();
+        cluster.propose(100);
+        cluster.compact(cluster.states.get(1L));
+        while (cluster.chunks.size() < 7) {
+            cluster.step();
         }
         assertEquals(
                 1,
-                trio.pieces.stream().map(i -> i.metadata().index()).distinct().count());
-        trio.start(3);
+                cluster.chunks.stream()
+                        .map(i -> i.metadata().index())
+                        .distinct()
+                        .count());
+        cluster.start(3);
         for (int i = 0; i < 4; i++) {
-            trio.heartbeat();
-            trio.run();
+            cluster.heartbeat();
+            cluster.run();
         }
-        trio.assertAlike(3);
-        assertTrue(trio.pieces.size() <= 18, trio.pieces.size() + " pieces");
+        cluster.assertSameStateAsLeader(3);
+        assertTrue(cluster.chunks.size() <= 18, cluster.chunks.size() + " chunks");
     }
 
-    /** Whether a follower ends with the leader's state although one piece was spoilt on its way. */
-    private static boolean survivesASpoiltPiece(Mutant mutant) {
-        Trio trio = farBehind(mutant, 4 * Transfer.PIECE_BYTES);
-        trio.heartbeat();
-        while (trio.pieces.size() < 2) {
-            trio.step();
+    /** Returns whether a follower ends with the leader's state although one chunk was corrupted in transit. */
+    private static boolean recoversFromCorruptChunk(Mutant mutant) {
+        ThreeNodeCluster cluster = withFollowerFarBehind(mutant, 4 * SnapshotTransfer.CHUNK_BYTES);
+        cluster.heartbeat();
+        while (cluster.chunks.size() < 2) {
+            cluster.step();
         }
-        trio.pieces.get(1).chunk()[7]++;
-        Message.InstallSnapshot spoilt = trio.pieces.get(1);
-        trio.rafts
+        cluster.chunks.get(1).chunk()[7]++;
+        Message.InstallSnapshot corrupt = cluster.chunks.get(1);
+        cluster.rafts
                 .get(3L)
                 .receive(
-                        trio.now,
+                        cluster.now,
                         1,
                         new Message.InstallSnapshot(
-                                spoilt.term(),
-                                spoilt.metadata(),
-                                2 * Transfer.PIECE_BYTES,
-                                spoilt.chunk(),
-                                spoilt.sequence(),
-                                spoilt.round()));
-        trio.pump(3);
+                                corrupt.term(),
+                                corrupt.metadata(),
+                                2 * SnapshotTransfer.CHUNK_BYTES,
+                                corrupt.chunk(),
+                                corrupt.sequence(),
+                                corrupt.round()));
+        cluster.pump(3);
         for (int i = 0; i < 4; i++) {
-            trio.heartbeat();
-            trio.run();
+            cluster.heartbeat();
+            cluster.run();
         }
-        return java.util.Arrays.equals(trio.states.get(1L), trio.states.get(3L));
+        return java.util.Arrays.equals(cluster.states.get(1L), cluster.states.get(3L));
     }
 
     @Test
-    void aSnapshotThatDoesNotMatchItsChecksumIsGatheredAnew() {
-        assertTrue(survivesASpoiltPiece(Mutant.NONE));
-        assertFalse(survivesASpoiltPiece(Mutant.NO_CHECKSUM), "without the check what was mixed up is applied");
+    void snapshotWithAWrongChecksumIsTransferredAgain() {
+        assertTrue(recoversFromCorruptChunk(Mutant.NONE));
+        assertFalse(
+                recoversFromCorruptChunk(Mutant.NO_CHECKSUM), "without the check the corrupt snapshot is installed");
     }
 
     @Test
-    void aLengthThatLiesCostsNoMemoryAndALeadersOlderSnapshotIsPassedOver() {
-        Trio trio = new Trio(Mutant.NONE);
-        Raft follower = trio.rafts.get(3L);
+    void falseLengthAllocatesNoMemoryAndAnOlderSnapshotIsIgnored() {
+        ThreeNodeCluster cluster = new ThreeNodeCluster(Mutant.NONE);
+        Raft follower = cluster.rafts.get(3L);
         Snapshot newer = new Snapshot(50, 1, VOTERS, new byte[100]);
         Snapshot older = new Snapshot(40, 1, VOTERS, new byte[100]);
-        Snapshot.Metadata lies = new Snapshot.Metadata(60, 1, VOTERS, Integer.MAX_VALUE, 0);
-        follower.receive(trio.now, 1, new Message.InstallSnapshot(1, lies, 0, new byte[10], 1, 0));
+        Snapshot.Metadata falseLength = new Snapshot.Metadata(60, 1, VOTERS, Integer.MAX_VALUE, 0);
+        follower.receive(cluster.now, 1, new Message.InstallSnapshot(1, falseLength, 0, new byte[10], 1, 0));
         assertTrue(follower.drain().messages().isEmpty());
-        follower.receive(trio.now, 1, new Message.InstallSnapshot(1, newer.label(), 0, new byte[60], 2, 0));
-        follower.receive(trio.now, 1, new Message.InstallSnapshot(1, older.label(), 0, new byte[60], 3, 0));
-        follower.receive(trio.now, 1, new Message.InstallSnapshot(1, newer.label(), 60, new byte[40], 4, 0));
+        follower.receive(cluster.now, 1, new Message.InstallSnapshot(1, newer.metadata(), 0, new byte[60], 2, 0));
+        follower.receive(cluster.now, 1, new Message.InstallSnapshot(1, older.metadata(), 0, new byte[60], 3, 0));
+        follower.receive(cluster.now, 1, new Message.InstallSnapshot(1, newer.metadata(), 60, new byte[40], 4, 0));
         Output output = follower.drain();
-        assertEquals(newer.label(), output.restored().label());
+        assertEquals(newer.metadata(), output.restored().metadata());
         assertEquals(
                 new Message.InstallSnapshotReply(1, 50, 60, 2, 0),
                 output.messages().get(0).message());
         assertEquals(
                 new Message.AppendReply(1, true, 50, 0),
-                ((Message.AppendReply) output.messages().get(1).message()).sent(0));
+                ((Message.AppendReply) output.messages().get(1).message()).withSentAt(0));
     }
 
     @Test
-    void aLeaderWritesOnlySoMuchAheadOfItsCommitIndex() {
-        Trio trio = new Trio(Mutant.NONE);
-        trio.silent = 2;
-        trio.run();
+    void leaderLimitsItsUncommittedEntries() {
+        ThreeNodeCluster cluster = new ThreeNodeCluster(Mutant.NONE);
+        cluster.isolated = 2;
+        cluster.run();
         int written = 0;
-        while (trio.leader().fitsUncommittedLimit(BODY)) {
-            trio.propose(BODY);
-            trio.wire.clear();
-            trio.senders.clear();
+        while (cluster.leader().fitsUncommittedLimit(BODY)) {
+            cluster.propose(BODY);
+            cluster.messages.clear();
+            cluster.senders.clear();
             written += BODY;
         }
-        assertTrue(written > Raft.MOST_UNCOMMITTED / 2 && written <= Raft.MOST_UNCOMMITTED, written + " bytes");
+        assertTrue(
+                written > Raft.MAX_UNCOMMITTED_BYTES / 2 && written <= Raft.MAX_UNCOMMITTED_BYTES, written + " bytes");
     }
 
-    /** Two followers with losses, restarts and a log that is compacted all the while: all end alike. */
+    /** Two followers with message loss and restarts, and frequent compaction: all must end with the same state. */
     @Test
-    void whateverIsLostAllFollowersEndAlike() {
+    void followersConvergeDespiteLossesAndRestarts() {
         for (long seed = 1; seed <= 200; seed++) {
             SplittableRandom random = new SplittableRandom(seed);
-            Trio trio = new Trio(Mutant.NONE);
+            ThreeNodeCluster cluster = new ThreeNodeCluster(Mutant.NONE);
             for (int i = 0; i < 120; i++) {
-                if (trio.leader().fitsUncommittedLimit(300_000)) {
-                    trio.propose(random.nextInt(300_000));
+                if (cluster.leader().fitsUncommittedLimit(300_000)) {
+                    cluster.propose(random.nextInt(300_000));
                 }
                 for (int n = random.nextInt(6); n > 0; n--) {
-                    trio.step();
+                    cluster.step();
                 }
                 switch (random.nextInt(8)) {
-                    case 0 -> trio.silent = 0;
-                    case 1 -> trio.silent = 3;
-                    case 2 -> trio.start(2);
-                    case 3 -> trio.compact(trio.states.get(1L));
-                    case 4 -> trio.heartbeat();
+                    case 0 -> cluster.isolated = 0;
+                    case 1 -> cluster.isolated = 3;
+                    case 2 -> cluster.start(2);
+                    case 3 -> cluster.compact(cluster.states.get(1L));
+                    case 4 -> cluster.heartbeat();
                     default -> {}
                 }
             }
-            trio.silent = 0;
+            cluster.isolated = 0;
             for (int i = 0; i < 8; i++) {
-                trio.heartbeat();
-                trio.run();
+                cluster.heartbeat();
+                cluster.run();
             }
-            assertEquals(trio.leader().lastIndex(), trio.leader().commitIndex(), "seed " + seed);
-            trio.assertAlike(2);
-            trio.assertAlike(3);
+            assertEquals(cluster.leader().lastIndex(), cluster.leader().commitIndex(), "seed " + seed);
+            cluster.assertSameStateAsLeader(2);
+            cluster.assertSameStateAsLeader(3);
         }
     }
 }
