--- a/src/main/java/tinworks/control/VoterPlan.java
+++ b/src/main/java/tinworks/control/VoterPlan.java
@@ -52,12 +52,13 @@
      * not start counting from zero for a dead voter. A leader that was frozen or partitioned, and has therefore
      * received nothing from anyone, first gives the members time to respond.
      *
-     * @param unansweredMillis how long the member has not responded to the leader, at most since the term began
-     * @param unheardMillis how long the leader's node has received nothing from the member, under any leader
+     * @param withoutResponseMillis how long the member has not responded to the leader, at most since the term began
+     * @param withoutMessageMillis how long the leader's node has received nothing from the member, under any leader
      */
-    static long unresponsiveMillis(long unansweredMillis, long unheardMillis) {
-        boolean unresponsive = unansweredMillis > RESPONSE_TIMEOUT_MILLIS && unheardMillis > REPLACE_AFTER_MILLIS;
-        return unresponsive ? Math.max(unansweredMillis, unheardMillis) : unansweredMillis;
+    static long unresponsiveMillis(long withoutResponseMillis, long withoutMessageMillis) {
+        boolean unresponsive =
+                withoutResponseMillis > RESPONSE_TIMEOUT_MILLIS && withoutMessageMillis > REPLACE_AFTER_MILLIS;
+        return unresponsive ? Math.max(withoutResponseMillis, withoutMessageMillis) : withoutResponseMillis;
     }
 
     /**
