--- a/src/main/java/tinworks/edge/CoreFollower.java
+++ b/src/main/java/tinworks/edge/CoreFollower.java
@@ -19,252 +19,259 @@
 import tinworks.config.Configuration;
 
 /**
- * What an edge knows from the core machines: it pulls from whichever announces something newer, and versions only rise.
- * Knows no sockets, threads or clock; all methods belong to one thread.
+ * The edge's replica of the control plane's state: the configuration, the host list and the core nodes' addresses. It
+ * pulls from any core node that announces a newer version, and versions never decrease. It owns no sockets, threads or
+ * clock; all methods must be called from one thread.
  */
 public class CoreFollower implements Conversation.Listener {
-    /** The edge round it. */
+    /** What the enclosing edge provides, and the changes that it is notified of. */
     public interface Callbacks {
-        /** A steady clock's milliseconds. */
+        /** The time of a monotonic clock, in milliseconds. */
         long millis();
 
         /**
-         * Reads a newer version, on another thread where that takes long, and then calls {@link CoreFollower#apply}, or
-         * {@link CoreFollower#decodeFailed} where it can't be read.
+         * Decodes a newer version, off the event loop where that takes long, and then calls {@link CoreFollower#apply},
+         * or {@link CoreFollower#decodeFailed} if it cannot be decoded.
          */
         void decode(long rev, Callable<Configuration> version);
 
-        /** A newer list of hosts. */
+        /** A newer host list has been received. */
         void hostListChanged(HostList list);
 
-        /** How many edges there are is known anew. */
+        /** The number of edges has changed. */
         void edgeCountChanged(int edges);
 
-        /** A line for the operators. */
+        /** Writes a line to the log. */
         void log(String line);
     }
 
-    private static final int LARGEST_CONFIGURATION = 8 << 20;
-    private static final long PULL_AGAIN_MILLIS = 400;
-    private static final long ALONE_MILLIS = 3_000;
-    private static final long BEHIND_MILLIS = 10_000;
+    private static final int MAX_CONFIGURATION_BYTES = 8 << 20;
+    private static final long PULL_RETRY_MILLIS = 400;
+    private static final long CORE_UNREACHABLE_MILLIS = 3_000;
+    private static final long MAX_WAIT_FOR_NEWEST_MILLIS = 10_000;
 
-    private final Callbacks owner;
-    private final FreshnessGate newest = new FreshnessGate();
+    private final Callbacks callbacks;
+    private final FreshnessGate freshness = new FreshnessGate();
     private Configuration configuration;
-    /** The version that is being read. */
-    private long readingRev;
+    /** The newest version handed out for decoding; 0 if there is none or it could not be decoded. */
+    private long decodingRev;
 
-    private HostList list = HostList.NONE;
+    private HostList hostList = HostList.NONE;
     private Set<String> cores = Set.of();
     /**
-     * Core machines that were named by some that hear no leader: from one that is cut off the way leads on through
-     * these.
+     * Addresses of core nodes announced by nodes that are out of touch with the leader. They let an edge get past a
+     * partitioned core node to the rest of the cluster.
      */
-    private final Set<String> rumoured = new TreeSet<>();
+    private final Set<String> hintedCores = new TreeSet<>();
 
-    private int edges = 1;
-    /** The highest term that a leader has spoken in. */
+    private int edgeCount = 1;
+    /** The highest term in which a leader has announced itself. */
     private long term;
 
-    private final long startedAt;
-    private long heardLeaderAt;
-    private long pulledConfigurationAt;
-    private long pulledHostsAt;
+    private final long startedAtMillis;
+    private long leaderContactAtMillis;
+    private long configurationPulledAtMillis;
+    private long hostsPulledAtMillis;
 
-    /** One that knows nothing yet. */
-    public CoreFollower(Callbacks owner) {
-        this.owner = owner;
-        startedAt = owner.millis();
-        heardLeaderAt = startedAt;
+    /** Creates a follower that has received nothing yet. */
+    public CoreFollower(Callbacks callbacks) {
+        this.callbacks = callbacks;
+        startedAtMillis = callbacks.millis();
+        leaderContactAtMillis = startedAtMillis;
     }
 
-    // ---- what is known
+    // ---- state
 
-    /** The version in use, null where there is none yet. */
+    /** The configuration in use, or null before the first one. */
     public Configuration configuration() {
         return configuration;
     }
 
-    /** The number of the version in use, 0 where there is none yet. */
+    /** The version of the configuration in use, or 0 before the first one. */
     public long rev() {
         return configuration == null ? 0 : configuration.rev();
     }
 
-    /** The newest list of hosts that a core machine told. */
+    /** The newest host list received from a core node. */
     public HostList hostList() {
-        return list;
+        return hostList;
     }
 
-    /** How many edges there are, as far as the core has told. */
+    /** The number of edges, as last announced by a leader. */
     public int edgeCount() {
-        return edges;
+        return edgeCount;
     }
 
-    /** Whether the newest versions have ever been in use here. */
+    /** Whether this edge has ever held the newest configuration and host list. */
     public boolean hasBeenUpToDate() {
-        return newest.reached();
+        return freshness.reached();
     }
 
     /**
-     * Whether clients may be served with what is held: once that has been the newest; without the core's word while
-     * that can't be had, since an old configuration serves better than none; and at last where the newest can't be
-     * reached.
+     * Whether the state held is good enough to serve clients: it has been the newest once; or the core is unreachable,
+     * as an old configuration serves better than none; or the newest version could not be fetched in time.
      */
     public boolean mayServe() {
         return configuration != null
-                && (hasBeenUpToDate() || isCoreUnreachable() || owner.millis() - startedAt > BEHIND_MILLIS);
+                && (hasBeenUpToDate()
+                        || isCoreUnreachable()
+                        || callbacks.millis() - startedAtMillis > MAX_WAIT_FOR_NEWEST_MILLIS);
     }
 
-    /** For how long no core machine has told anything by a leader's lease, in milliseconds. */
+    /** Milliseconds since a core node last announced itself under a valid leader lease. */
     public long millisSinceLeaderContact() {
-        return owner.millis() - heardLeaderAt;
+        return callbacks.millis() - leaderContactAtMillis;
     }
 
-    /** Whether the core is out of reach: then an edge looks for itself. */
+    /** Whether the core is unreachable. The edge then polls the platform for hosts itself. */
     public boolean isCoreUnreachable() {
-        return millisSinceLeaderContact() > ALONE_MILLIS;
+        return millisSinceLeaderContact() > CORE_UNREACHABLE_MILLIS;
     }
 
-    /** The addresses to be linked with: the core machines as they were told, and the seeds while none is heard. */
+    /** The addresses to connect to: the announced core nodes, and the seeds too while no core node is in contact. */
     public Set<String> addressesToDial(Collection<String> seeds) {
-        Set<String> wanted = new TreeSet<>(cores);
+        Set<String> addresses = new TreeSet<>(cores);
         if (cores.isEmpty() || isCoreUnreachable()) {
-            wanted.addAll(seeds);
-            wanted.addAll(rumoured);
+            addresses.addAll(seeds);
+            addresses.addAll(hintedCores);
         }
-        return wanted;
+        return addresses;
     }
 
-    // ---- what comes
+    // ---- messages received
 
     @Override
     public void opened(Conversation conversation) {
-        // The far side announces itself.
+        // The core node announces itself.
     }
 
     @Override
     public void closed(Conversation conversation) {
-        // Whatever was asked of it is asked again with another one's announcement.
+        // A pending pull is repeated on the next announcement of another core node.
     }
 
     @Override
     public void received(Conversation from, Signal signal) {
         if (signal instanceof Announce s) {
-            heard(from, s);
+            announcementReceived(from, s);
         } else if (signal instanceof ConfigurationBody s) {
-            read(s.rev(), () -> ConfigurationCodec.read(CompressedBytes.unpack(s.packed(), LARGEST_CONFIGURATION)));
+            startDecoding(
+                    s.rev(),
+                    () -> ConfigurationCodec.read(CompressedBytes.unpack(s.packed(), MAX_CONFIGURATION_BYTES)));
         } else if (signal instanceof ConfigurationChanged s) {
-            changed(from, s);
+            changeReceived(from, s);
         } else if (signal instanceof Hosts s) {
-            took(s.list());
+            hostsReceived(s.list());
         } else if (signal instanceof HostsChanged s) {
-            if (s.change().base().is(list.version())) {
-                took(s.change().appliedTo(list));
+            if (s.change().base().is(hostList.version())) {
+                hostsReceived(s.change().appliedTo(hostList));
             }
         }
     }
 
     @Override
     public void log(String line) {
-        owner.log(line);
+        callbacks.log(line);
     }
 
-    private void took(HostList newer) {
-        pulledHostsAt = 0;
-        if (newer.version().compareTo(list.version()) > 0) {
-            list = newer;
-            newest.holds(rev(), list.version());
-            owner.hostListChanged(list);
+    private void hostsReceived(HostList newer) {
+        hostsPulledAtMillis = 0;
+        if (newer.version().compareTo(hostList.version()) > 0) {
+            hostList = newer;
+            freshness.holds(rev(), hostList.version());
+            callbacks.hostListChanged(hostList);
         }
     }
 
-    private void heard(Conversation from, Announce s) {
-        long now = owner.millis();
-        boolean fresh = s.fresh() && !isOld(s);
+    private void announcementReceived(Conversation from, Announce s) {
+        long now = callbacks.millis();
+        boolean fresh = s.fresh() && !isFromEarlierTerm(s);
         if (fresh) {
-            heardLeaderAt = now;
+            leaderContactAtMillis = now;
         }
-        if (s.leads() && !isOld(s)) {
+        if (s.leads() && !isFromEarlierTerm(s)) {
             term = s.term();
             cores = Set.copyOf(s.cores());
-            rumoured.clear();
-            count(s.edges());
+            hintedCores.clear();
+            updateEdgeCount(s.edges());
         } else if (cores.isEmpty() && fresh) {
             cores = Set.copyOf(s.cores());
         } else if (!fresh && (cores.isEmpty() || isCoreUnreachable())) {
-            rumoured.addAll(s.cores());
+            hintedCores.addAll(s.cores());
         }
-        if (isNewer(s.rev()) && now - pulledConfigurationAt > PULL_AGAIN_MILLIS) {
-            pulledConfigurationAt = now;
+        if (isNewer(s.rev()) && now - configurationPulledAtMillis > PULL_RETRY_MILLIS) {
+            configurationPulledAtMillis = now;
             from.send(new PullConfiguration(rev()));
         }
-        newest.announced(s.rev(), s.hosts(), fresh);
-        newest.holds(rev(), list.version());
-        if (s.hosts().compareTo(list.version()) > 0 && now - pulledHostsAt > PULL_AGAIN_MILLIS) {
-            pulledHostsAt = now;
-            from.send(new PullHosts(list.version()));
+        freshness.announced(s.rev(), s.hosts(), fresh);
+        freshness.holds(rev(), hostList.version());
+        if (s.hosts().compareTo(hostList.version()) > 0 && now - hostsPulledAtMillis > PULL_RETRY_MILLIS) {
+            hostsPulledAtMillis = now;
+            from.send(new PullHosts(hostList.version()));
         }
     }
 
     /**
-     * Guards against the word of an old leader, or by its lease, that comes late. A term counts once its leader has
-     * spoken: a machine that is cut off from the others may raise its own term by itself.
+     * Guards against a delayed announcement of a deposed leader, or one made under its lease. A term counts only once
+     * its leader has announced itself, as a partitioned node may raise its own term.
      */
-    boolean isOld(Announce s) {
+    boolean isFromEarlierTerm(Announce s) {
         return s.term() < term;
     }
 
-    private void count(int told) {
-        if (told > 0 && told != edges) {
-            edges = told;
-            owner.edgeCountChanged(told);
+    private void updateEdgeCount(int announced) {
+        if (announced > 0 && announced != edgeCount) {
+            edgeCount = announced;
+            callbacks.edgeCountChanged(announced);
         }
     }
 
-    /** A change of the version that is held; of another one where a version came into use since this was asked for. */
-    private void changed(Conversation from, ConfigurationChanged s) {
+    /**
+     * Applies a delta to the version in use. The delta is against another version if one came into use since the pull;
+     * then the edge pulls again.
+     */
+    private void changeReceived(Conversation from, ConfigurationChanged s) {
         Configuration held = configuration;
         if (s.base() == rev()) {
-            read(
+            startDecoding(
                     s.rev(),
-                    () -> ConfigurationCodec.readChange(CompressedBytes.unpack(s.packed(), LARGEST_CONFIGURATION))
+                    () -> ConfigurationCodec.readChange(CompressedBytes.unpack(s.packed(), MAX_CONFIGURATION_BYTES))
                             .appliedTo(held));
         } else if (isNewer(s.rev())) {
             from.send(new PullConfiguration(rev()));
         }
     }
 
-    /** One at a time. */
-    private void read(long rev, Callable<Configuration> version) {
-        pulledConfigurationAt = 0;
+    /** Starts to decode a version, unless one as new is in use or being decoded. */
+    private void startDecoding(long rev, Callable<Configuration> version) {
+        configurationPulledAtMillis = 0;
         if (isNewer(rev)) {
-            readingRev = rev;
-            owner.decode(rev, version);
+            decodingRev = rev;
+            callbacks.decode(rev, version);
         }
     }
 
     private boolean isNewer(long rev) {
-        return isNewer(rev, Math.max(rev(), readingRev));
+        return isNewer(rev, Math.max(rev(), decodingRev));
     }
 
-    /** Guards against a core machine that is itself behind, and an answer that was long on its way. */
+    /** Guards against a core node that lags behind, and against a delayed response. */
     boolean isNewer(long rev, long held) {
         return rev > held;
     }
 
-    /** A version that was read comes into use; false where a newer one is. */
-    public boolean apply(Configuration read) {
-        if (!isNewer(read.rev(), rev())) {
+    /** Puts a decoded version into use; returns false if the version in use is as new. */
+    public boolean apply(Configuration decoded) {
+        if (!isNewer(decoded.rev(), rev())) {
             return false;
         }
-        configuration = read;
-        newest.holds(read.rev(), list.version());
+        configuration = decoded;
+        freshness.holds(decoded.rev(), hostList.version());
         return true;
     }
 
-    /** The version that was being read can't be. */
+    /** The version in decoding could not be decoded. */
     public void decodeFailed() {
-        readingRev = 0;
+        decodingRev = 0;
     }
 }
--- a/src/main/java/tinworks/edge/DrainedHosts.java
+++ b/src/main/java/tinworks/edge/DrainedHosts.java
@@ -6,26 +6,27 @@
 import tinworks.channel.HostList.Host;
 
 /**
- * The hosts that were once known to be about to end. Guards against an older list that comes later, from a machine that
- * was cut off or had died, or from another source: a host that is being emptied gets no more work under its id, whoever
- * says that it is ready. Lives of hosts have ids of their own, so none needs to come back.
+ * Remembers the hosts that have once been listed as draining. Guards against an older host list that arrives later,
+ * from a core node that was partitioned or had crashed, or from another source: a draining host receives no more
+ * requests under its id, even if a list shows it as ready. Each host instance has an id of its own, so none has to
+ * become ready again.
  */
 final class DrainedHosts {
-    /** Far more than end while any machine could still hold a list from before. */
-    private static final int MOST = 4_096;
+    /** Far more than the hosts that drain while any node could still hold an older list. */
+    private static final int MAX_IDS = 4_096;
 
     private final Set<String> ids = new LinkedHashSet<>();
 
-    /** The host as it may be used: draining where it was so before. */
-    Host kept(Host told) {
-        if (told.draining()) {
-            if (ids.add(told.id()) && ids.size() > MOST) {
+    /** The host, marked as draining if it has been so before. */
+    Host withDrainingKept(Host host) {
+        if (host.draining()) {
+            if (ids.add(host.id()) && ids.size() > MAX_IDS) {
                 Iterator<String> oldest = ids.iterator();
                 oldest.next();
                 oldest.remove();
             }
-            return told;
+            return host;
         }
-        return ids.contains(told.id()) ? told.asDraining() : told;
+        return ids.contains(host.id()) ? host.asDraining() : host;
     }
 }
--- a/src/main/java/tinworks/edge/Edge.java
+++ b/src/main/java/tinworks/edge/Edge.java
@@ -13,38 +13,42 @@
 import tinworks.node.BootSettings;
 import tinworks.node.NodeProcess;
 
-/** The process of an edge gateway: its start and its end. */
+/** Start and graceful shutdown of an edge gateway's process. */
 public final class Edge {
     private static final Logger LOG = LoggerFactory.getLogger(Edge.class);
     private static final long KILL_MARGIN_MILLIS = 300;
 
     private Edge() {}
 
-    /** Runs until the process is asked to end. Bad settings end as an {@link IllegalArgumentException}. */
+    /**
+     * Runs until the process is asked to shut down.
+     *
+     * @throws IllegalArgumentException if the settings are invalid
+     */
     public static void run(NodeProcess process) {
         BootSettings settings = process.settings();
         if (settings.http() == null || settings.readyz() == null) {
             throw new IllegalArgumentException("listen: an edge needs http and readyz");
         }
-        // A life of its own: nothing of an earlier process is known to this one.
+        // A new id per process instance: no state of an earlier process carries over.
         long id = new SplittableRandom(System.nanoTime()
                         ^ Long.rotateLeft(System.currentTimeMillis(), 32)
                         ^ settings.node().hashCode())
                 .nextLong();
         EdgeNode node = process.call(() -> new EdgeNode(process.loop(), process.clock(), settings, id));
         process.onChange(node::settingsChanged);
-        process.onEnd(() -> end(process, node, SteadyClock.millis(), settings.graceMillis() - KILL_MARGIN_MILLIS));
+        process.onEnd(() -> shutDown(process, node, SteadyClock.millis(), settings.graceMillis() - KILL_MARGIN_MILLIS));
         List<ChannelFuture> bound = process.call(node::start);
         process.awaitBound(bound);
     }
 
-    private static void end(NodeProcess process, EdgeNode node, long signalledAtMillis, long longestMillis)
+    private static void shutDown(NodeProcess process, EdgeNode node, long signalledAtMillis, long maxMillis)
             throws InterruptedException {
-        CompletableFuture<Void> ended = process.call(() -> node.shutDown(signalledAtMillis));
+        CompletableFuture<Void> shutdown = process.call(() -> node.shutDown(signalledAtMillis));
         try {
-            ended.get(signalledAtMillis + longestMillis - SteadyClock.millis(), TimeUnit.MILLISECONDS);
+            shutdown.get(signalledAtMillis + maxMillis - SteadyClock.millis(), TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            LOG.warn("ended with requests open: {}", e.toString());
+            LOG.warn("process ends before all requests were answered: {}", e.toString());
         }
     }
 }
--- a/src/main/java/tinworks/edge/EdgeMetrics.java
+++ b/src/main/java/tinworks/edge/EdgeMetrics.java
@@ -12,44 +12,47 @@
 import tinworks.policy.LoadBalancerApi.Outcome;
 import tinworks.policy.Reason;
 
-/** An edge's figures; docs/metrics.md explains each. */
+/** The metrics of an edge; docs/metrics.md explains each. */
 final class EdgeMetrics {
     private EdgeMetrics() {}
 
-    /** What concerns the edge as a whole. */
-    static MetricsPage page(boolean ready, long rev, int gateways, int hosts, int connections, double silentSeconds) {
+    /** A page with the metrics of the edge as a whole. */
+    static MetricsPage page(boolean ready, long rev, int edges, int hosts, int connections, double secondsSinceLeader) {
         return new MetricsPage()
-                .gauge("ready", "1 where clients may be sent here", ready ? 1 : 0)
-                .gauge("configuration_version", "The version in force", (double) rev)
-                .gauge("edges", "Edges that the leader counts", gateways)
-                .gauge("hosts", "Hosts on the list", hosts)
-                .gauge("host_connections", "Connections to hosts, open or on their way", connections)
-                .gauge("leader_silent_seconds", "Since a core machine that hears the leader was heard", silentSeconds);
+                .gauge("ready", "1 if the edge is ready to serve clients", ready ? 1 : 0)
+                .gauge("configuration_version", "Version of the configuration in use", (double) rev)
+                .gauge("edges", "Number of edges, as announced by the leader", edges)
+                .gauge("hosts", "Hosts in the current host list", hosts)
+                .gauge("host_connections", "Connections to hosts, open or being established", connections)
+                .gauge(
+                        "leader_silent_seconds",
+                        "Seconds since the last announcement under a valid leader lease",
+                        secondsSinceLeader);
     }
 
-    /** What concerns one service. */
+    /** Adds the metrics of one service. */
     static void add(MetricsPage page, String service, Forwarding forwarding) {
-        ForwardingCounters tally = forwarding.counters();
-        page.counter("requests", "Requests taken on", (double) tally.requestsAccepted(), "service", service)
+        ForwardingCounters counters = forwarding.counters();
+        page.counter("requests", "Requests accepted", (double) counters.requestsAccepted(), "service", service)
                 .counter(
                         "requests_abandoned",
-                        "Requests whose clients left before their answer",
-                        (double) tally.requestsAbandoned(),
+                        "Requests whose clients disconnected before the response",
+                        (double) counters.requestsAbandoned(),
                         "service",
                         service)
                 .counter(
                         "attempt_seconds",
-                        "The time of all attempts together",
-                        tally.attemptSeconds(),
+                        "Total duration of all attempts",
+                        counters.attemptSeconds(),
                         "service",
                         service)
-                .gauge("requests_open", "Requests without their end", forwarding.open(), "service", service);
-        byReason(page, "requests_refused", "Requests given up without having run", service, tally.requestsRefused());
-        byReason(page, "requests_failed", "Requests that failed and may have run", service, tally.requestsFailed());
-        for (Map.Entry<Outcome, Long> entry : tally.attemptsByOutcome().entrySet()) {
+                .gauge("requests_open", "Requests in flight", forwarding.open(), "service", service);
+        byReason(page, "requests_refused", "Requests refused without having run", service, counters.requestsRefused());
+        byReason(page, "requests_failed", "Requests that failed and may have run", service, counters.requestsFailed());
+        for (Map.Entry<Outcome, Long> entry : counters.attemptsByOutcome().entrySet()) {
             page.counter(
                     "attempts",
-                    "Attempts at hosts, by how they ended",
+                    "Attempts at hosts, by outcome",
                     entry.getValue(),
                     "service",
                     service,
@@ -67,53 +70,54 @@
         return name.name().toLowerCase(Locale.ROOT);
     }
 
-    /** What concerns clients' connections. */
+    /** Adds the metrics of client connections. */
     static void add(MetricsPage page, ClientServer clients) {
-        ClientCounters tally = clients.counters();
-        page.gauge("client_connections", "Connections of clients", clients.connectionCount())
-                .counter("client_connections_opened", "Connections accepted", (double) tally.connectionsOpened());
-        tally.connectionsClosed()
-                .forEach((end, count) -> page.counter(
+        ClientCounters counters = clients.counters();
+        page.gauge("client_connections", "Open client connections", clients.connectionCount())
+                .counter("client_connections_opened", "Client connections accepted", (double)
+                        counters.connectionsOpened());
+        counters.connectionsClosed()
+                .forEach((reason, count) -> page.counter(
                         "client_connections_ended",
-                        "Connections of clients that ended, by why",
+                        "Client connections closed, by reason",
                         (double) count,
                         "reason",
-                        label(end)));
-        tally.requestsRejected()
+                        label(reason)));
+        counters.requestsRejected()
                 .forEach((status, count) -> page.counter(
                         "requests_rejected",
-                        "Requests that were turned away before a service was found for them",
+                        "Requests rejected before a service was selected",
                         (double) count,
                         "status",
                         Integer.toString(status)));
     }
 
-    /** What concerns requests that came while nothing could be done for them. */
+    /** Adds the metrics of requests that were refused before they were forwarded. */
     static void add(MetricsPage page, RequestRouter requests) {
-        page.counter("requests_unconfigured", "Requests refused while no configuration was known", (double)
+        page.counter("requests_unconfigured", "Requests refused before the first configuration was received", (double)
                         requests.unconfigured())
                 .counter(
                         "requests_overdue",
-                        "Requests refused as their time may have passed before they were read",
+                        "Requests refused because their deadline may have passed before they were read",
                         (double) requests.overdue());
     }
 
-    /** What concerns the event loop. */
+    /** Adds the metrics of the event loop. */
     static void add(MetricsPage page, StallWatch stalls) {
-        page.counter("stalls", "How often the event loop stood still for half a second", (double) stalls.stalls())
+        page.counter("stalls", "Stalls of the event loop of half a second or more", (double) stalls.stalls())
                 .gauge(
                         "longest_stall_seconds",
-                        "The longest that the event loop stood still",
+                        "Longest stall of the event loop",
                         (double) stalls.longestMillis() / TimeUnit.SECONDS.toMillis(1));
     }
 
-    /** What concerns the memory that bodies take. */
+    /** Adds the metrics of the memory budgets. */
     static void add(MetricsPage page, EdgeMemory memory) {
-        String help = "Bytes of bodies that are held";
+        String help = "Bytes of message bodies held in memory";
         page.gauge("body_bytes", help, (double) memory.shortRequests().reservedBytes(), "of", "short_requests")
                 .gauge("body_bytes", help, (double) memory.longRequests().reservedBytes(), "of", "long_requests")
                 .gauge("body_bytes", help, (double) memory.answers().reservedBytes(), "of", "long_answers")
-                .gauge("head_bytes", "Memory that heads of requests take", (double)
+                .gauge("head_bytes", "Bytes of request heads held in memory", (double)
                         memory.heads().reservedBytes());
     }
 }
--- a/src/main/java/tinworks/edge/EdgeNode.java
+++ b/src/main/java/tinworks/edge/EdgeNode.java
@@ -44,27 +44,28 @@
 import tinworks.policy.LoadBalancerApi.ShutdownStarted;
 
 /**
- * An edge gateway at work. It keeps a link to every core machine and follows them ({@link CoreFollower}); what it knows
- * it goes on serving on, whether or not a core machine can be reached. All on one event loop.
+ * A running edge gateway. It keeps a connection to every core node, replicates their state ({@link CoreFollower}) and
+ * proxies client requests to hosts under that state, whether or not a core node is reachable. Everything runs on one
+ * event loop; how a request is forwarded is left to {@link Forwarding}.
  */
 public final class EdgeNode implements CoreFollower.Callbacks, Forwarding.Callbacks {
     private static final Logger LOG = LoggerFactory.getLogger(EdgeNode.class);
-    private static final int PROBES = 32;
-    private static final int PROBE_HEAD = 4_096;
-    private static final int LARGEST_ANSWER = 8 << 20;
-    private static final int LARGEST_REQUEST = 8 << 20;
+    private static final int MAX_PROBE_CONNECTIONS = 32;
+    private static final int MAX_PROBE_BYTES = 4_096;
+    private static final int MAX_RESPONSE_BYTES = 8 << 20;
+    private static final int MAX_REQUEST_BYTES = 8 << 20;
     private static final long TICK_MILLIS = 250;
     /** About once a second. */
     private static final long TICKS_PER_CHECK = 4;
 
-    private static final long DIAL_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
-    private static final long HOST_IDLE_NANOS = TimeUnit.SECONDS.toNanos(9);
-    /** The platform asks once a second and takes a gateway out when it has missed twice. */
-    private static final long LAST_ANSWERS_MILLIS = 1_300;
+    private static final long CONNECT_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
+    private static final long HOST_IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(9);
+    /** The platform probes readiness once a second and removes a gateway after two failed probes. */
+    private static final long CLOSE_CONNECTIONS_AFTER_MILLIS = 1_300;
 
-    private static final long STOP_MILLIS = 2_700;
-    private static final long END_MARGIN_MILLIS = 500;
-    private static final long END_CHECK_MILLIS = 20;
+    private static final long STOP_ACCEPTING_AFTER_MILLIS = 2_700;
+    private static final long SHUTDOWN_MARGIN_MILLIS = 500;
+    private static final long DRAIN_CHECK_MILLIS = 20;
 
     private final EventLoop loop;
     private final BootSettings settings;
@@ -74,209 +75,219 @@
     private final TcpLinks links;
     private final HostPoller poller;
     private final HostPool hosts;
-    private final EdgeProtocol style;
+    private final EdgeProtocol protocol;
     private final RequestRouter requests;
     private final ClientServer clients;
     private final ClientServer probes;
     private final Map<String, Forwarding> services = new LinkedHashMap<>();
-    private final Map<String, Long> startedAt = new HashMap<>();
+    private final Map<String, Long> startNanosById = new HashMap<>();
     private final CoreFollower core;
-    private final ExecutorService reader = Executors.newSingleThreadExecutor(work -> {
+    private final ExecutorService configurationDecoder = Executors.newSingleThreadExecutor(work -> {
         Thread thread = new Thread(work, "configuration");
         thread.setDaemon(true);
         return thread;
     });
-    private final CompletableFuture<Void> ended = new CompletableFuture<>();
-    private BootSettings current;
-    /** The hosts by their ids as last told, by a core machine or by the platform itself. */
-    private Map<String, Host> known = Map.of();
+    private final CompletableFuture<Void> shutdownComplete = new CompletableFuture<>();
+    private BootSettings currentSettings;
+    /** The current hosts by id, as last listed by a core node or by the platform itself. */
+    private Map<String, Host> hostsById = Map.of();
 
     private final RequestJournal journal = new RequestJournal(SteadyClock::millis, LOG::info);
     private final StallWatch stalls = new StallWatch(TICK_MILLIS);
     private final DrainedHosts drained = new DrainedHosts();
-    /** The classes of each service under the present configuration. */
-    private Map<String, List<RequestClass>> classes = Map.of();
+    /** The request classes of each service under the current configuration. */
+    private Map<String, List<RequestClass>> classesByService = Map.of();
 
-    /** Hosts of the newest list whose addresses can't be read. */
-    private int leftOut;
+    /** The number of hosts in the newest list whose addresses cannot be parsed. */
+    private int unreadableHosts;
 
-    private boolean listed;
-    private boolean ending;
-    private boolean saidReady;
+    private boolean hostListReceived;
+    private boolean shuttingDown;
+    private boolean lastLoggedReady;
     private long ticks;
-    /** When what came since the word to end needs its answer at the latest; 0 before. */
-    private long endsAtMillis;
+    /** The time by which every request must be answered during graceful shutdown; 0 before that. */
+    private long shutdownDeadlineMillis;
 
-    /** An edge that knows its settings alone. */
+    /** Creates an edge that has neither a configuration nor a host list yet. */
     public EdgeNode(EventLoop loop, GatewayClock clock, BootSettings settings, long id) {
         this.loop = loop;
         this.clock = clock;
         this.settings = settings;
-        current = settings;
+        currentSettings = settings;
         random = new SplittableRandom(id);
-        style = new EdgeProtocol(id);
+        protocol = new EdgeProtocol(id);
         core = new CoreFollower(this);
         links = new TcpLinks(loop, new Hello(Part.EDGE, id, "", settings.node(), settings.zone()), core);
-        poller = new HostPoller(loop, clock, settings.provider(), id, this::listed, this::log);
+        poller = new HostPoller(loop, clock, settings.provider(), id, this::updateHosts, this::log);
         hosts = new HostPool(
                 loop,
                 Transport.TCP,
                 clock,
-                new HostPool.Bounds(DIAL_NANOS, HOST_IDLE_NANOS, connections(), LARGEST_ANSWER),
+                new HostPool.Bounds(
+                        CONNECT_TIMEOUT_NANOS, HOST_IDLE_TIMEOUT_NANOS, connectionLimit(), MAX_RESPONSE_BYTES),
                 memory.answers(),
-                style);
-        requests = new RequestRouter(clock, random, style, services);
+                protocol);
+        requests = new RequestRouter(clock, random, protocol, services);
         clients = new ClientServer(
-                loop, Transport.TCP, clock, clientBounds(Limits.USUAL), memory.requests(), memory.heads(), requests);
+                loop,
+                Transport.TCP,
+                clock,
+                clientBounds(Limits.USUAL),
+                memory.requestBodies(),
+                memory.heads(),
+                requests);
         clients.dropSlowReadersWhile(memory.answers()::hasWaiters);
         probes = new ClientServer(
                 loop,
                 Transport.TCP,
                 clock,
                 new ClientServer.Bounds(
-                        PROBES,
+                        MAX_PROBE_CONNECTIONS,
                         TimeUnit.SECONDS.toNanos(2),
                         TimeUnit.SECONDS.toNanos(5),
-                        PROBE_HEAD,
-                        PROBE_HEAD,
+                        MAX_PROBE_BYTES,
+                        MAX_PROBE_BYTES,
                         EdgePages.READYZ),
                 new EdgePages(this::ready, this::metrics, journal));
     }
 
-    /** Half of the descriptors for each side, less those for probes. */
-    private int connections() {
-        return settings.descriptors() / 2 - PROBES;
+    /** The connection limit of each side, clients and hosts: half of the file descriptors, less those for probes. */
+    private int connectionLimit() {
+        return settings.descriptors() / 2 - MAX_PROBE_CONNECTIONS;
     }
 
     private ClientServer.Bounds clientBounds(Limits limits) {
-        long body = Math.min(LARGEST_REQUEST, limits.bodyMaxBytes());
-        // Clients keep to the idle time too; whoever closes first at the same moment may lose a request.
+        long maxBodyBytes = Math.min(MAX_REQUEST_BYTES, limits.bodyMaxBytes());
+        // Clients apply this timeout too; the edge waits longer, as closing at the same moment can lose a request.
         return new ClientServer.Bounds(
-                connections(),
+                connectionLimit(),
                 2 * TimeUnit.MILLISECONDS.toNanos(limits.hdrMs()),
                 TimeUnit.MILLISECONDS.toNanos(limits.idleMs() * 5 / 4),
                 limits.hdrBytes(),
-                (int) body,
+                (int) maxBodyBytes,
                 null);
     }
 
-    /** Starts to listen and to dial; on the event loop. */
+    /** Starts to listen, and to connect to core nodes; to be called on the event loop. */
     public List<ChannelFuture> start() {
-        if (ending) {
+        if (shuttingDown) {
             return List.of();
         }
-        links.want(current.seeds());
+        links.want(currentSettings.seeds());
         tick();
         if (settings.bootstrap()) {
-            // No client can be there yet: time to meet the code before they do.
+            // The whole system starts for the first time, so no client is connected yet: there is time to warm up.
             new EdgeWarmUp(
                             loop,
                             clock,
                             clients::hasConnections,
-                            played -> LOG.info(
-                                    "rehearsed {} requests in {} ms: {}",
-                                    played.answered(),
-                                    played.millis(),
-                                    played.why()))
+                            result -> LOG.info(
+                                    "warm-up: {} requests in {} ms, ended because {}",
+                                    result.responses(),
+                                    result.millis(),
+                                    result.endReason()))
                     .start();
         }
         return List.of(probes.listen(settings.readyz()), clients.listen(settings.http()));
     }
 
-    /** Follows changed settings; on the event loop. */
+    /** Applies changed settings; to be called on the event loop. */
     public void settingsChanged(BootSettings changed) {
-        current = changed;
+        currentSettings = changed;
         poller.moveTo(changed.provider());
     }
 
     /**
-     * Ends in good order: first it isn't ready any more and serves on, until the platform sends nobody; then its
-     * answers end their connections; then it takes nobody in and finishes what it has. On the event loop.
+     * Graceful shutdown. The edge first reports not ready and keeps serving, until the platform no longer sends clients
+     * to it. Then it closes each connection with its next response (connection draining). Then it stops accepting
+     * connections and completes the requests in flight. To be called on the event loop.
      *
-     * @param signalledAtMillis when the signal came, in {@link SteadyClock}'s time: the grace runs from then, also
-     *     where the event loop was at other work
+     * @param signalledAtMillis when the signal arrived, by {@link SteadyClock}: the grace period runs from then, even
+     *     if the event loop was busy
      */
     public CompletableFuture<Void> shutDown(long signalledAtMillis) {
-        if (!ending && !clients.isListening()) {
-            ending = true;
-            ended.complete(null);
-        } else if (!ending) {
-            ending = true;
-            long within = settings.graceMillis() - END_MARGIN_MILLIS;
-            endsAtMillis = signalledAtMillis + within;
+        if (!shuttingDown && !clients.isListening()) {
+            shuttingDown = true;
+            shutdownComplete.complete(null);
+        } else if (!shuttingDown) {
+            shuttingDown = true;
+            long availableMillis = settings.graceMillis() - SHUTDOWN_MARGIN_MILLIS;
+            shutdownDeadlineMillis = signalledAtMillis + availableMillis;
             LOG.info(
-                    "ends: {} requests open, {} connections",
+                    "shutting down: {} requests in flight, {} connections",
                     services.values().stream().mapToInt(Forwarding::open).sum(),
                     clients.connectionCount());
-            services.values().forEach(this::tellOfEnd);
+            services.values().forEach(this::notifyOfShutdown);
             loop.schedule(
-                    clients::closeAfterNextResponse, Math.min(LAST_ANSWERS_MILLIS, within / 4), TimeUnit.MILLISECONDS);
+                    clients::closeAfterNextResponse,
+                    Math.min(CLOSE_CONNECTIONS_AFTER_MILLIS, availableMillis / 4),
+                    TimeUnit.MILLISECONDS);
             loop.schedule(
                     () -> {
                         clients.stopAccepting();
-                        endWhenIdle();
+                        completeWhenDrained();
                     },
-                    Math.min(STOP_MILLIS, within / 2),
+                    Math.min(STOP_ACCEPTING_AFTER_MILLIS, availableMillis / 2),
                     TimeUnit.MILLISECONDS);
         }
-        return ended;
+        return shutdownComplete;
     }
 
-    private void tellOfEnd(Forwarding service) {
-        service.dispatch(
-                new ShutdownStarted(TimeUnit.MILLISECONDS.toNanos(Math.max(0, endsAtMillis - SteadyClock.millis()))));
+    private void notifyOfShutdown(Forwarding service) {
+        service.dispatch(new ShutdownStarted(
+                TimeUnit.MILLISECONDS.toNanos(Math.max(0, shutdownDeadlineMillis - SteadyClock.millis()))));
     }
 
-    private void endWhenIdle() {
+    private void completeWhenDrained() {
         if (clients.hasConnections()) {
-            loop.schedule(this::endWhenIdle, END_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::completeWhenDrained, DRAIN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
         } else {
-            LOG.info("all clients have their answers");
+            LOG.info("all client requests have been answered");
             links.close();
-            reader.shutdown();
-            ended.complete(null);
+            configurationDecoder.shutdown();
+            shutdownComplete.complete(null);
         }
     }
 
     private void tick() {
         loop.schedule(this::tick, TICK_MILLIS, TimeUnit.MILLISECONDS);
-        long late = stalls.came(SteadyClock.millis());
-        if (late > 0) {
-            LOG.warn("the event loop stood still for {} ms", late);
+        long stalledMillis = stalls.came(SteadyClock.millis());
+        if (stalledMillis > 0) {
+            LOG.warn("event loop stalled for {} ms", stalledMillis);
         }
-        sayWhetherReady();
+        logReadinessChange();
         if (++ticks % TICKS_PER_CHECK == 0) {
             services.values().forEach(Forwarding::failOverdue);
-            dropUnused();
+            closeUnusedServices();
         }
-        links.want(core.addressesToDial(current.seeds()));
-        // Guards against hosts that come and go while nobody tells of them: then every edge looks for itself.
+        links.want(core.addressesToDial(currentSettings.seeds()));
+        // While the core is unreachable, host changes are not pushed: each edge then polls the platform itself.
         poller.turn(core.isCoreUnreachable());
     }
 
-    /** Whether clients may be sent here: with a list and a configuration that may be served with. */
+    /** Whether the edge is ready for clients: it has a host list and a configuration that it may serve with. */
     boolean ready() {
-        return core.mayServe() && listed && !ending;
+        return core.mayServe() && hostListReceived && !shuttingDown;
     }
 
-    private void sayWhetherReady() {
+    private void logReadinessChange() {
         boolean ready = ready();
-        if (ready != saidReady) {
-            saidReady = ready;
+        if (ready != lastLoggedReady) {
+            lastLoggedReady = ready;
             LOG.info(
-                    "{}: version {}, {} hosts, the core silent for {} ms{}",
+                    "{}: configuration version {}, {} hosts, last leader contact {} ms ago{}",
                     ready ? "ready" : "not ready",
                     core.rev(),
-                    known.size(),
+                    hostsById.size(),
                     core.millisSinceLeaderContact(),
-                    ending ? ", ending" : "");
+                    shuttingDown ? ", shutting down" : "");
         }
     }
 
     private MetricsPage metrics() {
-        double silent = (double) core.millisSinceLeaderContact() / TimeUnit.SECONDS.toMillis(1);
-        MetricsPage page =
-                EdgeMetrics.page(ready(), core.rev(), core.edgeCount(), known.size(), hosts.connections(), silent);
+        double secondsSinceLeader = (double) core.millisSinceLeaderContact() / TimeUnit.SECONDS.toMillis(1);
+        MetricsPage page = EdgeMetrics.page(
+                ready(), core.rev(), core.edgeCount(), hostsById.size(), hosts.connections(), secondsSinceLeader);
         services.forEach((service, forwarding) -> EdgeMetrics.add(page, service, forwarding));
         EdgeMetrics.add(page, clients);
         EdgeMetrics.add(page, requests);
@@ -285,7 +296,7 @@
         return page.violations().log();
     }
 
-    // ---- CoreFollower.Owner
+    // ---- CoreFollower.Callbacks
 
     @Override
     public long millis() {
@@ -294,12 +305,12 @@
 
     @Override
     public void decode(long rev, Callable<Configuration> version) {
-        reader.execute(() -> {
+        configurationDecoder.execute(() -> {
             try {
                 PreparedConfiguration prepared = PreparedConfiguration.of(version.call());
-                loop.execute(() -> use(prepared));
+                loop.execute(() -> apply(prepared));
             } catch (Exception e) {
-                LOG.error("can't read the configuration {}: {}", rev, e.getMessage());
+                LOG.error("cannot decode configuration version {}: {}", rev, e.getMessage());
                 loop.execute(core::decodeFailed);
             }
         });
@@ -307,7 +318,7 @@
 
     @Override
     public void hostListChanged(HostList list) {
-        listed(list.hosts());
+        updateHosts(list.hosts());
     }
 
     @Override
@@ -315,20 +326,21 @@
         reconfigure();
     }
 
-    private void use(PreparedConfiguration prepared) {
+    private void apply(PreparedConfiguration prepared) {
         Configuration configuration = prepared.configuration();
-        long before = core.rev();
+        long previous = core.rev();
         if (!core.apply(configuration)) {
             return;
         }
-        Invariant.VERSION_RISES.check(configuration.rev() > before, () -> configuration.rev() + " behind " + before);
-        classes = prepared.classes();
-        requests.use(prepared.routes());
+        Invariant.VERSION_RISES.check(
+                configuration.rev() > previous, () -> configuration.rev() + " is not above " + previous);
+        classesByService = prepared.classes();
+        requests.setRoutes(prepared.routes());
         clients.updateBounds(clientBounds(configuration.limits()));
-        style.mutating(prepared.mutating());
+        protocol.setMutatingClasses(prepared.mutatingClasses());
         reconfigure();
         LOG.info(
-                "configuration {} with {} routes",
+                "configuration version {} in use, {} routes",
                 configuration.rev(),
                 configuration.routes().size());
     }
@@ -339,23 +351,23 @@
             return;
         }
         for (String service : configuration.services().keySet()) {
-            List<RequestClass> itsClasses = classes.get(service);
-            Forwarding there = services.get(service);
-            if (there != null) {
-                there.dispatch(new Reconfigured(itsClasses, core.edgeCount()));
-            } else if (!itsClasses.isEmpty()) {
-                Forwarding made = new Forwarding(
+            List<RequestClass> requestClasses = classesByService.get(service);
+            Forwarding existing = services.get(service);
+            if (existing != null) {
+                existing.dispatch(new Reconfigured(requestClasses, core.edgeCount()));
+            } else if (!requestClasses.isEmpty()) {
+                Forwarding created = new Forwarding(
                         loop,
                         clock,
-                        ServiceSettings.settings(itsClasses, core.edgeCount(), settings.zone()),
+                        ServiceSettings.settings(requestClasses, core.edgeCount(), settings.zone()),
                         random.nextLong(),
                         hosts,
-                        style,
+                        protocol,
                         this);
-                services.put(service, made);
-                made.dispatch(new ServerListReceived(ServerListKind.FULL, servers(service)));
-                if (ending) {
-                    tellOfEnd(made);
+                services.put(service, created);
+                created.dispatch(new ServerListReceived(ServerListKind.FULL, servers(service)));
+                if (shuttingDown) {
+                    notifyOfShutdown(created);
                 }
             }
         }
@@ -367,10 +379,10 @@
     }
 
     /**
-     * Guards against a memory and a page of metrics that grow with every service that there ever was: the module of one
-     * that no version names any more goes with its last request.
+     * Closes the decision module of each service that the configuration no longer names, once its last request has
+     * ended. Otherwise memory and the metrics page would grow with every service that ever existed.
      */
-    private void dropUnused() {
+    private void closeUnusedServices() {
         Configuration configuration = core.configuration();
         if (configuration == null) {
             return;
@@ -385,91 +397,99 @@
         });
     }
 
-    /** What is known of the core. */
+    /** The replica of the core's state. */
     CoreFollower follower() {
         return core;
     }
 
-    /** How many services have a module here. */
-    int modules() {
+    /** The number of services with a decision module. */
+    int serviceCount() {
         return services.size();
     }
 
-    // ---- the hosts
+    // ---- hosts
 
     /**
-     * A list that a core machine told or, while none does, one that this edge fetched itself. Only what is not as it
-     * was is passed on: a release changes some hosts a second, of hundreds. A host whose address can't be read is as
-     * good as gone, and keeps none of the others out.
+     * Applies a host list, received from a core node or, while the core is unreachable, polled by this edge. Only
+     * differences are passed on, as a release changes a few hosts a second out of hundreds. A host whose address cannot
+     * be parsed is treated as removed and does not affect the others.
      */
-    private void listed(List<Host> found) {
-        Map<String, Host> next = new LinkedHashMap<>();
-        Map<String, List<ServerInfo>> changed = new HashMap<>();
-        List<HostPool.HostEntry> places = new ArrayList<>();
-        for (Host told : readable(found)) {
-            Host host = drained.kept(told);
-            Host old = known.get(host.id());
-            next.put(host.id(), host);
+    private void updateHosts(List<Host> listedHosts) {
+        Map<String, Host> nextById = new LinkedHashMap<>();
+        Map<String, List<ServerInfo>> changedByService = new HashMap<>();
+        List<HostPool.HostEntry> entries = new ArrayList<>();
+        for (Host listedHost : withReadableAddress(listedHosts)) {
+            Host host = drained.withDrainingKept(listedHost);
+            Host old = hostsById.get(host.id());
+            nextById.put(host.id(), host);
             if (old != null && !old.service().equals(host.service())) {
-                changed.computeIfAbsent(old.service(), service -> new ArrayList<>())
+                changedByService
+                        .computeIfAbsent(old.service(), service -> new ArrayList<>())
                         .add(server(old, Readiness.REMOVED));
             }
             if (old == null || !old.sameAs(host)) {
-                startedAt.computeIfAbsent(host.id(), id -> startOf(host));
-                places.add(new HostPool.HostEntry(
-                        host.id(), Address.read(host.address()), startedAt.get(host.id()), !host.draining(), false));
-                changed.computeIfAbsent(host.service(), service -> new ArrayList<>())
+                startNanosById.computeIfAbsent(host.id(), id -> startNanos(host));
+                entries.add(new HostPool.HostEntry(
+                        host.id(),
+                        Address.read(host.address()),
+                        startNanosById.get(host.id()),
+                        !host.draining(),
+                        false));
+                changedByService
+                        .computeIfAbsent(host.service(), service -> new ArrayList<>())
                         .add(server(host));
             }
         }
-        for (Host old : known.values()) {
-            if (!next.containsKey(old.id())) {
-                places.add(new HostPool.HostEntry(
-                        old.id(), Address.read(old.address()), startedAt.get(old.id()), false, true));
-                changed.computeIfAbsent(old.service(), service -> new ArrayList<>())
+        for (Host old : hostsById.values()) {
+            if (!nextById.containsKey(old.id())) {
+                entries.add(new HostPool.HostEntry(
+                        old.id(), Address.read(old.address()), startNanosById.get(old.id()), false, true));
+                changedByService
+                        .computeIfAbsent(old.service(), service -> new ArrayList<>())
                         .add(server(old, Readiness.REMOVED));
             }
         }
-        startedAt.keySet().retainAll(next.keySet());
-        known = next;
-        hosts.update(places, false);
-        changed.forEach((service, servers) -> {
+        startNanosById.keySet().retainAll(nextById.keySet());
+        hostsById = nextById;
+        hosts.update(entries, false);
+        changedByService.forEach((service, servers) -> {
             Forwarding forwarding = services.get(service);
             if (forwarding != null) {
                 forwarding.dispatch(new ServerListReceived(ServerListKind.CHANGES, servers));
             }
         });
-        if (!listed) {
-            LOG.info("{} hosts", found.size());
+        if (!hostListReceived) {
+            LOG.info("first host list received: {} hosts", listedHosts.size());
         }
-        listed = true;
+        hostListReceived = true;
     }
 
-    private List<Host> readable(List<Host> found) {
-        List<Host> readable = new ArrayList<>(found.size());
-        for (Host host : found) {
-            Host before = known.get(host.id());
-            if ((before != null && before.address().equals(host.address())) || Address.isOne(host.address())) {
+    private List<Host> withReadableAddress(List<Host> listedHosts) {
+        List<Host> readable = new ArrayList<>(listedHosts.size());
+        for (Host host : listedHosts) {
+            Host previous = hostsById.get(host.id());
+            if ((previous != null && previous.address().equals(host.address())) || Address.isOne(host.address())) {
                 readable.add(host);
             }
         }
-        int left = found.size() - readable.size();
-        if (left != leftOut) {
-            leftOut = left;
-            LOG.warn("left out {} hosts whose addresses can't be read", left);
+        int unreadable = listedHosts.size() - readable.size();
+        if (unreadable != unreadableHosts) {
+            unreadableHosts = unreadable;
+            LOG.warn("ignoring {} hosts whose addresses cannot be parsed", unreadable);
         }
         return readable;
     }
 
-    /** In this edge's clock; 0 where the start is long ago. */
-    private long startOf(Host host) {
-        long warm = Math.min(ServiceSettings.WARM_UP_NANOS, TimeUnit.MILLISECONDS.toNanos(host.warmupMs()));
-        return warm <= 0 ? 0 : clock.nanos() + warm - ServiceSettings.WARM_UP_NANOS;
+    /** When a host started, by this edge's clock, as far as slow start needs it; 0 if its warm-up is over. */
+    private long startNanos(Host host) {
+        long warmUpNanos =
+                Math.min(ServiceSettings.MAX_SLOW_START_NANOS, TimeUnit.MILLISECONDS.toNanos(host.warmupMs()));
+        return warmUpNanos <= 0 ? 0 : clock.nanos() + warmUpNanos - ServiceSettings.MAX_SLOW_START_NANOS;
     }
 
     private List<ServerInfo> servers(String service) {
         List<ServerInfo> servers = new ArrayList<>();
-        for (Host host : known.values()) {
+        for (Host host : hostsById.values()) {
             if (host.service().equals(service)) {
                 servers.add(server(host));
             }
@@ -482,19 +502,19 @@
     }
 
     private ServerInfo server(Host host, Readiness readiness) {
-        return new ServerInfo(host.id(), host.zone(), "", 0, readiness, host.slots(), startedAt.get(host.id()));
+        return new ServerInfo(host.id(), host.zone(), "", 0, readiness, host.slots(), startNanosById.get(host.id()));
     }
 
-    // ---- Forwarding.Owner
+    // ---- Forwarding.Callbacks
 
     @Override
     public void subscribe() {
-        // The list comes by itself.
+        // The core nodes push the host list without a subscription.
     }
 
     @Override
     public void broadcast(byte[] body) {
-        // Settings without messages between gateways never ask for one.
+        // Not called: the settings allow no messages between gateways.
     }
 
     @Override
@@ -504,12 +524,12 @@
 
     @Override
     public boolean isReady(String id) {
-        Host host = known.get(id);
+        Host host = hostsById.get(id);
         return host != null && !host.draining();
     }
 
     @Override
     public void requestEnded(UnservedRequest request) {
-        journal.ended(request, core.rev());
+        journal.add(request, core.rev());
     }
 }
--- a/src/main/java/tinworks/edge/EdgePages.java
+++ b/src/main/java/tinworks/edge/EdgePages.java
@@ -12,13 +12,13 @@
 import tinworks.net.ClientServer.BadRequest;
 import tinworks.net.ClientServer.Reply;
 
-/** What an edge answers at its readyz address: whether it is ready, its metrics, and its latest failed requests. */
+/** The pages served at the readyz address of an edge: readiness, metrics, and the latest failed requests. */
 final class EdgePages implements ClientServer.Listener {
-    /** Whether clients may be sent here. */
+    /** Readiness probe. */
     static final String READYZ = "/-/readyz";
-    /** Metrics for Prometheus. */
+    /** Metrics in the Prometheus format. */
     static final String METRICS = "/-/metrics";
-    /** The latest requests that ended without success. */
+    /** The latest unsuccessful requests. */
     static final String REQUESTS = "/-/requests";
 
     private static final String PLAIN_TEXT = "text/plain; charset=utf-8";
@@ -39,14 +39,14 @@
     }
 
     @Override
-    public void onRequest(FullHttpRequest request, long at, Reply reply) throws BadRequest {
+    public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
         switch (request.uri()) {
             case METRICS -> write(reply, MetricsPage.CONTENT_TYPE, metrics.get().text());
             case REQUESTS -> write(reply, PLAIN_TEXT, journal.page());
             default ->
                 throw new BadRequest(
                         HttpResponseStatus.NOT_FOUND,
-                        "only " + READYZ + ", " + METRICS + " and " + REQUESTS + " are asked here");
+                        "only " + READYZ + ", " + METRICS + " and " + REQUESTS + " are served here");
         }
     }
 
--- a/src/main/java/tinworks/edge/EdgeProtocol.java
+++ b/src/main/java/tinworks/edge/EdgeProtocol.java
@@ -24,42 +24,46 @@
 import tinworks.policy.LoadBalancerApi.LoadReport;
 import tinworks.policy.LoadBalancerApi.Outcome;
 
-/** How requests and answers look in the system's protocol. */
+/**
+ * The protocol between clients, edges and hosts: its headers and statuses, and what they prove of an attempt. It
+ * decides nothing about where a request is sent.
+ */
 class EdgeProtocol implements ForwardingProtocol, HostPool.ResponseClassifier {
-    static final AsciiString ID = AsciiString.cached("Attempt-Id");
-    static final AsciiString DEADLINE = AsciiString.cached("Deadline-Ms");
-    private static final AsciiString WANT = AsciiString.cached("Want-Host");
-    private static final AsciiString SEAL = AsciiString.cached("Origin-Seal");
+    static final AsciiString ATTEMPT_ID = AsciiString.cached("Attempt-Id");
+    static final AsciiString DEADLINE_MS = AsciiString.cached("Deadline-Ms");
+    private static final AsciiString WANT_HOST = AsciiString.cached("Want-Host");
+    private static final AsciiString ORIGIN_SEAL = AsciiString.cached("Origin-Seal");
     private static final AsciiString NOT_RUN = AsciiString.cached("Not-Run");
-    /** Statuses that promise that the request has not run. */
-    private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
-    /** Those with which a host may say so: {@code Not-Run} beside any other proves nothing. */
-    private static final Set<Integer> TURNED_AWAY = Set.of(400, 429, 503);
+    /** Statuses that promise the client that its request has not run. */
+    private static final Set<Integer> NOT_RUN_STATUSES = Set.of(408, 421, 429, 503);
+    /** Statuses with which a host may reject a request unrun: {@code Not-Run} with any other status proves nothing. */
+    private static final Set<Integer> REJECTION_STATUSES = Set.of(400, 429, 503);
     /**
-     * Hosts forget connections that rest, without a word, and what is sent on one then may have run as far as anyone
-     * here can tell. A request that must not run twice goes on one that has hardly rested, or on a new one.
+     * The longest idle time of a connection that is reused for a mutating request. A host may drop an idle connection
+     * without notice; a request sent on it then fails and may have run, as far as the edge can tell. A request that
+     * must not run twice therefore goes on a connection that was used just before, or on a new one.
      */
-    private static final long HARDLY_RESTED_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
-    /** Where there is nothing to wait for, tries are spread a little. */
-    private static final long LEAST_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
+    private static final long MAX_MUTATING_IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+    /** Spreads clients' retries a little even where there is nothing to wait for. */
+    private static final long MIN_RETRY_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
 
     private final SplittableRandom random;
-    private Set<String> mutating = Set.of();
+    private Set<String> mutatingClasses = Set.of();
 
     EdgeProtocol(long seed) {
         random = new SplittableRandom(seed);
     }
 
-    /** The classes whose requests must not run twice. */
-    void mutating(Set<String> classes) {
-        mutating = Set.copyOf(classes);
+    /** Sets the request classes whose requests must not run twice. */
+    void setMutatingClasses(Set<String> classes) {
+        mutatingClasses = Set.copyOf(classes);
     }
 
     @Override
     public FullHttpRequest forHost(FullHttpRequest request, String host, long timeoutNanos) {
-        HttpHeaders headers = EndToEndHeaders.of(request.headers(), DEADLINE, WANT);
-        headers.add(DEADLINE, Math.max(1, TimeUnit.NANOSECONDS.toMillis(timeoutNanos)));
-        headers.add(WANT, host);
+        HttpHeaders headers = EndToEndHeaders.of(request.headers(), DEADLINE_MS, WANT_HOST);
+        headers.add(DEADLINE_MS, Math.max(1, TimeUnit.NANOSECONDS.toMillis(timeoutNanos)));
+        headers.add(WANT_HOST, host);
         if (request.content().isReadable() || !request.method().equals(HttpMethod.GET)) {
             headers.setInt(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
         }
@@ -74,32 +78,35 @@
 
     @Override
     public long maxIdleNanos(String requestClass) {
-        return mutating.contains(requestClass) ? HARDLY_RESTED_NANOS : Long.MAX_VALUE;
+        return mutatingClasses.contains(requestClass) ? MAX_MUTATING_IDLE_NANOS : Long.MAX_VALUE;
     }
 
     @Override
-    public void relay(Reply reply, Response answer) {
-        HttpHeaders headers = EndToEndHeaders.of(answer.head().headers());
-        String length = answer.head().headers().get(HttpHeaderNames.CONTENT_LENGTH);
+    public void relay(Reply reply, Response response) {
+        HttpHeaders headers = EndToEndHeaders.of(response.head().headers());
+        String length = response.head().headers().get(HttpHeaderNames.CONTENT_LENGTH);
         if (length != null) {
-            headers.set(
-                    HttpHeaderNames.CONTENT_LENGTH, length); // counts where a HEAD is answered, is made anew elsewhere
+            // Needed in the response to a HEAD; otherwise it is set again from the body.
+            headers.set(HttpHeaderNames.CONTENT_LENGTH, length);
         }
-        reply.write(answer.head().status(), headers, answer.body().retain(), 0);
+        reply.write(response.head().status(), headers, response.body().retain(), 0);
     }
 
-    /** Guards against all who were refused in one moment coming back in another. */
+    /** Adds jitter to the retry hint, so that clients refused at one moment do not all retry at another. */
     @Override
     public void refuse(Reply reply, long pauseNanos) {
-        long pause = Math.max(pauseNanos, LEAST_PAUSE_NANOS);
-        reply.text(HttpResponseStatus.SERVICE_UNAVAILABLE, "not run: come back later", pause + random.nextLong(pause));
+        long retryAfterNanos = Math.max(pauseNanos, MIN_RETRY_AFTER_NANOS);
+        reply.text(
+                HttpResponseStatus.SERVICE_UNAVAILABLE,
+                "request not run: retry later",
+                retryAfterNanos + random.nextLong(retryAfterNanos));
     }
 
-    /** Guards against a status that promises that the request has not run, where it may have. */
+    /** Guards against passing on a status that promises that the request has not run, although it may have. */
     @Override
     public void fail(Reply reply, Response last) {
         if (last != null
-                && !PROMISES.contains(last.head().status().code())
+                && !NOT_RUN_STATUSES.contains(last.head().status().code())
                 && last.head().status().code() >= 300) {
             relay(reply, last);
         } else {
@@ -108,27 +115,27 @@
     }
 
     @Override
-    public boolean provesSuccess(String request, Response answer) {
-        HttpHeaders headers = answer.head().headers();
-        int status = answer.head().status().code();
-        List<String> ids = headers.getAll(ID);
+    public boolean provesSuccess(String request, Response response) {
+        HttpHeaders headers = response.head().headers();
+        int status = response.head().status().code();
+        List<String> ids = headers.getAll(ATTEMPT_ID);
         return status >= 200
                 && status < 300
-                && headers.contains(SEAL)
+                && headers.contains(ORIGIN_SEAL)
                 && ids.size() == 1
                 && ids.get(0).equals(request);
     }
 
-    /** Guards against believing an answer, or the proof in it that nothing ran, that is some other request's. */
+    /** Guards against accepting another request's response, or its proof that nothing ran, as this request's. */
     @Override
     public ResponseMatch match(String request, HttpHeaders headers) {
-        List<String> ids = headers.getAll(ID);
+        List<String> ids = headers.getAll(ATTEMPT_ID);
         return ids.size() != 1
                 ? ResponseMatch.UNIDENTIFIED
                 : ids.get(0).equals(request) ? ResponseMatch.THIS_REQUEST : ResponseMatch.OTHER_REQUEST;
     }
 
-    /** Guards against a success that isn't the host's own whole answer; {@link #match} has judged its id. */
+    /** Guards against a success that is not the host's own complete response; {@link #match} has checked its id. */
     @Override
     public Outcome outcome(String request, HttpResponse head, boolean framed) {
         int status = head.status().code();
@@ -136,12 +143,13 @@
         boolean notRun = headers.contains(NOT_RUN);
         if (status == HttpResponseStatus.MISDIRECTED_REQUEST.code()) {
             return Outcome.CONNECT_FAILED;
-        } else if (notRun && TURNED_AWAY.contains(status)) {
+        } else if (notRun && REJECTION_STATUSES.contains(status)) {
             return Outcome.FULL;
         }
         boolean success = status >= 200 && status < 300 && !notRun;
-        boolean whole = framed && headers.contains(SEAL) && !headers.contains(HttpHeaderNames.CONTENT_ENCODING);
-        return success && whole ? Outcome.SERVED : Outcome.ERROR;
+        boolean complete =
+                framed && headers.contains(ORIGIN_SEAL) && !headers.contains(HttpHeaderNames.CONTENT_ENCODING);
+        return success && complete ? Outcome.SERVED : Outcome.ERROR;
     }
 
     @Override
--- a/src/main/java/tinworks/edge/EdgeWarmUp.java
+++ b/src/main/java/tinworks/edge/EdgeWarmUp.java
@@ -40,19 +40,20 @@
 import tinworks.policy.LoadBalancerApi.ServerListReceived;
 
 /**
- * Made-up requests through parts of an edge's own, over loopback, while the whole system starts for the first time and
- * nobody can ask yet. Guards against meeting the first clients with code that is not compiled, which on a small part of
- * a core costs more than all requests of the first seconds. It ends as soon as a client is there, after some seconds at
- * the latest, or when its requests are through; nothing of it outlives it. All on the edge's event loop.
+ * Warm-up before the first client: synthetic requests over loopback through a private set of the edge's own components,
+ * while the whole system starts for the first time. Otherwise the first clients meet code that the JVM has not compiled
+ * yet; with a small share of a processor that costs more than all requests of the first seconds. The warm-up ends when
+ * its requests are done, when a client connects, or after some seconds, and leaves nothing behind. It runs on the
+ * edge's event loop.
  */
 final class EdgeWarmUp implements Forwarding.Callbacks {
     private static final Logger LOG = LoggerFactory.getLogger(EdgeWarmUp.class);
     private static final int REQUESTS = 150;
     private static final int CLIENTS = 2;
     private static final int HOSTS = 24;
-    private static final int CONNECTIONS = 32;
-    private static final int FRESH_EVERY = 4;
-    private static final long LONGEST_MILLIS = 8_000;
+    private static final int MAX_CONNECTIONS = 32;
+    private static final int REQUESTS_PER_CONNECTION = 4;
+    private static final long MAX_DURATION_MILLIS = 8_000;
     private static final long PAUSE_MILLIS = 5;
     private static final long TARGET_MILLIS = 2_000;
     private static final long TIMEOUT_MILLIS = 5_000;
@@ -62,50 +63,60 @@
     private static final String JOBS = "/jobs/";
     private static final String LOOPBACK = "127.0.0.1";
 
-    /** What was played: answers that came, those by a host among them, how long it took, and why it ended. */
-    record Result(int answered, long served, long millis, String why) {}
+    /**
+     * The result of a warm-up.
+     *
+     * @param responses responses received by its clients
+     * @param served responses given by its hosts
+     * @param millis how long it took
+     * @param endReason why it ended
+     */
+    record Result(int responses, long served, long millis, String endReason) {}
 
     private final EventLoop loop;
     private final GatewayClock clock;
-    private final BooleanSupplier wanted;
-    private final Consumer<Result> told;
-    private final EdgeProtocol style = new EdgeProtocol(1);
+    private final BooleanSupplier clientPresent;
+    private final Consumer<Result> whenDone;
+    private final EdgeProtocol protocol = new EdgeProtocol(1);
     private final HostPool pool;
     private final ClientServer clients;
     private final Map<String, Forwarding> services = new HashMap<>();
     private final RequestRouter requests;
     private final List<Channel> channels = new ArrayList<>();
-    private final long startedAt = System.nanoTime();
-    private SocketAddress stage;
-    private int asked;
-    private int answered;
-    private boolean over;
+    private final long startedAtNanos = System.nanoTime();
+    private SocketAddress serverAddress;
+    private int requestsSent;
+    private int responses;
+    private boolean finished;
 
     /**
-     * {@code wanted} tells whether a client is there, and the loop is theirs; {@code told} is told of the end, once.
+     * Prepares a warm-up.
+     *
+     * @param clientPresent whether a client is connected, which then has the event loop to itself
+     * @param whenDone is called once, with the result
      */
-    EdgeWarmUp(EventLoop loop, GatewayClock clock, BooleanSupplier wanted, Consumer<Result> told) {
+    EdgeWarmUp(EventLoop loop, GatewayClock clock, BooleanSupplier clientPresent, Consumer<Result> whenDone) {
         this.loop = loop;
-        this.told = told;
+        this.whenDone = whenDone;
         this.clock = clock;
-        this.wanted = wanted;
+        this.clientPresent = clientPresent;
         pool = new HostPool(
                 loop,
                 Transport.TCP,
                 clock,
                 new HostPool.Bounds(
                         TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS),
-                        TimeUnit.MILLISECONDS.toNanos(LONGEST_MILLIS),
-                        CONNECTIONS,
+                        TimeUnit.MILLISECONDS.toNanos(MAX_DURATION_MILLIS),
+                        MAX_CONNECTIONS,
                         1 << 16),
-                style);
-        requests = new RequestRouter(clock, new SplittableRandom(1), style, services);
+                protocol);
+        requests = new RequestRouter(clock, new SplittableRandom(1), protocol, services);
         clients = new ClientServer(
                 loop,
                 Transport.TCP,
                 clock,
                 new ClientServer.Bounds(
-                        CONNECTIONS,
+                        MAX_CONNECTIONS,
                         TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS),
                         0,
                         Limits.USUAL.hdrBytes(),
@@ -114,7 +125,7 @@
                 requests);
     }
 
-    /** Begins; on the event loop. */
+    /** Starts the warm-up; to be called on the event loop. */
     void start() {
         ChannelFuture hosts = new ServerBootstrap()
                 .group(loop)
@@ -124,45 +135,45 @@
         channels.add(hosts.channel());
         hosts.addListener(bound -> {
             if (bound.isSuccess()) {
-                open(hosts.channel().localAddress());
+                startServing(hosts.channel().localAddress());
             } else {
-                end("no address: " + bound.cause());
+                finish("a server socket could not be bound: " + bound.cause());
             }
         });
     }
 
-    private void open(SocketAddress hosts) {
+    private void startServing(SocketAddress hostAddress) {
         List<ServerInfo> servers = new ArrayList<>();
-        List<HostPool.HostEntry> places = new ArrayList<>();
+        List<HostPool.HostEntry> entries = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
             servers.add(new ServerInfo("host-" + i, "", "", 0, Readiness.READY, 1, 0));
-            places.add(new HostPool.HostEntry("host-" + i, hosts, 0, true, false));
+            entries.add(new HostPool.HostEntry("host-" + i, hostAddress, 0, true, false));
         }
-        Configuration made = new Configuration(
+        Configuration configuration = new Configuration(
                 1,
                 List.of(route(READS, Configuration.Type.IDEM), route(JOBS, Configuration.Type.MUTATING)),
-                Map.of(SERVICE, new Service(SERVICE, "/", CONNECTIONS)),
+                Map.of(SERVICE, new Service(SERVICE, "/", MAX_CONNECTIONS)),
                 Limits.USUAL);
         Forwarding forwarding = new Forwarding(
                 loop,
                 clock,
-                ServiceSettings.settings(ServiceSettings.classes(made).get(SERVICE), 1, ""),
+                ServiceSettings.settings(ServiceSettings.classes(configuration).get(SERVICE), 1, ""),
                 1,
                 pool,
-                style,
+                protocol,
                 this);
         services.put(SERVICE, forwarding);
-        pool.update(places, true);
+        pool.update(entries, true);
         forwarding.dispatch(new ServerListReceived(ServerListKind.FULL, servers));
-        requests.use(new RouteTable(made.routes()));
+        requests.setRoutes(new RouteTable(configuration.routes()));
         clients.listen(new InetSocketAddress(LOOPBACK, 0)).addListener(bound -> {
             if (bound.isSuccess()) {
-                stage = clients.address();
+                serverAddress = clients.address();
                 for (int i = 0; i < CLIENTS; i++) {
-                    dial();
+                    connectClient();
                 }
             } else {
-                end("no address: " + bound.cause());
+                finish("a server socket could not be bound: " + bound.cause());
             }
         });
     }
@@ -172,13 +183,13 @@
                 prefix, DOMAIN, prefix, type, TIMEOUT_MILLIS, TARGET_MILLIS, 1, List.of(new Split(SERVICE, 1)), 2);
     }
 
-    private void dial() {
-        if (!over) {
+    private void connectClient() {
+        if (!finished) {
             channels.add(new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
                     .handler(handler(Client::new))
-                    .connect(stage)
+                    .connect(serverAddress)
                     .channel());
         }
     }
@@ -192,9 +203,9 @@
         };
     }
 
-    private void end(String why) {
-        if (!over) {
-            over = true;
+    private void finish(String endReason) {
+        if (!finished) {
+            finished = true;
             long served = services.values().stream()
                     .mapToLong(s -> s.counters().attemptsByOutcome().getOrDefault(Outcome.SERVED, 0L))
                     .sum();
@@ -202,28 +213,31 @@
             clients.close();
             pool.close();
             channels.forEach(Channel::close);
-            told.accept(
-                    new Result(answered, served, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAt), why));
+            whenDone.accept(new Result(
+                    responses, served, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedAtNanos), endReason));
         }
     }
 
-    /** Whether it has ended, of itself or now. */
-    private boolean isOver() {
-        boolean late = System.nanoTime() - startedAt > TimeUnit.MILLISECONDS.toNanos(LONGEST_MILLIS);
-        if (answered >= REQUESTS || late || wanted.getAsBoolean()) {
-            end(answered >= REQUESTS ? "all were through" : late ? "the time was over" : "a client came");
+    /** Ends the warm-up if it is due to end; returns whether it has ended. */
+    private boolean finishIfDue() {
+        boolean timedOut = System.nanoTime() - startedAtNanos > TimeUnit.MILLISECONDS.toNanos(MAX_DURATION_MILLIS);
+        if (responses >= REQUESTS || timedOut || clientPresent.getAsBoolean()) {
+            finish(
+                    responses >= REQUESTS
+                            ? "all requests were answered"
+                            : timedOut ? "the time limit was reached" : "a client connected");
         }
-        return over;
+        return finished;
     }
 
     @Override
     public void subscribe() {
-        // The hosts are known.
+        // The host list is fixed.
     }
 
     @Override
     public void broadcast(byte[] body) {
-        // There is nobody else.
+        // There is no other gateway.
     }
 
     @Override
@@ -232,20 +246,22 @@
     }
 
     private final class Client extends FarSide {
-        private int here;
+        private int requestsOnConnection;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ask(ctx);
+            sendRequest(ctx);
         }
 
-        private void ask(ChannelHandlerContext ctx) {
-            int number = asked++;
-            boolean reads = number % 3 > 0;
-            String head = (reads ? "GET " + READS : "POST " + JOBS) + number + " HTTP/1.1\r\nHost: " + DOMAIN + "\r\n"
-                    + EdgeProtocol.ID + ": rehearsal-" + number + "\r\n" + EdgeProtocol.DEADLINE + ": " + TIMEOUT_MILLIS
+        private void sendRequest(ChannelHandlerContext ctx) {
+            int sequence = requestsSent++;
+            boolean isRead = sequence % 3 > 0;
+            String head = (isRead ? "GET " + READS : "POST " + JOBS) + sequence + " HTTP/1.1\r\nHost: " + DOMAIN
+                    + "\r\n"
+                    + EdgeProtocol.ATTEMPT_ID + ": rehearsal-" + sequence + "\r\n" + EdgeProtocol.DEADLINE_MS + ": "
+                    + TIMEOUT_MILLIS
                     + "\r\n";
-            write(ctx, reads ? head : head + "Content-Length: " + BODY.length + "\r\n", reads ? NOTHING : BODY);
+            write(ctx, isRead ? head : head + "Content-Length: " + BODY.length + "\r\n", isRead ? NOTHING : BODY);
         }
 
         @Override
@@ -255,18 +271,18 @@
 
         @Override
         protected void came(ChannelHandlerContext ctx) {
-            answered++;
-            if (isOver()) {
+            responses++;
+            if (finishIfDue()) {
                 return;
             }
-            if (++here % FRESH_EVERY == 0) {
+            if (++requestsOnConnection % REQUESTS_PER_CONNECTION == 0) {
                 ctx.close();
-                loop.schedule(EdgeWarmUp.this::dial, PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+                loop.schedule(EdgeWarmUp.this::connectClient, PAUSE_MILLIS, TimeUnit.MILLISECONDS);
             } else {
                 loop.schedule(
                         () -> {
-                            if (!isOver()) {
-                                ask(ctx);
+                            if (!finishIfDue()) {
+                                sendRequest(ctx);
                             }
                         },
                         PAUSE_MILLIS,
@@ -275,26 +291,29 @@
         }
     }
 
-    /** Serves nearly all, and turns some away. Its clients ask in turn, so it knows whom it answers by the request. */
+    /**
+     * Serves nearly all requests and rejects some. Each connection carries one request at a time, so a response takes
+     * its id from the request read last.
+     */
     private final class Host extends FarSide {
-        private static final int FULL_EVERY = 37;
+        private static final int REJECT_EVERY = 37;
         private String id = "";
 
         @Override
         protected boolean isWhole(int first, int last, ByteBuf end) {
             String text = end.toString(java.nio.charset.StandardCharsets.US_ASCII);
-            int at = text.indexOf(EdgeProtocol.ID + ": ");
-            id = at < 0 ? id : text.substring(at + EdgeProtocol.ID.length() + 2, text.indexOf('\r', at));
+            int idAt = text.indexOf(EdgeProtocol.ATTEMPT_ID + ": ");
+            id = idAt < 0 ? id : text.substring(idAt + EdgeProtocol.ATTEMPT_ID.length() + 2, text.indexOf('\r', idAt));
             return isWholeRequest(first, last);
         }
 
         @Override
         protected void came(ChannelHandlerContext ctx) {
-            boolean full = asked % FULL_EVERY == 0;
+            boolean rejects = requestsSent % REJECT_EVERY == 0;
             write(
                     ctx,
-                    "HTTP/1.1 " + (full ? "503 Full\r\nNot-Run: 1\r\n" : "200 OK\r\nOrigin-Seal: rehearsed\r\n")
-                            + EdgeProtocol.ID + ": " + id + "\r\nContent-Length: " + BODY.length + "\r\n",
+                    "HTTP/1.1 " + (rejects ? "503 Full\r\nNot-Run: 1\r\n" : "200 OK\r\nOrigin-Seal: rehearsed\r\n")
+                            + EdgeProtocol.ATTEMPT_ID + ": " + id + "\r\nContent-Length: " + BODY.length + "\r\n",
                     BODY);
         }
     }
--- a/src/main/java/tinworks/edge/EndToEndHeaders.java
+++ b/src/main/java/tinworks/edge/EndToEndHeaders.java
@@ -13,16 +13,15 @@
 import java.util.Set;
 
 /**
- * The headers of a message that travel on. Those between two neighbours stay behind, as do those that
- * {@code Connection} itself names.
+ * Copies the end-to-end headers of a message. Hop-by-hop headers, and those that {@code Connection} names, are dropped.
  *
- * <p>What is copied has been read and checked by a decoder, so it isn't checked again; values are kept as bytes, which
- * are written at one stroke, where a text is written letter by letter. On a small part of a core, with code that isn't
- * compiled yet, that is a tenth of what a request costs.
+ * <p>The headers have been validated by a decoder and are not validated again. Values are kept as bytes, which are
+ * written in one copy, where a string is written character by character. With a small share of a processor and code
+ * that is not compiled yet, that saves a tenth of the cost of a request.
  */
 final class EndToEndHeaders {
-    /** Headers between two neighbours only, or made anew. */
-    private static final AsciiString[] NOT_PASSED_ON = {
+    /** Hop-by-hop headers, and those that are set again for the next hop. */
+    private static final AsciiString[] HOP_BY_HOP = {
         HttpHeaderNames.CONNECTION,
         AsciiString.cached("keep-alive"),
         AsciiString.cached("proxy-connection"),
@@ -36,16 +35,17 @@
 
     private EndToEndHeaders() {}
 
-    /** New headers with those that travel on, but for those of the other names. */
+    /** A copy of the end-to-end headers, without those that the caller replaces. */
     static HttpHeaders of(HttpHeaders from, AsciiString... replaced) {
         HttpHeaders to =
                 DefaultHttpHeadersFactory.headersFactory().withValidation(false).newHeaders();
         Set<String> named = namedByConnection(from);
-        for (Iterator<Map.Entry<CharSequence, CharSequence>> all = from.iteratorCharSequence(); all.hasNext(); ) {
-            Map.Entry<CharSequence, CharSequence> header = all.next();
+        for (Iterator<Map.Entry<CharSequence, CharSequence>> headers = from.iteratorCharSequence();
+                headers.hasNext(); ) {
+            Map.Entry<CharSequence, CharSequence> header = headers.next();
             CharSequence name = header.getKey();
-            if (!isOneOf(name, NOT_PASSED_ON)
-                    && !isOneOf(name, replaced)
+            if (!containsIgnoreCase(name, HOP_BY_HOP)
+                    && !containsIgnoreCase(name, replaced)
                     && (named.isEmpty() || !named.contains(name.toString().toLowerCase(Locale.ROOT)))) {
                 to.add(name, bytes(header.getValue()));
             }
@@ -53,9 +53,9 @@
         return to;
     }
 
-    private static boolean isOneOf(CharSequence name, AsciiString[] names) {
-        for (AsciiString one : names) {
-            if (one.length() == name.length() && one.contentEqualsIgnoreCase(name)) {
+    private static boolean containsIgnoreCase(CharSequence name, AsciiString[] names) {
+        for (AsciiString candidate : names) {
+            if (candidate.length() == name.length() && candidate.contentEqualsIgnoreCase(name)) {
                 return true;
             }
         }
@@ -68,7 +68,7 @@
                 : value;
     }
 
-    /** What the Connection header itself names concerns one connection only. */
+    /** The names in the {@code Connection} header, in lower case: these headers concern one connection only. */
     private static Set<String> namedByConnection(HttpHeaders headers) {
         List<String> values = headers.getAll(HttpHeaderNames.CONNECTION);
         if (values.isEmpty()) {
--- a/src/main/java/tinworks/edge/FreshnessGate.java
+++ b/src/main/java/tinworks/edge/FreshnessGate.java
@@ -3,9 +3,9 @@
 import tinworks.channel.HostListVersion;
 
 /**
- * Whether an edge has ever held the newest versions of the configuration and of the list of hosts. Guards against an
- * edge that starts and takes clients with what a core machine tells that is itself behind: only by the leader's lease
- * one knows what is newest.
+ * Whether an edge has ever held the newest configuration and host list. Guards against an edge that starts and serves
+ * clients with the state of a core node that lags behind: only an announcement under a valid leader lease shows which
+ * versions are the newest.
  */
 final class FreshnessGate {
     private long announcedRev;
@@ -13,7 +13,10 @@
     private boolean reached;
 
     /**
-     * A core machine has these versions, 0 where it has none; {@code fresh} where it has them by the leader's lease.
+     * A core node has announced its versions.
+     *
+     * @param rev its configuration version, 0 if it has none
+     * @param fresh whether the announcement was made under a valid leader lease
      */
     void announced(long rev, HostListVersion hosts, boolean fresh) {
         if (fresh) {
@@ -22,11 +25,14 @@
         }
     }
 
-    /** This edge holds these versions; once it has held the newest it stays ready, whatever comes later. */
+    /**
+     * This edge holds these versions. Once it has held the newest, the gate stays open, whatever is announced later.
+     */
     void holds(long rev, HostListVersion hosts) {
         reached |= announcedRev > 0 && rev >= announcedRev && hosts.compareTo(announcedHosts) >= 0;
     }
 
+    /** Whether this edge has ever held the newest versions. */
     boolean reached() {
         return reached;
     }
--- a/src/main/java/tinworks/edge/PreparedConfiguration.java
+++ b/src/main/java/tinworks/edge/PreparedConfiguration.java
@@ -9,15 +9,18 @@
 import tinworks.policy.LoadBalancerApi.RequestClass;
 
 /**
- * A version of the configuration with all that an edge makes of it. Made off the event loop: with a thousand routes it
- * is a second's work on a small part of a core, in which clients would wait.
+ * A configuration version with everything that an edge derives from it. Derived off the event loop, as with a thousand
+ * routes and a small share of a processor it takes a second, during which clients would wait.
  *
- * @param mutating the classes whose requests must not run twice
- * @param classes the classes of each service
+ * @param mutatingClasses the request classes whose requests must not run twice
+ * @param classes the request classes of each service
  */
 record PreparedConfiguration(
-        Configuration configuration, RouteTable routes, Set<String> mutating, Map<String, List<RequestClass>> classes) {
-    /** Makes all of a version. */
+        Configuration configuration,
+        RouteTable routes,
+        Set<String> mutatingClasses,
+        Map<String, List<RequestClass>> classes) {
+    /** Derives everything from a configuration. */
     static PreparedConfiguration of(Configuration configuration) {
         Set<String> mutating = new HashSet<>();
         for (Route route : configuration.routes()) {
--- a/src/main/java/tinworks/edge/RequestJournal.java
+++ b/src/main/java/tinworks/edge/RequestJournal.java
@@ -12,65 +12,67 @@
 import tinworks.net.UnservedRequest.Ending;
 
 /**
- * The requests that ended without a host's success, so that each can be explained afterwards: the latest of them are
- * kept for a page, and a bounded number of lines a second goes to the log. Belongs to one thread.
+ * A journal of the requests that ended without a successful response from a host, so that each can be explained
+ * afterwards. The latest are kept for a page; the log receives a rate-limited part. Must be used from one thread.
  */
 final class RequestJournal {
-    /** What the page shows; a line takes some 200 bytes. */
-    static final int MOST_KEPT = 256;
-    /** A burst of lines of one ending, and how many may follow in each second after it. */
-    static final int BURST = 20;
+    /** The number of requests on the page; a line takes about 200 bytes. */
+    static final int MAX_ENTRIES = 256;
+    /** The number of log lines of one ending that may be written in a burst. */
+    static final int LOG_BURST = 20;
+
+    /** The sustained rate of log lines of one ending. */
+    static final int LOG_LINES_PER_SECOND = 4;
 
-    static final int PER_SECOND = 4;
     private static final long SECOND_MILLIS = 1_000;
 
-    /** How many lines of one ending may be written now, and how many were not since the last one. */
+    /** The log lines that one ending may write now, and the number suppressed since the last one. */
     private static final class TokenBucket {
-        private double lines = BURST;
-        private long at;
+        private double tokens = LOG_BURST;
+        private long refilledAtMillis;
         private long suppressed;
     }
 
     private final LongSupplier millis;
     private final Consumer<String> log;
-    private final ArrayDeque<String> kept = new ArrayDeque<>();
-    private final Map<Ending, TokenBucket> allowances = new EnumMap<>(Ending.class);
+    private final ArrayDeque<String> entries = new ArrayDeque<>();
+    private final Map<Ending, TokenBucket> buckets = new EnumMap<>(Ending.class);
 
-    /** One that goes by a steady clock's milliseconds. */
+    /** Creates an empty journal; {@code millis} is a monotonic clock. */
     RequestJournal(LongSupplier millis, Consumer<String> log) {
         this.millis = millis;
         this.log = log;
         for (Ending ending : Ending.values()) {
-            allowances.put(ending, new TokenBucket());
+            buckets.put(ending, new TokenBucket());
         }
     }
 
-    /** Takes down a request that ended while this version was in force. */
-    void ended(UnservedRequest request, long rev) {
+    /** Records a request that ended while this configuration version was in use. */
+    void add(UnservedRequest request, long rev) {
         String line = request.line() + " version=" + rev;
-        if (kept.size() == MOST_KEPT) {
-            kept.removeFirst();
+        if (entries.size() == MAX_ENTRIES) {
+            entries.removeFirst();
         }
-        kept.addLast(Instant.now().truncatedTo(ChronoUnit.MILLIS) + " " + line);
-        write(allowances.get(request.ending()), line);
+        entries.addLast(Instant.now().truncatedTo(ChronoUnit.MILLIS) + " " + line);
+        write(buckets.get(request.ending()), line);
     }
 
-    private void write(TokenBucket allowance, String line) {
+    private void write(TokenBucket bucket, String line) {
         long now = millis.getAsLong();
-        double earned = (double) (now - allowance.at) * PER_SECOND / SECOND_MILLIS;
-        allowance.lines = Math.min(BURST, allowance.lines + earned);
-        allowance.at = now;
-        if (allowance.lines < 1) {
-            allowance.suppressed++;
+        double earned = (double) (now - bucket.refilledAtMillis) * LOG_LINES_PER_SECOND / SECOND_MILLIS;
+        bucket.tokens = Math.min(LOG_BURST, bucket.tokens + earned);
+        bucket.refilledAtMillis = now;
+        if (bucket.tokens < 1) {
+            bucket.suppressed++;
             return;
         }
-        allowance.lines--;
-        log.accept(allowance.suppressed == 0 ? line : line + " unlogged=" + allowance.suppressed);
-        allowance.suppressed = 0;
+        bucket.tokens--;
+        log.accept(bucket.suppressed == 0 ? line : line + " unlogged=" + bucket.suppressed);
+        bucket.suppressed = 0;
     }
 
-    /** The latest requests, a line each, the oldest first. */
+    /** The latest requests, one a line, oldest first. */
     byte[] page() {
-        return kept.isEmpty() ? new byte[0] : (String.join("\n", kept) + "\n").getBytes(StandardCharsets.UTF_8);
+        return entries.isEmpty() ? new byte[0] : (String.join("\n", entries) + "\n").getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/src/main/java/tinworks/edge/RequestRouter.java
+++ b/src/main/java/tinworks/edge/RequestRouter.java
@@ -19,13 +19,16 @@
 import tinworks.net.GatewayClock;
 import tinworks.policy.LoadBalancerApi.RequestArrived;
 
-/** Takes clients' requests: finds each one's route, draws its service, and hands it to that service's module. */
+/**
+ * Receives client requests, finds the route of each, picks one of its services by weight, and hands it to that
+ * service's {@link Forwarding}. It does not choose hosts.
+ */
 final class RequestRouter implements ClientServer.Listener {
-    private static final long NO_ROUTES_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+    private static final long UNCONFIGURED_RETRY_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
     private final GatewayClock clock;
     private final SplittableRandom random;
-    private final EdgeProtocol style;
+    private final EdgeProtocol protocol;
     private final Map<String, Forwarding> services;
     /** Null before the first configuration. */
     private RouteTable routes;
@@ -33,25 +36,28 @@
     private long unconfigured;
     private long overdue;
 
-    /** Without routes yet; the services are the caller's to fill, one for each that a route names. */
-    RequestRouter(GatewayClock clock, SplittableRandom random, EdgeProtocol style, Map<String, Forwarding> services) {
+    /**
+     * Creates a router without routes; the caller keeps {@code services} filled with every service that a route names.
+     */
+    RequestRouter(
+            GatewayClock clock, SplittableRandom random, EdgeProtocol protocol, Map<String, Forwarding> services) {
         this.clock = clock;
         this.random = random;
-        this.style = style;
+        this.protocol = protocol;
         this.services = services;
     }
 
-    /** From now on requests go by these. */
-    void use(RouteTable changed) {
-        routes = changed;
+    /** Routes all further requests by this table. */
+    void setRoutes(RouteTable table) {
+        routes = table;
     }
 
-    /** Requests refused while no configuration was known. */
+    /** Requests refused before the first configuration was received. */
     long unconfigured() {
         return unconfigured;
     }
 
-    /** Requests refused as their time may have passed before they were read. */
+    /** Requests refused because their deadline may have passed before they were read. */
     long overdue() {
         return overdue;
     }
@@ -65,45 +71,45 @@
     public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
         if (routes == null) {
             unconfigured++;
-            style.refuse(reply, NO_ROUTES_PAUSE_NANOS);
+            protocol.refuse(reply, UNCONFIGURED_RETRY_AFTER_NANOS);
             return;
         }
         List<String> domains = request.headers().getAll(HttpHeaderNames.HOST);
-        if (!isUnchangedOnItsWay(request.uri()) || domains.size() > 1) {
-            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "can't read the path, or more than one Host");
+        if (!isPrintableAscii(request.uri()) || domains.size() > 1) {
+            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "invalid path, or more than one Host header");
         }
         Target target = routes.find(domains.isEmpty() ? null : domains.get(0), request.uri());
         if (target == null) {
-            throw new BadRequest(HttpResponseStatus.NOT_FOUND, "no route");
+            throw new BadRequest(HttpResponseStatus.NOT_FOUND, "no route for this host and path");
         }
         Route route = target.route();
-        List<String> ids = request.headers().getAll(EdgeProtocol.ID);
+        List<String> ids = request.headers().getAll(EdgeProtocol.ATTEMPT_ID);
         if (ids.size() != 1 || ids.get(0).isEmpty()) {
-            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "wanted one " + EdgeProtocol.ID);
+            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "one " + EdgeProtocol.ATTEMPT_ID + " is required");
         }
         long now = clock.nanos();
-        long left = TimeUnit.MILLISECONDS.toNanos(Math.min(route.timeoutMs(), deadline(request, route)))
+        long remaining = TimeUnit.MILLISECONDS.toNanos(Math.min(route.timeoutMs(), deadlineMillis(request, route)))
                 - (now - arrivedAt);
-        long heldUp = reply.queueingDelayNanos();
-        if (left <= heldUp) {
+        long queued = reply.queueingDelayNanos();
+        if (remaining <= queued) {
             overdue++;
-            style.refuse(reply, 0);
+            protocol.refuse(reply, 0);
             return;
         }
-        services.get(draw(route))
+        services.get(chooseService(route))
                 .begin(
                         now,
-                        new RequestArrived(ids.get(0), target.className(), null, null, left, 0, false, heldUp),
+                        new RequestArrived(ids.get(0), target.className(), null, null, remaining, 0, false, queued),
                         new AttemptLimit(route.type() == Configuration.Type.MUTATING, route.tries()),
                         request,
                         reply);
     }
 
     /**
-     * Guards against a path that would reach a host as another: bytes outside of printable ASCII are read and written
-     * in two ways.
+     * Guards against a path that would reach a host altered: bytes outside of printable ASCII are decoded and encoded
+     * differently.
      */
-    private static boolean isUnchangedOnItsWay(String target) {
+    private static boolean isPrintableAscii(String target) {
         for (int i = 0; i < target.length(); i++) {
             if (target.charAt(i) <= ' ' || target.charAt(i) >= 0x7f) {
                 return false;
@@ -112,33 +118,33 @@
         return true;
     }
 
-    private long deadline(FullHttpRequest request, Route route) throws BadRequest {
-        String text = request.headers().get(EdgeProtocol.DEADLINE);
+    private long deadlineMillis(FullHttpRequest request, Route route) throws BadRequest {
+        String text = request.headers().get(EdgeProtocol.DEADLINE_MS);
         if (text == null) {
             return route.timeoutMs();
         }
         try {
             return Math.max(0, text.indexOf('.') < 0 ? Long.parseLong(text) : (long) Double.parseDouble(text));
         } catch (NumberFormatException e) {
-            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "can't read " + EdgeProtocol.DEADLINE);
+            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "invalid " + EdgeProtocol.DEADLINE_MS);
         }
     }
 
-    /** A service by chance, in proportion to the weights, of which one at least is above 0. */
-    private String draw(Route route) {
-        List<Split> parts = route.split();
+    /** A service at random, in proportion to the weights, at least one of which is above 0. */
+    private String chooseService(Route route) {
+        List<Split> splits = route.split();
         double sum = 0;
-        for (Split part : parts) {
-            sum += part.weight();
+        for (Split split : splits) {
+            sum += split.weight();
         }
-        double at = parts.size() == 1 ? 0 : random.nextDouble() * sum;
-        String drawn = null;
-        for (Split part : parts) {
-            if (part.weight() > 0 && (drawn == null || at >= 0)) {
-                drawn = part.service();
+        double point = splits.size() == 1 ? 0 : random.nextDouble() * sum;
+        String chosen = null;
+        for (Split split : splits) {
+            if (split.weight() > 0 && (chosen == null || point >= 0)) {
+                chosen = split.service();
             }
-            at -= part.weight();
+            point -= split.weight();
         }
-        return drawn;
+        return chosen;
     }
 }
--- a/src/main/java/tinworks/edge/RouteTable.java
+++ b/src/main/java/tinworks/edge/RouteTable.java
@@ -7,11 +7,11 @@
 import tinworks.config.Configuration.Route;
 
 /**
- * Finds a request's route: of its domain's routes, the one of the longest prefix that begins the path. Looks up one
- * prefix for each slash of the path, however many routes there are.
+ * Finds the route of a request by longest-prefix match among the routes of its domain. A lookup costs one map access
+ * per slash in the path, regardless of the number of routes.
  */
 final class RouteTable {
-    /** Where a request goes; the name is the decision module's for the route. */
+    /** A route, with its request class in the decision module. */
     record Target(Route route, String className) {}
 
     private final Map<String, Map<String, Target>> byDomain = new HashMap<>();
@@ -23,7 +23,7 @@
         }
     }
 
-    /** The route of a Host header and a request's target, or null. */
+    /** The route for a {@code Host} header and a request target, or null if there is none. */
     Target find(String host, String target) {
         Map<String, Target> prefixes = host == null ? null : byDomain.get(domain(host));
         if (prefixes == null) {
--- a/src/main/java/tinworks/edge/ServiceSettings.java
+++ b/src/main/java/tinworks/edge/ServiceSettings.java
@@ -15,48 +15,49 @@
 import tinworks.policy.LoadBalancerApi.RequestClass;
 import tinworks.policy.LoadBalancerApi.Settings;
 
-/** The decision module's settings for one service, made from the operator's routes. */
+/** Derives the decision module's settings of a service from the configured routes. */
 final class ServiceSettings {
-    /** A fresh host is slow at first; the list tells for how long, at most this. */
-    static final long WARM_UP_NANOS = TimeUnit.SECONDS.toNanos(3);
+    /** The longest slow start of a new host; the host list gives each host's own time. */
+    static final long MAX_SLOW_START_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-    private static final double COLD_FROM = 0.5;
-    private static final double LATE_WORTH = 0.5;
-    /** The cold rule of the earlier protocol isn't one here: a fresh host is slow and not to be spared. */
-    private static final double NO_COLD_BUDGET = 1e9;
+    private static final double SLOW_START_INITIAL_FRACTION = 0.5;
+    private static final double LATE_VALUE = 0.5;
+    /** Effectively no limit on load during slow start: here a new host is slow, but need not be spared. */
+    private static final double NO_OVERLOAD_LIMIT = 1e9;
     /**
-     * Below the slack that deployments name (58 and 60). With the tenth of its requests that each edge adds, all stay
-     * within a fifth of the requests and the slack even when half of the edges start anew within one window.
+     * The retry budget that all edges share for one service, beyond a tenth of the requests. It is below the slack that
+     * deployments allow (58 and 60). With the tenth of its requests that each edge adds, the retries stay within a
+     * fifth of the requests plus the slack, even if half of the edges restart within one window.
      */
-    private static final double FURTHER_ARRIVALS = 30;
-    /** Of a hundred requests one needs three times the work or more, wherever it runs: nearly all of its aim. */
-    private static final double LONG_WORK = 2.5;
-    /** The rule asks for a quarter; what is sent isn't all served, and each edge counts for itself. */
-    private static final double LEAST_PART = 0.5;
+    private static final double TOTAL_RETRY_BUDGET = 30;
+    /** One request in a hundred needs three times the work or more on any host: nearly all of its latency target. */
+    private static final double OVERDUE_FACTOR = 2.5;
+    /** The requirement is a quarter. Not all that is sent is served, and each edge counts only its own requests. */
+    private static final double MIN_CLASS_FRACTION = 0.5;
 
-    private static final int MOST_TRIES = 32;
-    private static final int NO_NUMBER = -1;
-    private static final int MIDDLE_PRIO = 2;
+    private static final int MAX_ATTEMPTS = 32;
+    private static final int NO_GATEWAY_NUMBER = -1;
+    private static final int MIDDLE_PRIORITY = 2;
 
     private ServiceSettings() {}
 
-    /** The module's name for a route. */
+    /** The name of a route's request class in the decision module. */
     static String className(Route route) {
         return route.domain() + route.prefix();
     }
 
-    /** For each service the classes of the routes that may go there; none share a list that anybody writes to. */
+    /** The request classes of each service, from the routes that may lead to it; the lists are immutable. */
     static Map<String, List<RequestClass>> classes(Configuration configuration) {
         Map<String, List<RequestClass>> classes = new HashMap<>();
         configuration.services().keySet().forEach(service -> classes.put(service, new ArrayList<>()));
         for (Route route : configuration.routes()) {
-            RequestClass made = requestClass(route);
-            for (Split part : route.split()) {
-                List<RequestClass> there = classes.get(part.service());
-                boolean twice =
-                        !there.isEmpty() && there.get(there.size() - 1).name().equals(made.name());
-                if (part.weight() > 0 && !twice) {
-                    there.add(made);
+            RequestClass requestClass = requestClass(route);
+            for (Split split : route.split()) {
+                List<RequestClass> ofService = classes.get(split.service());
+                boolean alreadyAdded = !ofService.isEmpty()
+                        && ofService.get(ofService.size() - 1).name().equals(requestClass.name());
+                if (split.weight() > 0 && !alreadyAdded) {
+                    ofService.add(requestClass);
                 }
             }
         }
@@ -73,36 +74,36 @@
                 0,
                 TimeUnit.MILLISECONDS.toNanos(route.targetMs()),
                 timeout,
-                Math.pow(2, MIDDLE_PRIO - route.prio()),
-                LATE_WORTH,
+                Math.pow(2, MIDDLE_PRIORITY - route.prio()),
+                LATE_VALUE,
                 false,
                 route.tries(),
                 timeout);
     }
 
-    /** What a service's module starts with. */
+    /** The initial settings of a service's decision module. */
     static Settings settings(List<RequestClass> classes, int gateways, String zone) {
-        PolicyParameters rules = new PolicyParameters(
+        PolicyParameters parameters = new PolicyParameters(
                 0,
                 0,
                 Long.MAX_VALUE,
-                COLD_FROM,
-                WARM_UP_NANOS,
-                NO_COLD_BUDGET,
+                SLOW_START_INITIAL_FRACTION,
+                MAX_SLOW_START_NANOS,
+                NO_OVERLOAD_LIMIT,
                 TimeUnit.SECONDS.toNanos(1),
-                FURTHER_ARRIVALS,
-                LONG_WORK,
-                LEAST_PART);
+                TOTAL_RETRY_BUDGET,
+                OVERDUE_FACTOR,
+                MIN_CLASS_FRACTION);
         return new Settings(
                 gateways,
-                NO_NUMBER,
+                NO_GATEWAY_NUMBER,
                 zone,
                 false,
                 TimeUnit.MILLISECONDS.toNanos(1),
                 classes,
                 List.of(),
                 1,
-                new Permissions(MOST_TRIES, true, false),
-                rules);
+                new Permissions(MAX_ATTEMPTS, true, false),
+                parameters);
     }
 }
--- a/src/main/java/tinworks/edge/package-info.java
+++ b/src/main/java/tinworks/edge/package-info.java
@@ -1,2 +1,4 @@
-/** The edge gateways: the data plane, fed by what the core machines tell. */
+/**
+ * The edge gateways: the data plane, which proxies client requests under the configuration that the core nodes push.
+ */
 package tinworks.edge;
--- a/src/test/java/tinworks/edge/AmbiguousRequestTest.java
+++ b/src/test/java/tinworks/edge/AmbiguousRequestTest.java
@@ -23,7 +23,7 @@
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class AmbiguousRequestTest {
     private static final String HEAD = "POST /m/a HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: a\r\n";
-    private static final String INNER =
+    private static final String SMUGGLED =
             "POST /m/b HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: b\r\nContent-Length: 0\r\n\r\n";
     private final EdgeFixture edge = new EdgeFixture(new EdgeProtocol(1));
     private ScriptedHost host;
@@ -53,50 +53,50 @@
     @ParameterizedTest
     @ValueSource(
             strings = {
-                HEAD + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + INNER,
-                HEAD + "Content-Length: 0\r\nContent-Length: 99\r\n\r\n" + INNER,
-                HEAD + "Content-Length: 0\r\nContent-Length: 0\r\n\r\n" + INNER,
-                HEAD + "Content-Length: 0, 99\r\n\r\n" + INNER,
-                HEAD + "Content-Length: +0\r\n\r\n" + INNER,
-                HEAD + "Content-Length: -0\r\n\r\n" + INNER,
-                HEAD + "Content-Length: 0x0\r\n\r\n" + INNER,
-                HEAD + "Content-Length: 0 0\r\n\r\n" + INNER,
-                HEAD + "Content-Length:\r\n\r\n" + INNER,
-                HEAD + "Content-Length: 99999999999999999999\r\n\r\n" + INNER,
-                HEAD + "Content-Length : 99\r\n\r\n" + INNER,
-                HEAD + "Content-Length\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: gzip\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: identity\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: xchunked\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: \"chunked\"\r\n\r\n0\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: chunked\r\n\r\n0x0\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: chunked\r\n\r\n-0\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: chunked\r\n\r\n+0\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: chunked\r\n\r\n1 0\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: chunked\r\n\r\n1\na\r\n0\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: chunked\r\n\r\n1;x=\ny\r\na\r\n0\r\n\r\n" + INNER,
-                HEAD + "Transfer-Encoding: chunked\r\n\r\n100000001\r\na\r\n0\r\n\r\n" + INNER,
-                HEAD + "Content-Length: 0\n\n" + INNER,
-                HEAD + "X-A: a\nContent-Length: 99\r\n\r\n" + INNER,
-                HEAD + "X-A: a\rContent-Length: 99\r\n\r\n" + INNER,
-                HEAD + "X-A: a\0b\r\nContent-Length: 0\r\n\r\n" + INNER,
-                HEAD + "X A: a\r\nContent-Length: 0\r\n\r\n" + INNER,
-                HEAD + ": a\r\nContent-Length: 0\r\n\r\n" + INNER,
-                HEAD + "nonsense\r\nContent-Length: 0\r\n\r\n" + INNER,
+                HEAD + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + SMUGGLED,
+                HEAD + "Content-Length: 0\r\nContent-Length: 99\r\n\r\n" + SMUGGLED,
+                HEAD + "Content-Length: 0\r\nContent-Length: 0\r\n\r\n" + SMUGGLED,
+                HEAD + "Content-Length: 0, 99\r\n\r\n" + SMUGGLED,
+                HEAD + "Content-Length: +0\r\n\r\n" + SMUGGLED,
+                HEAD + "Content-Length: -0\r\n\r\n" + SMUGGLED,
+                HEAD + "Content-Length: 0x0\r\n\r\n" + SMUGGLED,
+                HEAD + "Content-Length: 0 0\r\n\r\n" + SMUGGLED,
+                HEAD + "Content-Length:\r\n\r\n" + SMUGGLED,
+                HEAD + "Content-Length: 99999999999999999999\r\n\r\n" + SMUGGLED,
+                HEAD + "Content-Length : 99\r\n\r\n" + SMUGGLED,
+                HEAD + "Content-Length\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: gzip\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: identity\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: xchunked\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: chunked, identity\r\n\r\n0\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: \"chunked\"\r\n\r\n0\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: chunked\r\n\r\n0x0\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: chunked\r\n\r\n-0\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: chunked\r\n\r\n+0\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: chunked\r\n\r\n1 0\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: chunked\r\n\r\n1\na\r\n0\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: chunked\r\n\r\n1;x=\ny\r\na\r\n0\r\n\r\n" + SMUGGLED,
+                HEAD + "Transfer-Encoding: chunked\r\n\r\n100000001\r\na\r\n0\r\n\r\n" + SMUGGLED,
+                HEAD + "Content-Length: 0\n\n" + SMUGGLED,
+                HEAD + "X-A: a\nContent-Length: 99\r\n\r\n" + SMUGGLED,
+                HEAD + "X-A: a\rContent-Length: 99\r\n\r\n" + SMUGGLED,
+                HEAD + "X-A: a\0b\r\nContent-Length: 0\r\n\r\n" + SMUGGLED,
+                HEAD + "X A: a\r\nContent-Length: 0\r\n\r\n" + SMUGGLED,
+                HEAD + ": a\r\nContent-Length: 0\r\n\r\n" + SMUGGLED,
+                HEAD + "nonsense\r\nContent-Length: 0\r\n\r\n" + SMUGGLED,
                 "POST /m/a HTTP/1.0\r\nHost: x.example\r\nAttempt-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-                        + INNER,
-                "POST /m/a HTTP/2.0\r\nHost: x.example\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n" + INNER,
-                "POST /m/a b HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n" + INNER,
-                "P(ST /m/a HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n" + INNER
+                        + SMUGGLED,
+                "POST /m/a HTTP/2.0\r\nHost: x.example\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n" + SMUGGLED,
+                "POST /m/a b HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n" + SMUGGLED,
+                "P(ST /m/a HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n" + SMUGGLED
             })
-    void aRequestWithTwoReadingsReachesNoHostAndNeitherDoesWhatFollows(String bytes) throws Exception {
+    void ambiguousRequestReachesNoHostAndNeitherDoesWhatFollows(String bytes) throws Exception {
         try (Client client = edge.client()) {
             client.write(bytes);
             Message answer = client.read();
@@ -108,7 +108,7 @@
 
     /** What can't be read behind an open request must not take its answer away. */
     @Test
-    void anUnreadableLengthBehindAnOpenRequestIsAnsweredInItsTurn() throws Exception {
+    void invalidPipelinedLengthIsAnsweredAfterTheRequestInFlight() throws Exception {
         try (Client client = edge.client()) {
             client.write(EdgeFixture.request("a", "m", "some body", 9_000, false)
                     + HEAD.replace("Attempt-Id: a", "Attempt-Id: b") + "Content-Length: 0x0\r\n\r\n");
@@ -122,15 +122,15 @@
     @ParameterizedTest
     @ValueSource(
             strings = {
-                HEAD + "Attempt-Id: b\r\nContent-Length: 0\r\n\r\n" + INNER,
-                HEAD + "Host: y.example\r\nContent-Length: 0\r\n\r\n" + INNER,
-                "POST /m/a\u00e9 HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n" + INNER,
-                "POST /m/a?\u00ff HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n" + INNER,
-                "POST /m/a\u0001 HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n" + INNER,
+                HEAD + "Attempt-Id: b\r\nContent-Length: 0\r\n\r\n" + SMUGGLED,
+                HEAD + "Host: y.example\r\nContent-Length: 0\r\n\r\n" + SMUGGLED,
+                "POST /m/a\u00e9 HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n" + SMUGGLED,
+                "POST /m/a?\u00ff HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n" + SMUGGLED,
+                "POST /m/a\u0001 HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n" + SMUGGLED,
                 "POST http://x.example/m/a HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n"
-                        + INNER
+                        + SMUGGLED
             })
-    void aRequestThatWouldReachAHostChangedReachesNone(String bytes) throws Exception {
+    void requestThatWouldReachAHostAlteredReachesNone(String bytes) throws Exception {
         try (Client client = edge.client()) {
             client.write(bytes);
             int status = client.read().status();
@@ -142,9 +142,9 @@
 
     /** A folded line becomes one, as the standard asks of a proxy: no second header comes out of it. */
     @Test
-    void aFoldedHeaderGoesOnAsOneLine() throws Exception {
+    void foldedHeaderIsForwardedAsOneLine() throws Exception {
         try (Client client = edge.client()) {
-            client.write(HEAD + "X-Folded: a\r\n Content-Length: 99\r\nContent-Length: 0\r\n\r\n" + INNER);
+            client.write(HEAD + "X-Folded: a\r\n Content-Length: 99\r\nContent-Length: 0\r\n\r\n" + SMUGGLED);
             assertEquals("a", client.read().headers().get("attempt-id"));
             assertEquals("b", client.read().headers().get("attempt-id"));
             assertEquals("a Content-Length: 99", host.requests.get(0).header("X-Folded"));
@@ -153,7 +153,7 @@
     }
 
     @Test
-    void aGoodRequestReachesTheHostAsItCame() throws Exception {
+    void validRequestReachesTheHostUnchanged() throws Exception {
         try (Client client = edge.client()) {
             client.write(EdgeFixture.request("a", "m", "some body", 9_000, true)
                     + EdgeFixture.request("b", "m", "other", 9_000, false));
@@ -167,7 +167,7 @@
 
     /** The answer to a HEAD has no body; bytes of one would stand where the next answer begins. */
     @Test
-    void noBodyFollowsTheAnswerToAHead() throws Exception {
+    void headResponseHasNoBody() throws Exception {
         try (Client client = edge.client()) {
             client.write("HEAD /none/a HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: a\r\n\r\n"
                     + "HEAD /i/b HTTP/1.1\r\nHost: x.example\r\nAttempt-Id: b\r\nDeadline-Ms: 5000\r\n\r\n"
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void anAnswerThatCanHaveNoBodyIsWholeWithoutALength() throws Exception {
+    void responseWithoutABodyIsCompleteWithoutALength() throws Exception {
         try (Client client = edge.client()) {
             client.write(EdgeFixture.request("empty", "m", "x", 9_000, false)
                     + EdgeFixture.request("c", "i", "", 9_000, false));
--- a/src/test/java/tinworks/edge/AtMostOnceMutantsTest.java
+++ b/src/test/java/tinworks/edge/AtMostOnceMutantsTest.java
@@ -28,10 +28,10 @@
 @Timeout(value = 240, unit = TimeUnit.SECONDS)
 @BreaksInvariants(Invariant.OWN_ANSWER)
 class AtMostOnceMutantsTest {
-    private static final int SOME = 9;
+    private static final int POSITION_STEP = 9;
 
     /** A style without one of its guards, and the endings that show it. */
-    private record Mutant(String name, EdgeProtocol style, Set<AttemptEnding> shownBy) {
+    private record Mutant(String name, EdgeProtocol protocol, Set<AttemptEnding> detectedBy) {
         @Override
         public String toString() {
             return name;
@@ -61,7 +61,7 @@
                                 return whose == ResponseMatch.UNIDENTIFIED ? ResponseMatch.THIS_REQUEST : whose;
                             }
                         },
-                        EnumSet.of(AttemptEnding.NOT_RUN_NOBODYS)),
+                        EnumSet.of(AttemptEnding.NOT_RUN_WITHOUT_ID)),
                 new Mutant(
                         "a 429 or 503 proves that nothing ran",
                         new EdgeProtocol(1) {
@@ -131,7 +131,7 @@
                                 AttemptEnding.TOO_MANY,
                                 AttemptEnding.TOO_LATE,
                                 AttemptEnding.FAILED,
-                                AttemptEnding.FAILED_ODDLY)),
+                                AttemptEnding.FAILED_UNUSUAL_STATUS)),
                 new Mutant(
                         "what failed and may have run is refused",
                         new EdgeProtocol(1) {
@@ -149,16 +149,17 @@
 
     @ParameterizedTest
     @MethodSource("mutants")
-    void withoutThisGuardTheWalkFails(Mutant mutant) throws Exception {
-        Report report = AtMostOnceSweep.walk(
-                mutant.style,
+    void sweepFailsWithoutThisGuard(Mutant mutant) throws Exception {
+        Report report = AtMostOnceSweep.run(
+                mutant.protocol,
                 AtMostOnceSweep.cases(
-                        true, one -> mutant.shownBy.contains(one.ending()) && one.position() % SOME == 0));
-        assertFalse(report.faults().isEmpty(), "not caught in " + report.played() + " cases");
+                        true, one -> mutant.detectedBy.contains(one.ending()) && one.position() % POSITION_STEP == 0));
+        assertFalse(report.failures().isEmpty(), "not caught in " + report.cases() + " cases");
         Set<AttemptEnding> caught = EnumSet.noneOf(AttemptEnding.class);
-        mutant.shownBy.stream()
-                .filter(ending -> report.faults().stream().anyMatch(fault -> fault.contains("ending=" + ending + ",")))
+        mutant.detectedBy.stream()
+                .filter(ending ->
+                        report.failures().stream().anyMatch(fault -> fault.contains("ending=" + ending + ",")))
                 .forEach(caught::add);
-        assertEquals(mutant.shownBy, caught, () -> "of " + report.faults());
+        assertEquals(mutant.detectedBy, caught, () -> "of " + report.failures());
     }
 }
--- a/src/test/java/tinworks/edge/AtMostOnceSweep.java
+++ b/src/test/java/tinworks/edge/AtMostOnceSweep.java
@@ -26,25 +26,25 @@
  */
 final class AtMostOnceSweep {
     /** One cell of the table at one byte: at the first host that the request reaches, or at each. */
-    record Case(AttemptEnding ending, int position, boolean mutating, boolean reused, boolean everywhere) {}
+    record Case(AttemptEnding ending, int position, boolean mutating, boolean reused, boolean atEachHost) {}
 
     /** What was played, how often again as it had not come about, and what broke a rule. */
-    record Report(int played, int again, Map<AttemptEnding, Integer> byEnding, List<String> faults) {}
+    record Report(int cases, int retries, Map<AttemptEnding, Integer> byEnding, List<String> failures) {}
 
     private static final long SEED = 20_261_202;
-    private static final long SHORT_MILLIS = 80;
-    private static final long LONG_MILLIS = 10_000;
+    private static final long SHORT_DEADLINE_MILLIS = 80;
+    private static final long LONG_DEADLINE_MILLIS = 10_000;
     private static final int WORKERS = 16;
-    private static final int MOST_AGAIN = 30;
-    private static final int FRESH_EVERY = 8;
-    private static final int KINDS = 4;
-    private static final int TRIES = 2;
+    private static final int MAX_RETRIES = 30;
+    private static final int NEW_SERVICE_EVERY = 8;
+    private static final int VARIANTS = 4;
+    private static final int MAX_ATTEMPTS = 2;
 
     private final EdgeFixture edge;
-    private final List<String> faults = FaultInjectingHost.faults();
-    private final Map<String, String> asked = new ConcurrentHashMap<>();
+    private final List<String> failures = FaultInjectingHost.newFailureList();
+    private final Map<String, String> sentRequests = new ConcurrentHashMap<>();
     private final AtomicInteger ids = new AtomicInteger();
-    private final AtomicInteger again = new AtomicInteger();
+    private final AtomicInteger retries = new AtomicInteger();
 
     private AtMostOnceSweep(EdgeProtocol style) {
         edge = new EdgeFixture(style);
@@ -59,14 +59,14 @@
         List<Case> cases = new ArrayList<>();
         for (AttemptEnding ending : AttemptEnding.values()) {
             for (int position = 0; position < ending.positions(); position++) {
-                for (int kind = 0; kind < KINDS; kind++) {
-                    boolean inTurn = position % KINDS == kind;
+                for (int kind = 0; kind < VARIANTS; kind++) {
+                    boolean inTurn = position % VARIANTS == kind;
                     Case one = new Case(ending, position, kind % 2 == 0, kind < 2, false);
                     if ((all || ending.isCut() || inTurn) && wanted.test(one)) {
                         cases.add(one);
                     }
                     Case everywhere = new Case(ending, position, one.mutating, one.reused, true);
-                    if (inTurn && ending.mayBeEverywhere() && wanted.test(everywhere)) {
+                    if (inTurn && ending.canRepeatAtEachHost() && wanted.test(everywhere)) {
                         cases.add(everywhere);
                     }
                 }
@@ -76,7 +76,7 @@
         return cases;
     }
 
-    static Report walk(EdgeProtocol style, List<Case> cases) throws Exception {
+    static Report run(EdgeProtocol style, List<Case> cases) throws Exception {
         AtMostOnceSweep walk = new AtMostOnceSweep(style);
         List<Thread> workers = new ArrayList<>();
         try (walk.edge) {
@@ -86,7 +86,7 @@
                 for (int i = w; i < cases.size(); i += WORKERS) {
                     part.add(cases.get(i));
                 }
-                workers.add(new Thread(() -> walk.work(number, part)));
+                workers.add(new Thread(() -> walk.runCases(number, part)));
             }
             workers.forEach(Thread::start);
             for (Thread worker : workers) {
@@ -95,27 +95,27 @@
         }
         Map<AttemptEnding, Integer> byEnding = new TreeMap<>();
         cases.forEach(one -> byEnding.merge(one.ending, 1, Integer::sum));
-        return new Report(cases.size(), walk.again.get(), byEnding, walk.faults);
+        return new Report(cases.size(), walk.retries.get(), byEnding, walk.failures);
     }
 
-    private void work(int number, List<Case> cases) {
-        try (FaultInjectingHost a = new FaultInjectingHost("a" + number, asked, faults);
-                FaultInjectingHost b = new FaultInjectingHost("b" + number, asked, faults);
-                FaultInjectingHost c = new FaultInjectingHost("c" + number, asked, faults);
+    private void runCases(int number, List<Case> cases) {
+        try (FaultInjectingHost a = new FaultInjectingHost("a" + number, sentRequests, failures);
+                FaultInjectingHost b = new FaultInjectingHost("b" + number, sentRequests, failures);
+                FaultInjectingHost c = new FaultInjectingHost("c" + number, sentRequests, failures);
                 Worker worker = new Worker(number, a, b, c)) {
             for (Case one : cases) {
                 int tries = 0;
-                while (!worker.play(one)) {
-                    again.incrementAndGet();
-                    if (++tries > MOST_AGAIN) {
-                        faults.add("never came about: " + one);
+                while (!worker.runCase(one)) {
+                    retries.incrementAndGet();
+                    if (++tries > MAX_RETRIES) {
+                        failures.add("never came about: " + one);
                         break;
                     }
                 }
             }
-            worker.judgeAll();
+            worker.checkMutatingRequests();
         } catch (IOException | InterruptedException | RuntimeException e) {
-            faults.add("worker " + number + ": " + e + " at "
+            failures.add("worker " + number + ": " + e + " at "
                     + (e.getStackTrace().length > 0 ? List.of(e.getStackTrace()) : ""));
         }
     }
@@ -126,10 +126,10 @@
         private final String number;
         private final Random random;
         private Client client;
-        private Client between;
-        private int played;
+        private Client secondClient;
+        private int casesRun;
         /** Answers that promise that a request never runs, by its id. */
-        private final Map<String, Integer> promised = new TreeMap<>();
+        private final Map<String, Integer> refusalStatusById = new TreeMap<>();
 
         private final List<String> mutatingIds = new ArrayList<>();
 
@@ -138,133 +138,142 @@
             this.number = String.valueOf(number);
             random = new Random(SEED + number);
             client = edge.client();
-            between = edge.client();
+            secondClient = edge.client();
             for (FaultInjectingHost host : hosts) {
                 edge.host(host.id(), host.address(), true);
-                edge.route("warm-" + host.id(), Configuration.Type.IDEM, TRIES, host.id());
+                edge.route("warm-" + host.id(), Configuration.Type.IDEM, MAX_ATTEMPTS, host.id());
             }
         }
 
-        private String next() {
+        private String nextId() {
             return String.format("%07d", ids.incrementAndGet());
         }
 
-        private String ask(String id, String route, boolean mutating, long deadline) {
+        private String newRequest(String id, String route, boolean mutating, long deadline) {
             String body = mutating ? "body of " + id : "";
-            asked.put(id, (mutating ? "POST" : "GET") + " /" + route + "/" + id + "?q=%20" + id + " HTTP/1.1|" + body);
+            sentRequests.put(
+                    id, (mutating ? "POST" : "GET") + " /" + route + "/" + id + "?q=%20" + id + " HTTP/1.1|" + body);
             return EdgeFixture.request(id, route, body, deadline, random.nextBoolean());
         }
 
         /** A plain request to each host, so that a connection to it rests; and the connection on which it came. */
-        private FaultInjectingHost.Connection warm(FaultInjectingHost host) throws IOException {
-            for (int tries = 0; tries < MOST_AGAIN; tries++) {
-                String id = next();
-                client.write(ask(id, "warm-" + host.id(), false, LONG_MILLIS));
+        private FaultInjectingHost.Connection openIdleConnection(FaultInjectingHost host) throws IOException {
+            for (int tries = 0; tries < MAX_RETRIES; tries++) {
+                String id = nextId();
+                client.write(newRequest(id, "warm-" + host.id(), false, LONG_DEADLINE_MILLIS));
                 Message answer = client.read();
                 if (answer != null && answer.status() == 200) {
-                    own(answer, id, "a plain request");
-                    return host.last;
+                    checkOwnResponse(answer, id, "a plain request");
+                    return host.lastConnection;
                 }
                 edge.route("warm-" + host.id(), Configuration.Type.IDEM, 2, host.id());
-                again(answer);
+                reconnectIfClosed(answer);
             }
-            faults.add("a host in good order was not reached");
+            failures.add("a host in good order was not reached");
             return null;
         }
 
-        private void again(Message answer) throws IOException {
+        private void reconnectIfClosed(Message answer) throws IOException {
             if (answer == null || "close".equals(answer.headers().get("connection"))) {
                 client.close();
                 client = edge.client();
             }
         }
 
-        private String[] names() {
+        private String[] hostIds() {
             return Stream.of(hosts).map(FaultInjectingHost::id).toArray(String[]::new);
         }
 
         /** Whether it came about. */
-        boolean play(Case one) throws IOException, InterruptedException {
+        boolean runCase(Case one) throws IOException, InterruptedException {
             AttemptEnding ending = one.ending;
             for (FaultInjectingHost host : hosts) {
-                host.play = null;
+                host.injected = null;
             }
             edge.hosts(one.reused, hosts);
             if (one.reused) {
                 for (FaultInjectingHost host : hosts) {
-                    warm(host);
+                    openIdleConnection(host);
                 }
             }
             String route = (one.mutating ? "mutating-" : "idem-") + number;
             String plain = "plain-" + number;
-            edge.route(route, one.mutating ? Configuration.Type.MUTATING : Configuration.Type.IDEM, TRIES, names());
-            if (++played % FRESH_EVERY == 1) {
-                edge.route(plain, Configuration.Type.IDEM, TRIES, names());
+            edge.route(
+                    route,
+                    one.mutating ? Configuration.Type.MUTATING : Configuration.Type.IDEM,
+                    MAX_ATTEMPTS,
+                    hostIds());
+            if (++casesRun % NEW_SERVICE_EVERY == 1) {
+                edge.route(plain, Configuration.Type.IDEM, MAX_ATTEMPTS, hostIds());
             }
-            InjectedFault play = new InjectedFault(ending, one.position, next(), one.everywhere);
+            InjectedFault play = new InjectedFault(ending, one.position, nextId(), one.atEachHost);
             if (one.mutating) {
                 mutatingIds.add(play.id);
             }
             for (FaultInjectingHost host : hosts) {
-                host.play = play;
+                host.injected = play;
             }
-            boolean leaves = ending == AttemptEnding.LEFT;
+            boolean leaves = ending == AttemptEnding.CLIENT_DISCONNECTED;
             boolean others = !leaves && ending != AttemptEnding.REQUEST_CUT && random.nextBoolean();
-            String behind = others ? next() : null;
-            String beside = others ? next() : null;
+            String behind = others ? nextId() : null;
+            String beside = others ? nextId() : null;
             // What is served whole needs no time to run out.
-            long deadline = ending.waitsLong() && ending.known(one.position) != KnownOutcome.SERVED
-                    ? SHORT_MILLIS
-                    : LONG_MILLIS;
-            String text = ask(play.id, route, one.mutating, deadline);
-            client.write(others ? text + ask(behind, plain, false, LONG_MILLIS) : text);
+            long deadline = ending.waitsForDeadline() && ending.knownOutcome(one.position) != KnownOutcome.SERVED
+                    ? SHORT_DEADLINE_MILLIS
+                    : LONG_DEADLINE_MILLIS;
+            String text = newRequest(play.id, route, one.mutating, deadline);
+            client.write(others ? text + newRequest(behind, plain, false, LONG_DEADLINE_MILLIS) : text);
             if (others && play.begun.await(one.reused ? 2_000 : 0, TimeUnit.MILLISECONDS)) {
-                between.write(ask(beside, plain, false, LONG_MILLIS));
+                secondClient.write(newRequest(beside, plain, false, LONG_DEADLINE_MILLIS));
             } else if (others) {
-                between.write(ask(beside, plain, false, LONG_MILLIS));
+                secondClient.write(newRequest(beside, plain, false, LONG_DEADLINE_MILLIS));
             }
             if (leaves) {
-                return left(play, one);
+                return checkClientDisconnect(play, one);
             }
             Message answer = client.read();
-            judge(one, play, answer);
+            checkResponse(one, play, answer);
             if (others) {
-                own(client.read(), behind, "behind " + one);
-                own(between.read(), beside, "beside " + one);
+                checkOwnResponse(client.read(), behind, "behind " + one);
+                checkOwnResponse(secondClient.read(), beside, "beside " + one);
             }
-            again(answer);
-            if (!play.isTaken()) {
+            reconnectIfClosed(answer);
+            if (!play.isClaimed()) {
                 return false;
             }
-            if (!play.done.await(EdgeFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS)) {
-                faults.add("the host is not done with " + one);
+            if (!play.done.await(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS)) {
+                failures.add("the host is not done with " + one);
             }
             boolean asWanted = play.reused == one.reused;
-            boolean lives = ending.lives(one.position) && one.reused && !others && asWanted && !one.everywhere;
+            boolean lives = ending.leavesConnectionReusable(one.position)
+                    && one.reused
+                    && !others
+                    && asWanted
+                    && !one.atEachHost;
             for (FaultInjectingHost host : hosts) {
-                host.play = null;
+                host.injected = null;
             }
-            if (lives && warm(play.host) != play.connection) {
-                faults.add("its connection does not live: " + one);
+            if (lives && openIdleConnection(play.host) != play.connection) {
+                failures.add("its connection does not live: " + one);
             }
             return asWanted;
         }
 
         /** The client goes away while its request is at the host: nobody else gets it, and its connection ends. */
-        private boolean left(InjectedFault play, Case one) throws IOException, InterruptedException {
-            boolean begun = play.begun.await(EdgeFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+        private boolean checkClientDisconnect(InjectedFault play, Case one) throws IOException, InterruptedException {
+            boolean begun = play.begun.await(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS);
             client.close();
             client = edge.client();
-            if (!begun || !play.done.await(EdgeFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS)) {
-                faults.add("the host is not told that the client left: " + one);
+            if (!begun || !play.done.await(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS)) {
+                failures.add("the host is not told that the client left: " + one);
             }
-            if (sum(play.id, true) != 1) {
-                faults.add("arrived " + sum(play.id, true) + " times: " + one);
+            if (count(play.id, true) != 1) {
+                failures.add("arrived " + count(play.id, true) + " times: " + one);
             }
             return play.reused == one.reused;
         }
 
-        private int sum(String id, boolean arrivals) {
+        private int count(String id, boolean arrivals) {
             int sum = 0;
             for (FaultInjectingHost host : hosts) {
                 sum += (arrivals ? host.arrivals : host.runs).getOrDefault(id, 0);
@@ -273,60 +282,60 @@
         }
 
         /** MIXED: an answer, whole, to this request. */
-        private void own(Message answer, String id, String what) {
+        private void checkOwnResponse(Message answer, String id, String what) {
             boolean own = answer != null
                     && answer.status() == 200
                     && id.equals(answer.headers().get("attempt-id"))
                     && ("s" + id).equals(answer.headers().get("origin-seal"))
                     && FaultInjectingHost.body(id).equals(answer.body());
             if (!own) {
-                faults.add("MIXED: " + answer + " for " + id + ", " + what);
+                failures.add("MIXED: " + answer + " for " + id + ", " + what);
             }
         }
 
-        private void judge(Case one, InjectedFault play, Message answer) {
+        private void checkResponse(Case one, InjectedFault play, Message answer) {
             int status = answer == null ? 0 : answer.status();
             if (one.mutating && (status == 429 || status == 503 || status == 408 || status == 421)) {
-                promised.put(play.id, status);
+                refusalStatusById.put(play.id, status);
             }
-            judgeSeal(one, play, answer);
-            if (sum(play.id, true) > TRIES) {
-                faults.add("BUDGET: reached " + sum(play.id, true) + " hosts: " + one);
+            checkSeal(one, play, answer);
+            if (count(play.id, true) > MAX_ATTEMPTS) {
+                failures.add("BUDGET: reached " + count(play.id, true) + " hosts: " + one);
             }
-            if (!play.isTaken()) {
+            if (!play.isClaimed()) {
                 return; // its time ran out, or its connection broke, before it reached a host
             }
-            KnownOutcome known = one.ending.known(one.position);
+            KnownOutcome known = one.ending.knownOutcome(one.position);
             if (status == 200) {
-                own(answer, play.id, one.toString());
+                checkOwnResponse(answer, play.id, one.toString());
             }
-            int wanted = one.everywhere
-                    ? wantedWhereAllEndSo(known, one.mutating, status)
-                    : wanted(known, one.mutating, status);
+            int wanted = one.atEachHost
+                    ? expectedStatusIfAllHostsFail(known, one.mutating, status)
+                    : expectedStatus(known, one.mutating, status);
             if (status != wanted) {
-                faults.add("answered " + status + ", not " + wanted + ": " + one + " on a "
+                failures.add("answered " + status + ", not " + wanted + ": " + one + " on a "
                         + (play.reused ? "used" : "new") + " connection");
             }
             boolean elsewhere = one.mutating && known != KnownOutcome.NOT_RUN;
-            if (elsewhere && sum(play.id, true) > 1) {
-                faults.add("went to another host though it may have run: " + one);
+            if (elsewhere && count(play.id, true) > 1) {
+                failures.add("went to another host though it may have run: " + one);
             }
         }
 
         /** MIXED: a host's seal goes with the status that the host gave, and never with an answer of the edge's own. */
-        private void judgeSeal(Case one, InjectedFault play, Message answer) {
+        private void checkSeal(Case one, InjectedFault play, Message answer) {
             String seal = answer == null ? null : answer.headers().get("origin-seal");
             if (seal != null && !seal.equals(FaultInjectingHost.seal(play.id, answer.status()))) {
-                faults.add("MIXED: " + answer.status() + " bears " + seal + ": " + one);
+                failures.add("MIXED: " + answer.status() + " bears " + seal + ": " + one);
             }
         }
 
         /** Where the other hosts serve. */
-        private int wanted(KnownOutcome known, boolean mutating, int status) {
+        private int expectedStatus(KnownOutcome known, boolean mutating, int status) {
             return switch (known) {
                 case SERVED, NOT_RUN -> 200;
                 case FAILED -> mutating ? 500 : 200;
-                case FAILED_ODDLY -> mutating ? FaultInjectingHost.ODD_STATUS : 200;
+                case FAILED_UNUSUAL_STATUS -> mutating ? FaultInjectingHost.UNUSUAL_STATUS : 200;
                 case UNKNOWN -> mutating ? 502 : 200;
                 case TIMED_OUT -> mutating ? 502 : 503;
                 case SERVED_OR_UNKNOWN -> status == 200 || status == 502 ? status : 200;
@@ -336,26 +345,26 @@
         }
 
         /** Where no host serves an idem request is refused, and a mutating one too if none ran it. */
-        private int wantedWhereAllEndSo(KnownOutcome known, boolean mutating, int status) {
+        private int expectedStatusIfAllHostsFail(KnownOutcome known, boolean mutating, int status) {
             return switch (known) {
                 case SERVED -> 200;
                 case NOT_RUN -> 503;
                 case SERVED_OR_UNKNOWN -> status == 200 ? 200 : mutating ? 502 : 503;
-                case FAILED, FAILED_ODDLY, UNKNOWN, TIMED_OUT, SERVED_OR_LATE, FAILED_OR_LATE ->
-                    mutating || status == 200 ? wanted(known, mutating, status) : 503;
+                case FAILED, FAILED_UNUSUAL_STATUS, UNKNOWN, TIMED_OUT, SERVED_OR_LATE, FAILED_OR_LATE ->
+                    mutating || status == 200 ? expectedStatus(known, mutating, status) : 503;
             };
         }
 
         /** TWICE and REFUSED, once all that was sent has come. */
-        void judgeAll() {
+        void checkMutatingRequests() {
             for (String id : mutatingIds) {
-                if (sum(id, false) > 1) {
-                    faults.add("TWICE: " + id);
+                if (count(id, false) > 1) {
+                    failures.add("TWICE: " + id);
                 }
             }
-            promised.forEach((id, status) -> {
-                if (sum(id, false) > 0) {
-                    faults.add("REFUSED: " + id + " ran and was answered " + status);
+            refusalStatusById.forEach((id, status) -> {
+                if (count(id, false) > 0) {
+                    failures.add("REFUSED: " + id + " ran and was answered " + status);
                 }
             });
         }
@@ -363,7 +372,7 @@
         @Override
         public void close() throws IOException {
             client.close();
-            between.close();
+            secondClient.close();
         }
     }
 }
--- a/src/test/java/tinworks/edge/AtMostOnceTest.java
+++ b/src/test/java/tinworks/edge/AtMostOnceTest.java
@@ -26,18 +26,18 @@
 /** The table of docs/design/at-most-once.md. */
 @Timeout(value = 240, unit = TimeUnit.SECONDS)
 class AtMostOnceTest {
-    private static final long LONGER_THAN_RESTED_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    private static final long IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
     @Test
-    void eachEndingAtEachByte() throws Exception {
-        Report report = AtMostOnceSweep.walk(
+    void everyEndingAtEveryByteKeepsTheRules() throws Exception {
+        Report report = AtMostOnceSweep.run(
                 new EdgeProtocol(1), AtMostOnceSweep.cases(Boolean.getBoolean("tinworks.walk.all"), one -> true));
-        System.out.println("at most once: " + report.played() + " cases, " + report.again() + " played again, "
+        System.out.println("at most once: " + report.cases() + " cases, " + report.retries() + " played again, "
                 + report.byEnding());
         assertEquals(
                 List.of(),
-                report.faults().subList(0, Math.min(20, report.faults().size())),
-                () -> report.faults().size() + " faults");
+                report.failures().subList(0, Math.min(20, report.failures().size())),
+                () -> report.failures().size() + " faults");
     }
 
     /**
@@ -80,15 +80,14 @@
 
     @ParameterizedTest
     @CsvSource({"refuses,MUTATING", "refuses,IDEM", "is silent,MUTATING", "is silent,IDEM", "resets amidst,MUTATING"})
-    void whatNeverArrivedWholeMayGoElsewhereAndIsRefusedWhereItCant(String how, Configuration.Type type)
-            throws Exception {
+    void incompleteRequestIsRetriedElsewhereOrElseRefused(String how, Configuration.Type type) throws Exception {
         String body = how.equals("resets amidst")
                 ? "0123456789abcdef".repeat(12 << 16)
                 : type == Configuration.Type.IDEM ? "" : "body";
         Map<String, String> asked = new ConcurrentHashMap<>();
         List<Socket> filling = new ArrayList<>();
         try (ServerSocket bad = unreachable(how, filling);
-                FaultInjectingHost good = new FaultInjectingHost("good", asked, FaultInjectingHost.faults());
+                FaultInjectingHost good = new FaultInjectingHost("good", asked, FaultInjectingHost.newFailureList());
                 EdgeFixture edge = new EdgeFixture(new EdgeProtocol(1));
                 Client client = edge.client()) {
             edge.host("bad", new InetSocketAddress("127.0.0.1", bad.getLocalPort()), true);
@@ -111,10 +110,10 @@
     /**
      * What an address says of a host that is gone: another one is there now; the runs there, and the client's answer.
      */
-    private static String atAnotherHostsAddress(EdgeProtocol style) throws Exception {
+    private static String requestToAReusedAddress(EdgeProtocol style) throws Exception {
         Map<String, String> asked = new ConcurrentHashMap<>();
         asked.put("a", "POST /m/a?q=%20a HTTP/1.1|body");
-        try (FaultInjectingHost now = new FaultInjectingHost("now", asked, FaultInjectingHost.faults());
+        try (FaultInjectingHost now = new FaultInjectingHost("now", asked, FaultInjectingHost.newFailureList());
                 EdgeFixture edge = new EdgeFixture(style);
                 Client client = edge.client()) {
             edge.host("gone", now.address(), true);
@@ -125,11 +124,11 @@
     }
 
     @Test
-    void aRequestIsRunByNoOtherHostAtTheAddress() throws Exception {
-        assertEquals("503, ran 0", atAnotherHostsAddress(new EdgeProtocol(1)));
+    void requestIsNotRunByAnotherHostAtAReusedAddress() throws Exception {
+        assertEquals("503, ran 0", requestToAReusedAddress(new EdgeProtocol(1)));
         assertEquals(
                 "200, ran 1",
-                atAnotherHostsAddress(new EdgeProtocol(1) {
+                requestToAReusedAddress(new EdgeProtocol(1) {
                     @Override
                     public FullHttpRequest forHost(FullHttpRequest request, String host, long timeoutNanos) {
                         FullHttpRequest sent = super.forHost(request, host, timeoutNanos);
@@ -144,17 +143,17 @@
      * The host forgets connections that rest without a word: the answer to what is asked once its connection has
      * rested.
      */
-    private static int afterARest(EdgeProtocol style, Configuration.Type type) throws Exception {
+    private static int statusAfterIdling(EdgeProtocol style, Configuration.Type type) throws Exception {
         Map<String, String> asked = new ConcurrentHashMap<>();
-        try (FaultInjectingHost host = new FaultInjectingHost("h", asked, FaultInjectingHost.faults());
+        try (FaultInjectingHost host = new FaultInjectingHost("h", asked, FaultInjectingHost.newFailureList());
                 EdgeFixture edge = new EdgeFixture(style);
                 Client client = edge.client()) {
-            host.forgets = true;
+            host.dropsIdleConnections = true;
             edge.host("h", host.address(), true);
             edge.route("m", type, 2, "h");
             client.write(EdgeFixture.request("a", "m", "body", 5_000, false));
             assertEquals(200, client.read().status());
-            for (long end = System.nanoTime() + LONGER_THAN_RESTED_NANOS; System.nanoTime() < end; ) {
+            for (long end = System.nanoTime() + IDLE_NANOS; System.nanoTime() < end; ) {
                 LockSupport.parkNanos(end - System.nanoTime());
             }
             client.write(EdgeFixture.request("b", "m", "body", 5_000, false));
@@ -163,11 +162,11 @@
     }
 
     @Test
-    void whatMayNotRunTwiceGoesOnNoConnectionThatRested() throws Exception {
-        assertEquals(200, afterARest(new EdgeProtocol(1), Configuration.Type.MUTATING));
+    void mutatingRequestIsNotSentOnAnIdleConnection() throws Exception {
+        assertEquals(200, statusAfterIdling(new EdgeProtocol(1), Configuration.Type.MUTATING));
         assertEquals(
                 502,
-                afterARest(
+                statusAfterIdling(
                         new EdgeProtocol(1) {
                             @Override
                             public long maxIdleNanos(String requestClass) {
@@ -189,7 +188,7 @@
         "408 Late,502",
         "cut,502"
     })
-    void theAnswerToAHeadBearsTheSealOfItsHostOnlyWithTheStatusThatItGave(String given, int wanted) throws Exception {
+    void headResponseCarriesTheHostsSealOnlyWithTheHostsStatus(String given, int wanted) throws Exception {
         try (ScriptedHost host = new ScriptedHost((socket, request) -> {
                     String head = "HTTP/1.1 " + (given.equals("cut") ? "500 Failed" : given)
                             + "\r\nContent-Length: 9\r\nAttempt-Id: h\r\nOrigin-Seal: s\r\n";
--- a/src/test/java/tinworks/edge/BlockedLoopTest.java
+++ b/src/test/java/tinworks/edge/BlockedLoopTest.java
@@ -24,7 +24,7 @@
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class BlockedLoopTest {
     private static final long BLOCK_MILLIS = 400;
-    private static final long SLACK_MILLIS = 250;
+    private static final long TOLERANCE_MILLIS = 250;
     private static final long LONG_TIMEOUT_MILLIS = 5_000;
     private static final long SHORT_TIMEOUT_MILLIS = 300;
     private static final int CLIENTS = 20;
@@ -39,7 +39,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        host = new ScriptedHost(this::work);
+        host = new ScriptedHost(this::serve);
         start(true);
     }
 
@@ -60,7 +60,7 @@
     }
 
     /** Serves what may take long, and is silent to all else. */
-    private void work(java.net.Socket socket, ScriptedHost.Message request) throws java.io.IOException {
+    private void serve(java.net.Socket socket, ScriptedHost.Message request) throws java.io.IOException {
         String id = request.header("Attempt-Id");
         deadlines.put(id, Long.parseLong(request.header("Deadline-Ms")));
         if (request.firstLine().contains("/long/")) {
@@ -76,7 +76,7 @@
     /**
      * Keeps the event loop at other work; the work has begun when this returns, and ends so long after the latch opens.
      */
-    private CountDownLatch block() throws InterruptedException {
+    private CountDownLatch blockLoop() throws InterruptedException {
         CountDownLatch begun = new CountDownLatch(1);
         CountDownLatch sent = new CountDownLatch(1);
         edge.loop.execute(() -> {
@@ -93,7 +93,7 @@
     }
 
     /** A connection that the edge has taken in and read from. */
-    private Client used(String id) throws Exception {
+    private Client usedConnection(String id) throws Exception {
         Client client = edge.client();
         client.write(request(id, "long"));
         assertEquals(200, client.read().status());
@@ -101,10 +101,10 @@
     }
 
     @Test
-    void theTimeThatARequestLayUnreadIsTakenOffItsTimeOut() throws Exception {
-        try (Client used = used("first");
-                Client other = used("other")) {
-            CountDownLatch sent = block();
+    void queueingDelayIsDeductedFromTheTimeout() throws Exception {
+        try (Client used = usedConnection("first");
+                Client other = usedConnection("other")) {
+            CountDownLatch sent = blockLoop();
             used.write(request("a", "long"));
             other.write(request("b", "short"));
             Client fresh = edge.client();
@@ -127,11 +127,11 @@
     }
 
     @Test
-    void whereTheClockKnowsNoLagTheHostIsGivenTimeThatHasPassed() throws Exception {
+    void withoutLagMeasurementTheHostIsGivenElapsedTime() throws Exception {
         edge.close();
         start(false);
-        try (Client used = used("first")) {
-            CountDownLatch sent = block();
+        try (Client used = usedConnection("first")) {
+            CountDownLatch sent = blockLoop();
             used.write(request("a", "long"));
             sent.countDown();
             assertEquals(200, used.read().status());
@@ -142,10 +142,10 @@
     }
 
     @Test
-    void whatATimeOutPassedForIsAnsweredAtOnceWhenTheLoopComesRound() throws Exception {
+    void timedOutRequestsAreAnsweredAsSoonAsTheLoopResumes() throws Exception {
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(used("first-" + i));
+            clients.add(usedConnection("first-" + i));
         }
         for (int i = 0; i < CLIENTS; i++) {
             clients.get(i).write(request("out-" + i, "short"));
@@ -154,7 +154,7 @@
         while (deadlines.keySet().stream().filter(id -> id.startsWith("out-")).count() < HOSTS / 2) {
             TimeUnit.MILLISECONDS.sleep(1);
         }
-        CountDownLatch sent = block();
+        CountDownLatch sent = blockLoop();
         sent.countDown();
         edge.loop.submit(() -> {}).sync();
         long round = System.nanoTime();
@@ -165,15 +165,15 @@
             client.close();
         }
         System.out.println("answered after the loop came round: " + worst + " ms at most");
-        assertTrue(worst <= SLACK_MILLIS, "answered " + worst + " ms after the loop came round");
+        assertTrue(worst <= TOLERANCE_MILLIS, "answered " + worst + " ms after the loop came round");
     }
 
     /** On a starved edge: at other work for most of the time. How long past its time-out a request is held at most. */
     @Test
-    void onAStarvedEdgeNothingIsHeldForMuchMoreThanOneTurnPastItsTimeOut() throws Exception {
+    void starvedLoopHoldsNoRequestMuchLongerThanOneTurnPastItsTimeout() throws Exception {
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(used("first-" + i));
+            clients.add(usedConnection("first-" + i));
         }
         edge.loop.scheduleWithFixedDelay(
                 () -> {
@@ -190,7 +190,7 @@
         List<Long> held = java.util.Collections.synchronizedList(new ArrayList<>());
         for (int i = 0; i < CLIENTS; i++) {
             int number = i;
-            asking.add(new Thread(() -> ask(clients.get(number), number, held)));
+            asking.add(new Thread(() -> sendRequests(clients.get(number), number, held)));
         }
         asking.forEach(Thread::start);
         for (Thread one : asking) {
@@ -199,10 +199,10 @@
         long worst = held.stream().mapToLong(Long::longValue).max().orElseThrow() - SHORT_TIMEOUT_MILLIS;
         System.out.println("held past the time-out on a starved edge: " + worst + " ms at most of " + held.size());
         assertEquals(CLIENTS * ROUNDS, held.size());
-        assertTrue(worst <= STARVED_BLOCK_MILLIS + SLACK_MILLIS, "held " + worst + " ms past its time-out");
+        assertTrue(worst <= STARVED_BLOCK_MILLIS + TOLERANCE_MILLIS, "held " + worst + " ms past its time-out");
     }
 
-    private void ask(Client client, int number, List<Long> held) {
+    private void sendRequests(Client client, int number, List<Long> held) {
         try (client) {
             for (int round = 0; round < ROUNDS; round++) {
                 // At any point of the loop's turn.
--- a/src/test/java/tinworks/edge/ConnectionDrainingTest.java
+++ b/src/test/java/tinworks/edge/ConnectionDrainingTest.java
@@ -25,14 +25,14 @@
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class ConnectionDrainingTest {
     /** More than the buffers of a connection hold whose reader takes little. */
-    private static final int LARGE_BODY = 12 << 20;
+    private static final int LARGE_BODY_BYTES = 12 << 20;
 
-    private static final int SMALL_BUFFER = 4_096;
+    private static final int SMALL_BUFFER_BYTES = 4_096;
 
     private static final String SERVED = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nOrigin-Seal: s\r\nAttempt-Id: ";
 
     @Test
-    void whatWasReadBehindAnOpenRequestGetsItsAnswerToo() throws Exception {
+    void pipelinedRequestsAreAnsweredBeforeTheConnectionCloses() throws Exception {
         CompletableFuture<Socket> held = new CompletableFuture<>();
         try (ScriptedHost host = new ScriptedHost((socket, request) -> {
                     String id = request.header("Attempt-Id");
@@ -49,7 +49,7 @@
             client.write(EdgeFixture.request("a", "m", "x", 9_000, false)
                     + EdgeFixture.request("b", "m", "y", 9_000, false)
                     + EdgeFixture.request("c", "m", "zz", 9_000, true));
-            Socket at = held.get(EdgeFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+            Socket at = held.get(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS);
             edge.tell(new ShutdownStarted(TimeUnit.SECONDS.toNanos(5)));
             NodeProcess.run(edge.loop, edge.clients::closeAfterNextResponse);
             NodeProcess.run(edge.loop, edge.clients::stopAccepting);
@@ -70,17 +70,17 @@
      * out.
      */
     @Test
-    void anAnswerThatItsClientReadsSlowlyIsNotCutWhenTheEdgeStopsAccepting() throws Exception {
+    void slowlyReadResponseIsNotCutWhenTheEdgeStopsAccepting() throws Exception {
         try (ScriptedHost host = new ScriptedHost((socket, request) -> ScriptedHost.write(
                         socket,
-                        "HTTP/1.1 200 OK\r\nContent-Length: " + LARGE_BODY
-                                + "\r\nOrigin-Seal: s\r\nAttempt-Id: a\r\n\r\n" + "x".repeat(LARGE_BODY)));
+                        "HTTP/1.1 200 OK\r\nContent-Length: " + LARGE_BODY_BYTES
+                                + "\r\nOrigin-Seal: s\r\nAttempt-Id: a\r\n\r\n" + "x".repeat(LARGE_BODY_BYTES)));
                 EdgeFixture edge = new EdgeFixture(new EdgeProtocol(1));
                 Socket client = new Socket()) {
             edge.host("h", host.address(), true);
             edge.route("i", Configuration.Type.IDEM, 2, "h");
-            client.setReceiveBufferSize(SMALL_BUFFER);
-            client.setSoTimeout(EdgeFixture.PATIENCE_MILLIS);
+            client.setReceiveBufferSize(SMALL_BUFFER_BYTES);
+            client.setSoTimeout(EdgeFixture.WAIT_MILLIS);
             client.connect(NodeProcess.call(edge.loop, edge.clients::address));
             client.getOutputStream()
                     .write(EdgeFixture.request("a", "i", "", 9_000, false).getBytes(StandardCharsets.US_ASCII));
@@ -94,7 +94,7 @@
                     "the process lives on until it has gone out");
             Message answer = Message.read(in, true);
             assertNotNull(answer, "cut");
-            assertEquals(LARGE_BODY, answer.body().length());
+            assertEquals(LARGE_BODY_BYTES, answer.body().length());
             assertEquals(-1, in.read(), "its connection ends behind it");
             assertFalse(NodeProcess.call(edge.loop, edge.clients::hasConnections));
         }
--- a/src/test/java/tinworks/edge/CoreFollowerTest.java
+++ b/src/test/java/tinworks/edge/CoreFollowerTest.java
@@ -26,14 +26,14 @@
 
 /** What an edge takes from core machines of which some were cut off, frozen, or have just begun to lead. */
 class CoreFollowerTest implements CoreFollower.Callbacks {
-    private final List<Long> read = new ArrayList<>();
+    private final List<Long> decodedVersions = new ArrayList<>();
     private final Core core = new Core();
     private long now = 10_000;
     private CoreFollower edge = new CoreFollower(this);
 
     /** A core machine, as far as this edge sees it. */
     private static final class Core implements Conversation {
-        final List<Signal> asked = new ArrayList<>();
+        final List<Signal> requests = new ArrayList<>();
 
         @Override
         public Hello peer() {
@@ -52,7 +52,7 @@
 
         @Override
         public void send(Signal signal) {
-            asked.add(signal);
+            requests.add(signal);
         }
 
         @Override
@@ -68,7 +68,7 @@
 
     @Override
     public void decode(long rev, Callable<Configuration> version) {
-        read.add(rev);
+        decodedVersions.add(rev);
     }
 
     @Override
@@ -90,52 +90,52 @@
         return new HostListVersion(term, count);
     }
 
-    private void leader(long term, long rev, HostListVersion list, String... cores) {
+    private void leaderAnnounces(long term, long rev, HostListVersion list, String... cores) {
         edge.received(core, new Announce(term, rev, list, true, true, List.of(cores), cores.length * 3));
     }
 
-    private void follower(long term, long rev, HostListVersion list, boolean fresh) {
+    private void followerAnnounces(long term, long rev, HostListVersion list, boolean fresh) {
         edge.received(core, new Announce(term, rev, list, fresh, false, List.of("f:1"), 1));
     }
 
-    private boolean use(long rev) {
+    private boolean apply(long rev) {
         return edge.apply(new Configuration(rev, List.of(), Map.of(), Limits.USUAL));
     }
 
-    private void list(long term, long count) {
+    private void receiveHosts(long term, long count) {
         edge.received(core, new Hosts(new HostList(hosts(term, count), List.of())));
     }
 
     @Test
-    void findsItsWayPastACoreMachineThatIsCutOff() {
-        follower(1, 3, HostListVersion.NONE, false);
+    void findsTheClusterPastAPartitionedCoreNode() {
+        followerAnnounces(1, 3, HostListVersion.NONE, false);
         assertEquals(Set.of("f:1", "s:1"), edge.addressesToDial(List.of("s:1")));
-        leader(2, 4, HostListVersion.NONE, "a:1", "b:1");
+        leaderAnnounces(2, 4, HostListVersion.NONE, "a:1", "b:1");
         assertEquals(Set.of("a:1", "b:1"), edge.addressesToDial(List.of("s:1")));
     }
 
     @Test
-    void anEdgeThatStartsWaitsForTheNewestVersionsByTheLeadersLease() {
-        follower(2, 4, hosts(2, 5), false);
-        use(4);
-        list(2, 5);
+    void startingEdgeWaitsForTheNewestVersionsUnderTheLeaderLease() {
+        followerAnnounces(2, 4, hosts(2, 5), false);
+        apply(4);
+        receiveHosts(2, 5);
         assertFalse(edge.mayServe(), "who tells of 4 may be behind");
-        follower(3, 7, hosts(3, 1), true);
+        followerAnnounces(3, 7, hosts(3, 1), true);
         assertFalse(edge.mayServe());
-        use(7);
+        apply(7);
         assertFalse(edge.mayServe(), "its list of hosts is an older one");
-        list(3, 1);
+        receiveHosts(3, 1);
         assertTrue(edge.mayServe());
-        leader(3, 9, hosts(3, 2), "a:1");
+        leaderAnnounces(3, 9, hosts(3, 2), "a:1");
         assertTrue(edge.mayServe() && edge.hasBeenUpToDate(), "a later version makes no ready edge unready");
     }
 
     @Test
-    void withoutTheCoresWordItServesWithAnOldVersionAfterThreeSeconds() {
-        follower(2, 4, hosts(2, 5), false);
-        use(4);
+    void servesWithAnOldVersionAfterThreeSecondsWithoutLeaderContact() {
+        followerAnnounces(2, 4, hosts(2, 5), false);
+        apply(4);
         now += 3_000;
-        follower(2, 4, hosts(2, 5), false);
+        followerAnnounces(2, 4, hosts(2, 5), false);
         assertFalse(edge.mayServe());
         now += 1;
         assertTrue(edge.mayServe(), "better than nothing");
@@ -143,11 +143,11 @@
     }
 
     @Test
-    void whereTheCoreSpeaksItWaitsLongerForWhatItKnowsToBeNewer() {
-        follower(2, 4, hosts(2, 5), false);
-        use(4);
+    void waitsLongerForANewerVersionWhileTheLeaderIsInContact() {
+        followerAnnounces(2, 4, hosts(2, 5), false);
+        apply(4);
         for (int i = 0; i < 10; i++) {
-            leader(3, 9, hosts(3, 1), "a:1");
+            leaderAnnounces(3, 9, hosts(3, 1), "a:1");
             assertFalse(edge.mayServe(), i + " s");
             now += 1_000;
         }
@@ -156,22 +156,22 @@
     }
 
     @Test
-    void anEdgeInServiceNeverGoesBackInAnyVersion() {
-        leader(6, 9, hosts(6, 2), "a:1");
-        assertTrue(use(9));
-        list(6, 2);
-        core.asked.clear();
+    void servingEdgeNeverGoesBackToAnOlderVersion() {
+        leaderAnnounces(6, 9, hosts(6, 2), "a:1");
+        assertTrue(apply(9));
+        receiveHosts(6, 2);
+        core.requests.clear();
         now += 500;
         for (int i = 0; i < 40; i++) {
             now += 1_000;
-            follower(5, 4, hosts(5, 900), false);
-            leader(5, 4, hosts(5, 901), "z:1");
+            followerAnnounces(5, 4, hosts(5, 900), false);
+            leaderAnnounces(5, 4, hosts(5, 901), "z:1");
         }
         edge.received(core, new ConfigurationBody(4, new byte[0]));
-        list(5, 901);
-        assertFalse(use(4));
-        assertEquals(List.of(), core.asked);
-        assertEquals(List.of(), read);
+        receiveHosts(5, 901);
+        assertFalse(apply(4));
+        assertEquals(List.of(), core.requests);
+        assertEquals(List.of(), decodedVersions);
         assertEquals(9, edge.rev());
         assertTrue(edge.hostList().version().is(hosts(6, 2)));
         assertTrue(edge.isCoreUnreachable(), "only an old leader speaks");
@@ -181,24 +181,24 @@
      * Whether what an old leader said before it was frozen, and what comes only now, is taken for the present leader's
      * word.
      */
-    private boolean heedsAnOldLeader(CoreFollower follower) {
+    private boolean acceptsADeposedLeader(CoreFollower follower) {
         edge = follower;
-        leader(6, 9, hosts(6, 1), "a:1", "b:1");
+        leaderAnnounces(6, 9, hosts(6, 1), "a:1", "b:1");
         assertEquals(6, edge.edgeCount());
         now += 2_000;
-        leader(5, 9, hosts(6, 1), "z:1");
+        leaderAnnounces(5, 9, hosts(6, 1), "z:1");
         return edge.edgeCount() != 6
                 || !edge.addressesToDial(List.of()).equals(Set.of("a:1", "b:1"))
                 || edge.millisSinceLeaderContact() < 2_000;
     }
 
     @Test
-    void anOldLeadersWordThatComesLateCountsForNothing() {
-        assertFalse(heedsAnOldLeader(new CoreFollower(this)));
+    void delayedAnnouncementOfADeposedLeaderIsIgnored() {
+        assertFalse(acceptsADeposedLeader(new CoreFollower(this)));
         assertTrue(
-                heedsAnOldLeader(new CoreFollower(this) {
+                acceptsADeposedLeader(new CoreFollower(this) {
                     @Override
-                    boolean isOld(Announce s) {
+                    boolean isFromEarlierTerm(Announce s) {
                         return false;
                     }
                 }),
@@ -206,18 +206,18 @@
     }
 
     @Test
-    void aTermCountsOnlyOnceItsLeaderHasSpoken() {
-        leader(6, 9, hosts(6, 1), "a:1");
-        follower(8, 4, hosts(5, 1), false);
+    void termCountsOnlyOnceItsLeaderHasAnnouncedItself() {
+        leaderAnnounces(6, 9, hosts(6, 1), "a:1");
+        followerAnnounces(8, 4, hosts(5, 1), false);
         now += 1_000;
-        leader(6, 9, hosts(6, 1), "a:1", "b:1");
+        leaderAnnounces(6, 9, hosts(6, 1), "a:1", "b:1");
         assertEquals(0, edge.millisSinceLeaderContact(), "a machine that is cut off has raised its own term");
         assertEquals(Set.of("a:1", "b:1"), edge.addressesToDial(List.of()));
     }
 
     @Test
-    void whatIsNewerIsAskedForWhoeverTellsOfIt() {
-        follower(5, 4, hosts(5, 1), false);
-        assertEquals(List.of(new PullConfiguration(0), new PullHosts(HostListVersion.NONE)), core.asked);
+    void newerVersionIsPulledFromAnyCoreNode() {
+        followerAnnounces(5, 4, hosts(5, 1), false);
+        assertEquals(List.of(new PullConfiguration(0), new PullHosts(HostListVersion.NONE)), core.requests);
     }
 }
--- a/src/test/java/tinworks/edge/DrainedHostsTest.java
+++ b/src/test/java/tinworks/edge/DrainedHostsTest.java
@@ -16,20 +16,21 @@
     }
 
     @Test
-    void aHostOnceDrainingNeverComesBackUnderItsIdWhateverAnOlderListSays() {
-        assertFalse(drained.kept(host("i-1", false)).draining());
-        assertTrue(drained.kept(host("i-1", true)).draining());
+    void drainingHostStaysDrainingDespiteAnOlderList() {
+        assertFalse(drained.withDrainingKept(host("i-1", false)).draining());
+        assertTrue(drained.withDrainingKept(host("i-1", true)).draining());
         assertTrue(
-                drained.kept(host("i-1", false)).draining(), "told by a machine that had died and holds an older list");
-        assertEquals(host("i-2", false), drained.kept(host("i-2", false)));
+                drained.withDrainingKept(host("i-1", false)).draining(),
+                "told by a machine that had died and holds an older list");
+        assertEquals(host("i-2", false), drained.withDrainingKept(host("i-2", false)));
     }
 
     @Test
-    void onlyTheNewestAreRemembered() {
+    void onlyTheLatestHostsAreRemembered() {
         for (int i = 0; i < 10_000; i++) {
-            drained.kept(host("i-" + i, true));
+            drained.withDrainingKept(host("i-" + i, true));
         }
-        assertFalse(drained.kept(host("i-0", false)).draining());
-        assertTrue(drained.kept(host("i-9999", false)).draining());
+        assertFalse(drained.withDrainingKept(host("i-0", false)).draining());
+        assertTrue(drained.withDrainingKept(host("i-9999", false)).draining());
     }
 }
--- a/src/test/java/tinworks/edge/EdgeFixture.java
+++ b/src/test/java/tinworks/edge/EdgeFixture.java
@@ -41,11 +41,11 @@
  * test.
  */
 final class EdgeFixture implements AutoCloseable, Forwarding.Callbacks {
-    static final int PATIENCE_MILLIS = 20_000;
+    static final int WAIT_MILLIS = 20_000;
     static final long LONG_MILLIS = 15_000;
     static final String DOMAIN = "x.example";
     private static final int CONNECTIONS = 2_048;
-    private static final int LARGEST = 16 << 20;
+    private static final int MAX_BODY_BYTES = 16 << 20;
     private static final long DIAL_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
     private static final long LONG_NANOS = TimeUnit.MILLISECONDS.toNanos(LONG_MILLIS);
 
@@ -55,7 +55,7 @@
     final GatewayClock clock;
     final HostPool pool;
     final ClientServer clients;
-    private final EdgeProtocol style;
+    private final EdgeProtocol protocol;
     private final Map<String, Forwarding> services = new HashMap<>();
     private final RequestRouter requests;
     private final List<Route> routes = new ArrayList<>();
@@ -69,16 +69,20 @@
 
     /** One whose clock knows, or doesn't, how far the event loop is behind. */
     EdgeFixture(EdgeProtocol style, boolean watched) {
-        this.style = style;
+        this.protocol = style;
         clock = watched ? new GatewayClock(lag::nanos) : new GatewayClock();
         pool = new HostPool(
-                loop, Transport.TCP, clock, new HostPool.Bounds(DIAL_NANOS, LONG_NANOS, CONNECTIONS, LARGEST), style);
+                loop,
+                Transport.TCP,
+                clock,
+                new HostPool.Bounds(DIAL_NANOS, LONG_NANOS, CONNECTIONS, MAX_BODY_BYTES),
+                style);
         requests = new RequestRouter(clock, new SplittableRandom(1), style, services);
         clients = new ClientServer(
                 loop,
                 Transport.TCP,
                 clock,
-                new ClientServer.Bounds(CONNECTIONS, LONG_NANOS, 0, Limits.USUAL.hdrBytes(), LARGEST, null),
+                new ClientServer.Bounds(CONNECTIONS, LONG_NANOS, 0, Limits.USUAL.hdrBytes(), MAX_BODY_BYTES, null),
                 requests);
         NodeProcess.run(loop, () -> clients.listen(new InetSocketAddress("127.0.0.1", 0)));
         NodeProcess.call(loop, () -> clients.address().getPort());
@@ -128,7 +132,7 @@
                     ServiceSettings.settings(ServiceSettings.classes(one).get(name), 1, ""),
                     name.hashCode(),
                     pool,
-                    style,
+                    protocol,
                     this);
             Forwarding old = services.put(name, made);
             if (old == null) {
@@ -136,8 +140,8 @@
                 if (type == Configuration.Type.MUTATING) {
                     mutating.add(ServiceSettings.className(route));
                 }
-                requests.use(new RouteTable(routes));
-                style.mutating(mutating);
+                requests.setRoutes(new RouteTable(routes));
+                protocol.setMutatingClasses(mutating);
             } else {
                 old.close();
             }
@@ -180,7 +184,7 @@
             clients.close();
             pool.close();
         });
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(PATIENCE_MILLIS);
+        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(WAIT_MILLIS);
     }
 
     /** A request with a body, or a GET without one. */
@@ -249,7 +253,7 @@
         Client(int port) throws IOException {
             socket = new Socket("127.0.0.1", port);
             socket.setTcpNoDelay(true);
-            socket.setSoTimeout(PATIENCE_MILLIS);
+            socket.setSoTimeout(WAIT_MILLIS);
             in = new BufferedInputStream(socket.getInputStream());
         }
 
--- a/src/test/java/tinworks/edge/EdgeTest.java
+++ b/src/test/java/tinworks/edge/EdgeTest.java
@@ -25,14 +25,14 @@
 
 /** Routes, and how requests and answers look at an edge. */
 class EdgeTest {
-    private final EdgeProtocol style = new EdgeProtocol(1);
+    private final EdgeProtocol protocol = new EdgeProtocol(1);
 
     private static Route route(String name, String domain, String prefix) {
         return new Route(name, domain, prefix, Configuration.Type.IDEM, 1000, 300, 1, List.of(new Split("s", 1)), 2);
     }
 
     @Test
-    void theLongestPrefixOfTheDomainIsTheRoute() {
+    void longestPrefixWithinTheDomainWins() {
         RouteTable table = new RouteTable(List.of(
                 route("a", "x.example", "/"),
                 route("b", "x.example", "/p/"),
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void findingARouteDoesNotSlowDownWithRoutes() {
+    void lookupTimeDoesNotGrowWithTheNumberOfRoutes() {
         List<Route> routes = new ArrayList<>();
         for (int i = 0; i < 100_000; i++) {
             routes.add(route("r" + i, "x.example", "/p" + i + "/"));
@@ -64,7 +64,7 @@
         assertFalse(System.nanoTime() - started > TimeUnit.SECONDS.toNanos(20));
     }
 
-    private static HttpResponse answer(int status, String... headers) {
+    private static HttpResponse response(int status, String... headers) {
         HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
         for (int i = 0; i < headers.length; i += 2) {
             answer.headers().add(headers[i], headers[i + 1]);
@@ -73,26 +73,28 @@
     }
 
     @Test
-    void onlyTheHostsOwnWholeAnswerToThisRequestServes() {
-        assertEquals(Outcome.SERVED, style.outcome("id", answer(200, "Origin-Seal", "s", "Attempt-Id", "id"), true));
-        assertEquals(Outcome.SERVED, style.outcome("id", answer(201, "Origin-Seal", "s"), true));
-        assertEquals(Outcome.ERROR, style.outcome("id", answer(200, "Origin-Seal", "s"), false));
-        assertEquals(Outcome.ERROR, style.outcome("id", answer(200), true));
+    void onlyACompleteSealedResponseCountsAsServed() {
         assertEquals(
-                Outcome.ERROR, style.outcome("id", answer(200, "Origin-Seal", "s", "Content-Encoding", "gzip"), true));
+                Outcome.SERVED, protocol.outcome("id", response(200, "Origin-Seal", "s", "Attempt-Id", "id"), true));
+        assertEquals(Outcome.SERVED, protocol.outcome("id", response(201, "Origin-Seal", "s"), true));
+        assertEquals(Outcome.ERROR, protocol.outcome("id", response(200, "Origin-Seal", "s"), false));
+        assertEquals(Outcome.ERROR, protocol.outcome("id", response(200), true));
+        assertEquals(
+                Outcome.ERROR,
+                protocol.outcome("id", response(200, "Origin-Seal", "s", "Content-Encoding", "gzip"), true));
     }
 
     @Test
-    void onlyAHostsWordProvesThatItDidNotRunARequest() {
-        assertEquals(Outcome.FULL, style.outcome("id", answer(503, "Not-Run", "1"), true));
-        assertEquals(Outcome.CONNECT_FAILED, style.outcome("id", answer(421, "Not-Run", "1"), true));
-        assertFalse(style.outcome("id", answer(503), true).provesNotExecuted());
-        assertFalse(style.outcome("id", answer(429), true).provesNotExecuted());
-        assertFalse(style.outcome("id", answer(500), true).provesNotExecuted());
+    void onlyNotRunProvesThatAHostDidNotRunARequest() {
+        assertEquals(Outcome.FULL, protocol.outcome("id", response(503, "Not-Run", "1"), true));
+        assertEquals(Outcome.CONNECT_FAILED, protocol.outcome("id", response(421, "Not-Run", "1"), true));
+        assertFalse(protocol.outcome("id", response(503), true).provesNotExecuted());
+        assertFalse(protocol.outcome("id", response(429), true).provesNotExecuted());
+        assertFalse(protocol.outcome("id", response(500), true).provesNotExecuted());
     }
 
     @Test
-    void aRequestGoesOnWithWhatIsLeftOfItsTimeAndTheHostItIsFor() {
+    void requestIsForwardedWithItsRemainingTimeAndItsHost() {
         FullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1, HttpMethod.POST, "/p/?a=%20b", Unpooled.copiedBuffer(new byte[] {1, 2, 3}));
         request.headers()
@@ -107,7 +109,7 @@
                 .add("X-Bytes", "caf\u00e9")
                 .add("X-Two", "a")
                 .add("X-Two", "b");
-        FullHttpRequest sent = style.forHost(request, "i-9", TimeUnit.MILLISECONDS.toNanos(900));
+        FullHttpRequest sent = protocol.forHost(request, "i-9", TimeUnit.MILLISECONDS.toNanos(900));
         assertEquals("/p/?a=%20b", sent.uri());
         assertEquals("900", sent.headers().get("Deadline-Ms"));
         assertEquals(List.of("i-9"), sent.headers().getAll("Want-Host"));
@@ -120,14 +122,14 @@
     }
 
     @Test
-    void whatMustNotRunTwiceGoesOnAConnectionThatHasHardlyRested() {
-        style.mutating(Set.of("m"));
-        assertEquals(Long.MAX_VALUE, style.maxIdleNanos("i"));
-        assertFalse(style.maxIdleNanos("m") > TimeUnit.MILLISECONDS.toNanos(200));
+    void mutatingRequestNeedsARecentlyUsedConnection() {
+        protocol.setMutatingClasses(Set.of("m"));
+        assertEquals(Long.MAX_VALUE, protocol.maxIdleNanos("i"));
+        assertFalse(protocol.maxIdleNanos("m") > TimeUnit.MILLISECONDS.toNanos(200));
     }
 
     @Test
-    void aFreshEdgeIsNotReadyWithWhatAMachineTellsThatHearsNoLeader() {
+    void newEdgeIsNotReadyWithTheStateOfANodeWithoutLeaderContact() {
         FreshnessGate newest = new FreshnessGate();
         newest.announced(4, HostListVersion.NONE, false);
         newest.holds(4, HostListVersion.NONE);
--- a/src/test/java/tinworks/edge/EdgeWarmUpTest.java
+++ b/src/test/java/tinworks/edge/EdgeWarmUpTest.java
@@ -25,7 +25,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(5_000);
     }
 
-    private EdgeWarmUp.Result play(boolean clientThere) {
+    private EdgeWarmUp.Result warmUp(boolean clientThere) {
         CompletableFuture<EdgeWarmUp.Result> played = new CompletableFuture<>();
         NodeProcess.run(
                 loop, () -> new EdgeWarmUp(loop, new GatewayClock(), () -> clientThere, played::complete).start());
@@ -33,14 +33,14 @@
     }
 
     @Test
-    void itsRequestsAreServedThroughTheEdgesOwnParts() {
-        EdgeWarmUp.Result played = play(false);
-        assertTrue(played.answered() > 100, played.toString());
-        assertTrue(played.served() * 10 >= played.answered() * 9L, "nearly all by a host: " + played);
+    void requestsAreServedThroughTheEdgesComponents() {
+        EdgeWarmUp.Result played = warmUp(false);
+        assertTrue(played.responses() > 100, played.toString());
+        assertTrue(played.served() * 10 >= played.responses() * 9L, "nearly all by a host: " + played);
     }
 
     @Test
-    void itEndsWithTheFirstAnswerOnceAClientIsThere() {
-        assertEquals(1, play(true).answered());
+    void endsWithTheFirstResponseOnceAClientIsConnected() {
+        assertEquals(1, warmUp(true).responses());
     }
 }
