--- a/src/test/java/tinworks/edge/FaultInjectingHost.java
+++ b/src/test/java/tinworks/edge/FaultInjectingHost.java
@@ -28,7 +28,7 @@
     enum KnownOutcome {
         SERVED,
         FAILED,
-        FAILED_ODDLY,
+        FAILED_UNUSUAL_STATUS,
         NOT_RUN,
         UNKNOWN,
         TIMED_OUT,
@@ -38,10 +38,10 @@
     }
 
     private enum ConnectionAction {
-        STAYS,
+        KEEPS_OPEN,
         RESETS,
         CLOSES,
-        IS_SILENT
+        STOPS_RESPONDING
     }
 
     /** How the position is used: all is sent, in two parts; only so much is sent; or so much of the request is read. */
@@ -53,158 +53,198 @@
 
     /** The ways in which an attempt ends at a host that is reached. */
     enum AttemptEnding {
-        WHOLE(PositionKind.SPLIT, KnownOutcome.SERVED, true, FaultInjectingHost::own, ConnectionAction.STAYS),
+        WHOLE(
+                PositionKind.SPLIT,
+                KnownOutcome.SERVED,
+                true,
+                FaultInjectingHost::ownResponse,
+                ConnectionAction.KEEPS_OPEN),
         WHOLE_CHUNKED(
-                PositionKind.SPLIT, KnownOutcome.SERVED, true, FaultInjectingHost::chunked, ConnectionAction.STAYS),
+                PositionKind.SPLIT,
+                KnownOutcome.SERVED,
+                true,
+                FaultInjectingHost::chunkedResponse,
+                ConnectionAction.KEEPS_OPEN),
         WHOLE_LAST(
                 PositionKind.SPLIT,
                 KnownOutcome.SERVED,
                 false,
-                id -> answer(id, "200 OK", "Origin-Seal: s" + id + "\r\nConnection: close"),
-                ConnectionAction.STAYS),
-        HINTED(PositionKind.SPLIT, KnownOutcome.SERVED, true, id -> HINT + own(id), ConnectionAction.STAYS),
-        STRAY(PositionKind.SPLIT, KnownOutcome.SERVED, false, id -> own(other(id)) + own(id), ConnectionAction.STAYS),
+                id -> response(id, "200 OK", "Origin-Seal: s" + id + "\r\nConnection: close"),
+                ConnectionAction.KEEPS_OPEN),
+        HINTED(
+                PositionKind.SPLIT,
+                KnownOutcome.SERVED,
+                true,
+                id -> HINT + ownResponse(id),
+                ConnectionAction.KEEPS_OPEN),
+        STRAY(
+                PositionKind.SPLIT,
+                KnownOutcome.SERVED,
+                false,
+                id -> ownResponse(otherId(id)) + ownResponse(id),
+                ConnectionAction.KEEPS_OPEN),
         STRAY_PROMISE(
                 PositionKind.SPLIT,
                 KnownOutcome.SERVED,
                 false,
-                id -> answer(other(id), "503 Full", "Not-Run: 1") + own(id),
-                ConnectionAction.STAYS),
-        SURPLUS(PositionKind.CUT, KnownOutcome.SERVED, false, id -> own(other(id)), ConnectionAction.STAYS),
-        RESET(PositionKind.CUT, KnownOutcome.UNKNOWN, false, FaultInjectingHost::own, ConnectionAction.RESETS),
-        CLOSE(PositionKind.CUT, KnownOutcome.UNKNOWN, false, FaultInjectingHost::own, ConnectionAction.CLOSES),
+                id -> response(otherId(id), "503 Full", "Not-Run: 1") + ownResponse(id),
+                ConnectionAction.KEEPS_OPEN),
+        SURPLUS(
+                PositionKind.CUT,
+                KnownOutcome.SERVED,
+                false,
+                id -> ownResponse(otherId(id)),
+                ConnectionAction.KEEPS_OPEN),
+        RESET(PositionKind.CUT, KnownOutcome.UNKNOWN, false, FaultInjectingHost::ownResponse, ConnectionAction.RESETS),
+        CLOSE(PositionKind.CUT, KnownOutcome.UNKNOWN, false, FaultInjectingHost::ownResponse, ConnectionAction.CLOSES),
         CLOSE_CHUNKED(
-                PositionKind.CUT, KnownOutcome.UNKNOWN, false, FaultInjectingHost::chunked, ConnectionAction.CLOSES),
-        CLOSE_HINTED(PositionKind.CUT, KnownOutcome.UNKNOWN, false, id -> HINT + own(id), ConnectionAction.CLOSES),
-        SILENCE(PositionKind.CUT, KnownOutcome.TIMED_OUT, false, FaultInjectingHost::own, ConnectionAction.IS_SILENT),
-        STRAY_ALONE(PositionKind.CUT, KnownOutcome.UNKNOWN, false, id -> own(other(id)), ConnectionAction.CLOSES),
+                PositionKind.CUT,
+                KnownOutcome.UNKNOWN,
+                false,
+                FaultInjectingHost::chunkedResponse,
+                ConnectionAction.CLOSES),
+        CLOSE_HINTED(
+                PositionKind.CUT, KnownOutcome.UNKNOWN, false, id -> HINT + ownResponse(id), ConnectionAction.CLOSES),
+        SILENCE(
+                PositionKind.CUT,
+                KnownOutcome.TIMED_OUT,
+                false,
+                FaultInjectingHost::ownResponse,
+                ConnectionAction.STOPS_RESPONDING),
+        STRAY_ALONE(
+                PositionKind.CUT, KnownOutcome.UNKNOWN, false, id -> ownResponse(otherId(id)), ConnectionAction.CLOSES),
         STRAY_PROMISE_ALONE(
                 PositionKind.SPLIT,
                 KnownOutcome.UNKNOWN,
                 false,
-                id -> answer(other(id), "503 Full", "Not-Run: 1"),
+                id -> response(otherId(id), "503 Full", "Not-Run: 1"),
                 ConnectionAction.CLOSES),
         STRAY_MISDIRECTED_ALONE(
                 PositionKind.SPLIT,
                 KnownOutcome.UNKNOWN,
                 false,
-                id -> answer(other(id), "421 Other", "Not-Run: 1"),
+                id -> response(otherId(id), "421 Other", "Not-Run: 1"),
                 ConnectionAction.CLOSES),
         GARBLED(
                 PositionKind.CUT,
                 KnownOutcome.FAILED_OR_LATE,
                 false,
-                id -> begun(other(id), "200 OK\r\nOrigin-Seal: s" + id),
-                ConnectionAction.IS_SILENT),
+                id -> interleavedResponse(otherId(id), "200 OK\r\nOrigin-Seal: s" + id),
+                ConnectionAction.STOPS_RESPONDING),
         GARBLED_PROMISE(
                 PositionKind.CUT,
                 KnownOutcome.SERVED_OR_LATE,
                 false,
-                id -> begun(other(id), "503 Full\r\nNot-Run: 1"),
-                ConnectionAction.IS_SILENT),
-        GARBAGE(PositionKind.CUT, KnownOutcome.UNKNOWN, false, FaultInjectingHost::garbage, ConnectionAction.CLOSES),
+                id -> interleavedResponse(otherId(id), "503 Full\r\nNot-Run: 1"),
+                ConnectionAction.STOPS_RESPONDING),
+        GARBAGE(
+                PositionKind.CUT,
+                KnownOutcome.UNKNOWN,
+                false,
+                FaultInjectingHost::randomBytes,
+                ConnectionAction.CLOSES),
         NOT_RUN_503(
                 PositionKind.SPLIT,
                 KnownOutcome.NOT_RUN,
                 true,
-                id -> failure(id, "503 Full", "Not-Run: 1\r\nRetry-After: 1"),
-                ConnectionAction.STAYS),
+                id -> failureResponse(id, "503 Full", "Not-Run: 1\r\nRetry-After: 1"),
+                ConnectionAction.KEEPS_OPEN),
         NOT_RUN_429(
                 PositionKind.SPLIT,
                 KnownOutcome.NOT_RUN,
                 true,
-                id -> failure(id, "429 Full", "Not-Run: 1"),
-                ConnectionAction.STAYS),
+                id -> failureResponse(id, "429 Full", "Not-Run: 1"),
+                ConnectionAction.KEEPS_OPEN),
         NOT_RUN_400(
                 PositionKind.SPLIT,
                 KnownOutcome.NOT_RUN,
                 true,
-                id -> failure(id, "400 Bad", "Not-Run: 1"),
-                ConnectionAction.STAYS),
+                id -> failureResponse(id, "400 Bad", "Not-Run: 1"),
+                ConnectionAction.KEEPS_OPEN),
         MISDIRECTED(
                 PositionKind.SPLIT,
                 KnownOutcome.NOT_RUN,
                 true,
-                id -> failure(id, "421 Other", "Not-Run: 1"),
-                ConnectionAction.STAYS),
+                id -> failureResponse(id, "421 Other", "Not-Run: 1"),
+                ConnectionAction.KEEPS_OPEN),
         NOT_RUN_CUT(
                 PositionKind.CUT,
                 KnownOutcome.UNKNOWN,
                 false,
-                id -> answer(id, "503 Full", "Not-Run: 1"),
+                id -> response(id, "503 Full", "Not-Run: 1"),
                 ConnectionAction.CLOSES),
         NOT_RUN_RESET(
                 PositionKind.CUT,
                 KnownOutcome.UNKNOWN,
                 false,
-                id -> answer(id, "429 Full", "Not-Run: 1"),
+                id -> response(id, "429 Full", "Not-Run: 1"),
                 ConnectionAction.RESETS),
         MISDIRECTED_CUT(
                 PositionKind.CUT,
                 KnownOutcome.UNKNOWN,
                 false,
-                id -> answer(id, "421 Other", "Not-Run: 1"),
+                id -> response(id, "421 Other", "Not-Run: 1"),
                 ConnectionAction.CLOSES),
-        NOT_RUN_NOBODYS(
+        NOT_RUN_WITHOUT_ID(
                 PositionKind.SPLIT,
                 KnownOutcome.UNKNOWN,
                 false,
-                id -> answer("", "503 Full", "Not-Run: 1"),
-                ConnectionAction.STAYS),
+                id -> response("", "503 Full", "Not-Run: 1"),
+                ConnectionAction.KEEPS_OPEN),
         NOT_RUN_200(
                 PositionKind.SPLIT,
                 KnownOutcome.UNKNOWN,
                 true,
-                id -> answer(id, "200 OK", "Not-Run: 1\r\nOrigin-Seal: s" + id),
-                ConnectionAction.STAYS),
+                id -> response(id, "200 OK", "Not-Run: 1\r\nOrigin-Seal: s" + id),
+                ConnectionAction.KEEPS_OPEN),
         BUSY(
                 PositionKind.SPLIT,
                 KnownOutcome.UNKNOWN,
                 true,
-                id -> failure(id, "503 Busy", "Retry-After: 1"),
-                ConnectionAction.STAYS),
+                id -> failureResponse(id, "503 Busy", "Retry-After: 1"),
+                ConnectionAction.KEEPS_OPEN),
         TOO_MANY(
                 PositionKind.SPLIT,
                 KnownOutcome.UNKNOWN,
                 true,
-                id -> failure(id, "429 Busy", "Retry-After: 1"),
-                ConnectionAction.STAYS),
+                id -> failureResponse(id, "429 Busy", "Retry-After: 1"),
+                ConnectionAction.KEEPS_OPEN),
         TOO_LATE(
                 PositionKind.SPLIT,
                 KnownOutcome.UNKNOWN,
                 true,
-                id -> failure(id, "408 Late", "X-A: a"),
-                ConnectionAction.STAYS),
+                id -> failureResponse(id, "408 Late", "X-A: a"),
+                ConnectionAction.KEEPS_OPEN),
         FAILED(
                 PositionKind.SPLIT,
                 KnownOutcome.FAILED,
                 true,
-                id -> failure(id, "500 Failed", "X-A: a"),
-                ConnectionAction.STAYS),
+                id -> failureResponse(id, "500 Failed", "X-A: a"),
+                ConnectionAction.KEEPS_OPEN),
         FAILED_CUT(
                 PositionKind.CUT,
                 KnownOutcome.UNKNOWN,
                 false,
-                id -> failure(id, "500 Failed", "X-A: a"),
+                id -> failureResponse(id, "500 Failed", "X-A: a"),
                 ConnectionAction.CLOSES),
-        FAILED_ODDLY(
+        FAILED_UNUSUAL_STATUS(
                 PositionKind.SPLIT,
-                KnownOutcome.FAILED_ODDLY,
+                KnownOutcome.FAILED_UNUSUAL_STATUS,
                 true,
-                id -> failure(id, ODD_STATUS + " Odd", "X-A: a"),
-                ConnectionAction.STAYS),
+                id -> failureResponse(id, UNUSUAL_STATUS + " Odd", "X-A: a"),
+                ConnectionAction.KEEPS_OPEN),
         UNSEALED(
                 PositionKind.SPLIT,
                 KnownOutcome.UNKNOWN,
                 true,
-                id -> answer(id, "200 OK", "X-A: a"),
-                ConnectionAction.STAYS),
+                id -> response(id, "200 OK", "X-A: a"),
+                ConnectionAction.KEEPS_OPEN),
         ENCODED(
                 PositionKind.SPLIT,
                 KnownOutcome.UNKNOWN,
                 true,
-                id -> answer(id, "200 OK", "Content-Encoding: gzip\r\nOrigin-Seal: s" + id),
-                ConnectionAction.STAYS),
+                id -> response(id, "200 OK", "Content-Encoding: gzip\r\nOrigin-Seal: s" + id),
+                ConnectionAction.KEEPS_OPEN),
         UNFRAMED(
                 PositionKind.SPLIT,
                 KnownOutcome.UNKNOWN,
@@ -215,18 +255,23 @@
                 PositionKind.REQUEST,
                 KnownOutcome.UNKNOWN,
                 false,
-                id -> ".".repeat(LONGEST_REQUEST),
+                id -> ".".repeat(MAX_REQUEST_BYTES),
                 ConnectionAction.RESETS),
-        LEFT(PositionKind.CUT, KnownOutcome.UNKNOWN, false, FaultInjectingHost::own, ConnectionAction.IS_SILENT);
+        CLIENT_DISCONNECTED(
+                PositionKind.CUT,
+                KnownOutcome.UNKNOWN,
+                false,
+                FaultInjectingHost::ownResponse,
+                ConnectionAction.STOPS_RESPONDING);
 
-        private final PositionKind at;
-        private final KnownOutcome known;
-        private final boolean lives;
+        private final PositionKind positionKind;
+        private final KnownOutcome knownOutcome;
+        private final boolean reusable;
 
         @SuppressWarnings("ImmutableEnumChecker") // Each of the functions is a lambda without state.
-        private final Function<String, String> text;
+        private final Function<String, String> responseText;
 
-        private final ConnectionAction then;
+        private final ConnectionAction connectionAction;
 
         AttemptEnding(
                 PositionKind at,
@@ -234,48 +279,48 @@
                 boolean lives,
                 Function<String, String> text,
                 ConnectionAction then) {
-            this.at = at;
-            this.known = known;
-            this.lives = lives;
-            this.text = text;
-            this.then = then;
+            this.positionKind = at;
+            this.knownOutcome = known;
+            this.reusable = lives;
+            this.responseText = text;
+            this.connectionAction = then;
         }
 
         /** The positions are from 0, below this. */
         int positions() {
-            return text.apply(ID).length() + (at == PositionKind.CUT ? 1 : 0);
+            return responseText.apply(ID).length() + (positionKind == PositionKind.CUT ? 1 : 0);
         }
 
         /** What can be known where it ends at this position; what is cut at its end is whole. */
-        KnownOutcome known(int position) {
-            if (at != PositionKind.CUT || position < positions() - 1) {
-                return known;
+        KnownOutcome knownOutcome(int position) {
+            if (positionKind != PositionKind.CUT || position < positions() - 1) {
+                return knownOutcome;
             }
             return switch (this) {
                 case CLOSE, CLOSE_CHUNKED, CLOSE_HINTED, SILENCE -> KnownOutcome.SERVED;
                 case FAILED_CUT -> KnownOutcome.FAILED;
                 case RESET -> KnownOutcome.SERVED_OR_UNKNOWN;
                 case NOT_RUN_CUT, MISDIRECTED_CUT, NOT_RUN_RESET -> KnownOutcome.NOT_RUN;
-                default -> known;
+                default -> knownOutcome;
             };
         }
 
         /** Whether the connection carries on. */
-        boolean lives(int position) {
-            return lives || (this == SURPLUS && position == 0);
+        boolean leavesConnectionReusable(int position) {
+            return reusable || (this == SURPLUS && position == 0);
         }
 
         /** Whether it can be played at more hosts than one: the edge goes on to another. */
-        boolean mayBeEverywhere() {
-            return at != PositionKind.REQUEST && this != LEFT && !waitsLong();
+        boolean canRepeatAtEachHost() {
+            return positionKind != PositionKind.REQUEST && this != CLIENT_DISCONNECTED && !waitsForDeadline();
         }
 
         boolean isCut() {
-            return at != PositionKind.SPLIT;
+            return positionKind != PositionKind.SPLIT;
         }
 
         /** Whether the client must wait out its deadline. */
-        boolean waitsLong() {
+        boolean waitsForDeadline() {
             return this == SILENCE || this == GARBLED || this == GARBLED_PROMISE;
         }
     }
@@ -289,9 +334,9 @@
         /** The host has done its part, and seen its connection closed where it waited for that. */
         final CountDownLatch done = new CountDownLatch(1);
         /** Each host that it reaches ends it so, not only the first. */
-        private final boolean everywhere;
+        private final boolean atEachHost;
 
-        private final AtomicBoolean taken = new AtomicBoolean();
+        private final AtomicBoolean claimed = new AtomicBoolean();
         volatile FaultInjectingHost host;
         volatile Connection connection;
         volatile boolean reused;
@@ -300,12 +345,12 @@
             this.ending = ending;
             this.position = position;
             this.id = id;
-            this.everywhere = everywhere;
+            this.atEachHost = everywhere;
         }
 
-        private boolean take(FaultInjectingHost at, Connection on) {
-            if (!taken.compareAndSet(false, true)) {
-                return everywhere;
+        private boolean claim(FaultInjectingHost at, Connection on) {
+            if (!claimed.compareAndSet(false, true)) {
+                return atEachHost;
             }
             host = at;
             connection = on;
@@ -313,8 +358,8 @@
             return true;
         }
 
-        boolean isTaken() {
-            return taken.get();
+        boolean isClaimed() {
+            return claimed.get();
         }
     }
 
@@ -323,9 +368,9 @@
         final Socket socket;
         private int requests;
         /** What makes it unfit for another request, or null. */
-        private volatile String spoiltBy;
+        private volatile String unusableSince;
 
-        private volatile long lastUsed = System.nanoTime();
+        private volatile long lastUsedNanos = System.nanoTime();
 
         Connection(Socket socket) {
             this.socket = socket;
@@ -333,35 +378,35 @@
     }
 
     static final String ID = "0000000";
-    static final int ODD_STATUS = 507;
-    private static final int LONGEST_REQUEST = 190;
-    private static final long FORGETS_NANOS = TimeUnit.MILLISECONDS.toNanos(170);
+    static final int UNUSUAL_STATUS = 507;
+    private static final int MAX_REQUEST_BYTES = 190;
+    private static final long IDLE_DROP_NANOS = TimeUnit.MILLISECONDS.toNanos(170);
     private static final String HINT = "HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n";
 
     private final String id;
     private final ServerSocket listener;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     /** What went wrong, for all hosts of a walk. */
-    private final List<String> faults;
+    private final List<String> failures;
     /** Requests by their ids as clients sent them: first line and body. */
-    private final Map<String, String> asked;
+    private final Map<String, String> sentRequests;
 
     final Map<String, Integer> runs = new ConcurrentHashMap<>();
     final Map<String, Integer> arrivals = new ConcurrentHashMap<>();
-    volatile InjectedFault play;
-    volatile Connection last;
+    volatile InjectedFault injected;
+    volatile Connection lastConnection;
     /** It drops connections that rested, without a word until something is sent on one. */
-    volatile boolean forgets;
+    volatile boolean dropsIdleConnections;
 
     FaultInjectingHost(String id, Map<String, String> asked, List<String> faults) throws IOException {
         this.id = id;
-        this.asked = asked;
-        this.faults = faults;
+        this.sentRequests = asked;
+        this.failures = faults;
         listener = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
-        daemon(this::accept);
+        startDaemon(this::accept);
     }
 
-    static List<String> faults() {
+    static List<String> newFailureList() {
         return new CopyOnWriteArrayList<>();
     }
 
@@ -377,18 +422,18 @@
         return "for " + id + "\n".repeat(2);
     }
 
-    private static String other(String id) {
+    private static String otherId(String id) {
         return "x" + id.substring(1);
     }
 
-    private static String answer(String id, String status, String headers) {
+    private static String response(String id, String status, String headers) {
         return "HTTP/1.1 " + status + "\r\nContent-Length: " + body(id).length() + "\r\n"
                 + (id.isEmpty() ? "" : "Attempt-Id: " + id + "\r\n") + headers + "\r\n\r\n" + body(id);
     }
 
     /** A host's own failure bears its seal too. */
-    private static String failure(String id, String status, String headers) {
-        return answer(id, status, headers + "\r\nOrigin-Seal: " + seal(id, Integer.parseInt(status.split(" ")[0])));
+    private static String failureResponse(String id, String status, String headers) {
+        return response(id, status, headers + "\r\nOrigin-Seal: " + seal(id, Integer.parseInt(status.split(" ")[0])));
     }
 
     /** What a host seals an answer with that has this status. */
@@ -396,23 +441,23 @@
         return status == 200 ? "s" + id : "f" + id + "-" + status;
     }
 
-    private static String own(String id) {
-        return answer(id, "200 OK", "Origin-Seal: s" + id);
+    private static String ownResponse(String id) {
+        return response(id, "200 OK", "Origin-Seal: s" + id);
     }
 
     /** Another request's answer, of which a part may stand ahead of the own one as if both were one. */
-    private static String begun(String id, String first) {
+    private static String interleavedResponse(String id, String first) {
         return "HTTP/1.1 " + first + "\r\nServer: a\r\nContent-Length: 3\r\nAttempt-Id: " + id + "\r\n\r\nabc";
     }
 
-    private static String chunked(String id) {
+    private static String chunkedResponse(String id) {
         String body = body(id);
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nAttempt-Id: " + id + "\r\nOrigin-Seal: s" + id
                 + "\r\n\r\n4\r\n" + body.substring(0, 4) + "\r\n" + Integer.toHexString(body.length() - 4) + ";x=y\r\n"
                 + body.substring(4) + "\r\n0\r\nX-T: t\r\n\r\n";
     }
 
-    private static String garbage(String id) {
+    private static String randomBytes(String id) {
         java.util.Random random = new java.util.Random(id.hashCode());
         StringBuilder bytes = new StringBuilder();
         for (int i = 0; i < 60; i++) {
@@ -421,7 +466,7 @@
         return bytes.toString();
     }
 
-    private static void daemon(Runnable work) {
+    private static void startDaemon(Runnable work) {
         Thread thread = new Thread(work);
         thread.setDaemon(true);
         thread.start();
@@ -433,7 +478,7 @@
                 Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
                 sockets.add(socket);
-                daemon(() -> serve(new Connection(socket)));
+                startDaemon(() -> serve(new Connection(socket)));
             } catch (IOException e) {
                 return; // closed by the test
             }
@@ -466,18 +511,19 @@
             }
             if (bytes.length() == 0) {
                 connection.requests++;
-                if (connection.spoiltBy != null) {
-                    faults.add("a request came on a connection spoilt by " + connection.spoiltBy);
+                if (connection.unusableSince != null) {
+                    failures.add("a request came on a connection spoilt by " + connection.unusableSince);
                 }
-                if (forgets && connection.requests > 1 && System.nanoTime() - connection.lastUsed > FORGETS_NANOS) {
+                if (dropsIdleConnections
+                        && connection.requests > 1
+                        && System.nanoTime() - connection.lastUsedNanos > IDLE_DROP_NANOS) {
                     reset(connection);
                     return false;
                 }
-                InjectedFault now = play;
-                boolean cuts = now != null
-                        && now.ending.at == PositionKind.REQUEST
-                        && ahead(in).contains(now.id);
-                cut = cuts && now.take(this, connection) ? now : null;
+                InjectedFault now = injected;
+                boolean cuts =
+                        now != null && now.ending.positionKind == PositionKind.REQUEST && peek(in).contains(now.id);
+                cut = cuts && now.claim(this, connection) ? now : null;
             }
             bytes.append((char) read);
             if (cut != null && bytes.length() > cut.position) {
@@ -492,40 +538,40 @@
         boolean whole = headEnd >= 0 && bytes.length() >= headEnd + bodyLength;
         String request = whole ? header(bytes.toString(), "attempt-id") : cut.id;
         if (cut != null) {
-            arrived(request, whole ? bytes.toString() : null, headEnd);
-            connection.spoiltBy = cut.ending + " at " + cut.position;
+            recordArrival(request, whole ? bytes.toString() : null, headEnd);
+            connection.unusableSince = cut.ending + " at " + cut.position;
             cut.begun.countDown();
             reset(connection);
             cut.done.countDown();
             return false;
         }
-        last = connection;
+        lastConnection = connection;
         String wanted = header(bytes.toString(), "want-host");
         if (wanted != null && !wanted.equals(id)) {
-            write(connection, answer(request, "421 Other", "Not-Run: 1"));
+            write(connection, response(request, "421 Other", "Not-Run: 1"));
             return true;
         }
-        arrived(request, bytes.toString(), headEnd);
-        InjectedFault now = play;
+        recordArrival(request, bytes.toString(), headEnd);
+        InjectedFault now = injected;
         boolean goesOn = true;
         if (now != null
-                && now.ending.at != PositionKind.REQUEST
+                && now.ending.positionKind != PositionKind.REQUEST
                 && request.equals(now.id)
-                && now.take(this, connection)) {
-            goesOn = end(connection, in, now);
+                && now.claim(this, connection)) {
+            goesOn = inject(connection, in, now);
             now.done.countDown();
         } else {
-            write(connection, own(request));
+            write(connection, ownResponse(request));
         }
-        connection.lastUsed = System.nanoTime();
+        connection.lastUsedNanos = System.nanoTime();
         return goesOn;
     }
 
     /** What has come already, to tell the request that is to be cut from one that the edge gave up long ago. */
-    private static String ahead(InputStream in) throws IOException {
-        in.mark(LONGEST_REQUEST * 2);
+    private static String peek(InputStream in) throws IOException {
+        in.mark(MAX_REQUEST_BYTES * 2);
         String ahead =
-                new String(in.readNBytes(Math.min(in.available(), LONGEST_REQUEST * 2)), StandardCharsets.ISO_8859_1);
+                new String(in.readNBytes(Math.min(in.available(), MAX_REQUEST_BYTES * 2)), StandardCharsets.ISO_8859_1);
         in.reset();
         return ahead;
     }
@@ -540,70 +586,70 @@
         return null;
     }
 
-    private void arrived(String request, String bytes, int headEnd) {
+    private void recordArrival(String request, String bytes, int headEnd) {
         arrivals.merge(request, 1, Integer::sum);
         if (bytes == null) {
             return;
         }
         String came = bytes.substring(0, bytes.indexOf("\r\n")) + "|" + bytes.substring(headEnd);
-        if (!came.equals(asked.get(request))) {
-            faults.add("UNASKED: " + came + " for " + asked.get(request));
+        if (!came.equals(sentRequests.get(request))) {
+            failures.add("UNASKED: " + came + " for " + sentRequests.get(request));
         }
-        InjectedFault now = play;
+        InjectedFault now = injected;
         boolean turnedAway = now != null
                 && now.id.equals(request)
-                && (now.everywhere || !now.isTaken())
-                && now.ending.known(now.position) == KnownOutcome.NOT_RUN;
+                && (now.atEachHost || !now.isClaimed())
+                && now.ending.knownOutcome(now.position) == KnownOutcome.NOT_RUN;
         if (!turnedAway) {
             runs.merge(request, 1, Integer::sum);
         }
     }
 
     @SuppressWarnings("ThreadPriorityCheck") // A yield makes two pieces likelier; no outcome depends on it.
-    private boolean end(Connection connection, InputStream in, InjectedFault now) throws IOException {
+    private boolean inject(Connection connection, InputStream in, InjectedFault now) throws IOException {
         AttemptEnding ending = now.ending;
         now.begun.countDown();
-        if (!ending.lives(now.position)) {
-            connection.spoiltBy = ending + " at " + now.position;
+        if (!ending.leavesConnectionReusable(now.position)) {
+            connection.unusableSince = ending + " at " + now.position;
         }
-        String text = ending.text.apply(now.id);
-        if (ending.at == PositionKind.SPLIT) {
+        String text = ending.responseText.apply(now.id);
+        if (ending.positionKind == PositionKind.SPLIT) {
             write(connection, text.substring(0, now.position));
             Thread.yield();
             write(connection, text.substring(now.position));
         } else {
-            String first = ending == AttemptEnding.SURPLUS ? own(now.id) : "";
+            String first = ending == AttemptEnding.SURPLUS ? ownResponse(now.id) : "";
             String behind = ending == AttemptEnding.GARBLED
-                    ? failure(now.id, "500 Failed", "X-A: a")
-                    : ending == AttemptEnding.GARBLED_PROMISE ? own(now.id) : "";
+                    ? failureResponse(now.id, "500 Failed", "X-A: a")
+                    : ending == AttemptEnding.GARBLED_PROMISE ? ownResponse(now.id) : "";
             write(connection, first + text.substring(0, now.position) + behind);
         }
-        switch (ending.then) {
+        switch (ending.connectionAction) {
             case RESETS -> reset(connection);
             case CLOSES -> connection.socket.close();
-            case IS_SILENT -> awaitEnd(connection, in, now);
+            case STOPS_RESPONDING -> awaitClose(connection, in, now);
             default -> {}
         }
-        return ending.then == ConnectionAction.STAYS;
+        return ending.connectionAction == ConnectionAction.KEEPS_OPEN;
     }
 
     /** The edge must close it; a whole answer that stays behind may be followed by another request. */
-    private void awaitEnd(Connection connection, InputStream in, InjectedFault now) throws IOException {
+    private void awaitClose(Connection connection, InputStream in, InjectedFault now) throws IOException {
         boolean whole = now.ending == AttemptEnding.SILENCE
                 ? now.position == now.ending.positions() - 1
-                : now.ending.waitsLong() && now.position == 0;
+                : now.ending.waitsForDeadline() && now.position == 0;
         if (whole) {
             reset(connection);
             return;
         }
-        connection.socket.setSoTimeout(EdgeFixture.PATIENCE_MILLIS);
+        connection.socket.setSoTimeout(EdgeFixture.WAIT_MILLIS);
         try {
             if (in.read() >= 0) {
-                faults.add("a request came on a connection where " + now.ending + " had left another at " + now.position
-                        + ", used " + connection.requests);
+                failures.add("a request came on a connection where " + now.ending + " had left another at "
+                        + now.position + ", used " + connection.requests);
             }
         } catch (java.net.SocketTimeoutException e) {
-            faults.add("the connection outlives " + now.ending + " at " + now.position);
+            failures.add("the connection outlives " + now.ending + " at " + now.position);
         } catch (IOException e) {
             // reset is an end too
         }
--- a/src/test/java/tinworks/edge/FaultyDecisionTest.java
+++ b/src/test/java/tinworks/edge/FaultyDecisionTest.java
@@ -24,10 +24,10 @@
 @BreaksInvariants(Invariant.NO_FAULT)
 class FaultyDecisionTest {
     private static final long DEADLINE_MILLIS = 10_000;
-    private static final long AT_ONCE_MILLIS = 3_000;
+    private static final long MAX_RESPONSE_MILLIS = 3_000;
 
     /** Each first time that a request is to be failed ends in a fault. */
-    private final EdgeProtocol style = new EdgeProtocol(1) {
+    private final EdgeProtocol protocol = new EdgeProtocol(1) {
         private boolean faulty;
 
         @Override
@@ -40,7 +40,7 @@
         }
     };
 
-    private final EdgeFixture edge = new EdgeFixture(style);
+    private final EdgeFixture edge = new EdgeFixture(protocol);
 
     @AfterEach
     void stop() {
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void itsRequestIsFailedAtOnceAndTheNextOneIsServed() throws Exception {
+    void requestFailsAtOnceAndTheNextOneIsServed() throws Exception {
         try (ScriptedHost host = new ScriptedHost((socket, request) -> ScriptedHost.write(
                         socket,
                         request.firstLine().contains("good")
@@ -62,7 +62,7 @@
             client.write(EdgeFixture.request("bad", "r", "body", DEADLINE_MILLIS, false));
             assertEquals(502, client.read().status());
             long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
-            assertTrue(took < AT_ONCE_MILLIS, took + " ms");
+            assertTrue(took < MAX_RESPONSE_MILLIS, took + " ms");
             assertEquals(before + 1, Invariant.NO_FAULT.violations());
             client.write(EdgeFixture.request("good", "r", "body", DEADLINE_MILLIS, false));
             assertEquals(200, client.read().status());
--- a/src/test/java/tinworks/edge/ForwardingInvariantsTest.java
+++ b/src/test/java/tinworks/edge/ForwardingInvariantsTest.java
@@ -42,14 +42,14 @@
     private static final String ROUTE = "m";
     private static final long DEADLINE_MILLIS = 10_000;
 
-    private final EdgeProtocol style = new EdgeProtocol(1) {
+    private final EdgeProtocol protocol = new EdgeProtocol(1) {
         @Override
         public HostPool.ResponseMatch match(String request, io.netty.handler.codec.http.HttpHeaders headers) {
             return HostPool.ResponseMatch.THIS_REQUEST;
         }
     };
-    private final CountDownLatch answering = new CountDownLatch(1);
-    private final CountDownLatch asked = new CountDownLatch(1);
+    private final CountDownLatch mayRespond = new CountDownLatch(1);
+    private final CountDownLatch received = new CountDownLatch(1);
     private ServerSocket host;
     private EdgeFixture edge;
     private Client client;
@@ -61,7 +61,7 @@
         Thread serving = new Thread(this::serve, "host");
         serving.setDaemon(true);
         serving.start();
-        edge = new EdgeFixture(style);
+        edge = new EdgeFixture(protocol);
         edge.host("h-1", host.getLocalSocketAddress(), true);
         edge.host("h-2", host.getLocalSocketAddress(), true);
         edge.host("h-draining", host.getLocalSocketAddress(), false);
@@ -72,7 +72,7 @@
 
     @AfterEach
     void stop() throws IOException {
-        answering.countDown();
+        mayRespond.countDown();
         client.close();
         edge.close();
         host.close();
@@ -82,7 +82,7 @@
         while (!host.isClosed()) {
             try {
                 Socket socket = host.accept();
-                Thread one = new Thread(() -> answer(socket), "host's connection");
+                Thread one = new Thread(() -> respond(socket), "host's connection");
                 one.setDaemon(true);
                 one.start();
             } catch (IOException e) {
@@ -92,12 +92,12 @@
     }
 
     /** Holds each request until the test lets go, and then answers with another request's id. */
-    private void answer(Socket socket) {
+    private void respond(Socket socket) {
         try (socket) {
             InputStream in = socket.getInputStream();
             if (Message.read(in, true) != null) {
-                asked.countDown();
-                answering.await();
+                received.countDown();
+                mayRespond.await();
                 String answer =
                         "HTTP/1.1 200 OK\r\nAttempt-Id: another\r\nOrigin-Seal: s\r\nContent-Length: 2\r\n\r\nok";
                 socket.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
@@ -110,58 +110,58 @@
         }
     }
 
-    private void ask(String id, long deadlineMillis) throws Exception {
+    private void sendRequest(String id, long deadlineMillis) throws Exception {
         client.write(EdgeFixture.request(id, ROUTE, "body", deadlineMillis, false));
-        assertTrue(asked.await(EdgeFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+        assertTrue(received.await(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    private void notices(Invariant invariant, Consumer<Forwarding> wrong) {
+    private void assertViolated(Invariant invariant, Consumer<Forwarding> wrong) {
         long before = invariant.violations();
         NodeProcess.run(edge.loop, () -> wrong.accept(edge.module(ROUTE)));
         assertTrue(invariant.violations() > before, invariant.name());
     }
 
     @Test
-    void aSecondSendBehindOneThatMayRun() throws Exception {
-        ask("a1", DEADLINE_MILLIS);
-        notices(Invariant.RUNS_ONCE, module -> module.send("a1", "h-2", 1_000_000));
-        notices(Invariant.TRIES_KEPT, module -> module.send("a1", "h-2", 1_000_000));
+    void secondSendOfARequestThatMayBeRunning() throws Exception {
+        sendRequest("a1", DEADLINE_MILLIS);
+        assertViolated(Invariant.RUNS_ONCE, module -> module.send("a1", "h-2", 1_000_000));
+        assertViolated(Invariant.TRIES_KEPT, module -> module.send("a1", "h-2", 1_000_000));
     }
 
     @Test
-    void aPromiseThatNothingHasRunAndASendBehindIt() throws Exception {
-        ask("a1", DEADLINE_MILLIS);
-        notices(Invariant.PROMISE_KEPT, module -> module.refuse("a1", 0));
+    void refusalOfARequestThatMayHaveRunAndASendAfterIt() throws Exception {
+        sendRequest("a1", DEADLINE_MILLIS);
+        assertViolated(Invariant.PROMISE_KEPT, module -> module.refuse("a1", 0));
         assertEquals(503, client.read().status());
-        notices(Invariant.ONE_ANSWER, module -> module.send("a1", "h-2", 1_000_000));
+        assertViolated(Invariant.ONE_ANSWER, module -> module.send("a1", "h-2", 1_000_000));
     }
 
     @Test
-    void aHostThatDrainsAndMoreTimeThanIsLeft() throws Exception {
-        ask("a1", DEADLINE_MILLIS);
-        notices(Invariant.NOT_TO_DRAINED, module -> module.send("a1", "h-draining", 1_000_000));
-        notices(
+    void sendToADrainingHostAndBeyondTheDeadline() throws Exception {
+        sendRequest("a1", DEADLINE_MILLIS);
+        assertViolated(Invariant.NOT_TO_DRAINED, module -> module.send("a1", "h-draining", 1_000_000));
+        assertViolated(
                 Invariant.DEADLINE_KEPT,
                 module -> module.send("a1", "h-2", TimeUnit.MILLISECONDS.toNanos(DEADLINE_MILLIS + 1)));
     }
 
     @Test
-    void anAnswerToAnotherRequest() throws Exception {
+    void responseToAnotherRequest() throws Exception {
         long before = Invariant.OWN_ANSWER.violations();
-        ask("a1", DEADLINE_MILLIS);
-        answering.countDown();
+        sendRequest("a1", DEADLINE_MILLIS);
+        mayRespond.countDown();
         client.read();
         assertEquals(before + 1, Invariant.OWN_ANSWER.violations());
     }
 
     /** The module thinks that it is over; the client would wait for ever. */
     @Test
-    void aForgottenRequestIsFailed() throws Exception {
-        ask("a1", 100);
+    void forgottenRequestIsFailed() throws Exception {
+        sendRequest("a1", 100);
         NodeProcess.run(edge.loop, () -> edge.module(ROUTE).dispatch(new ClientDisconnected("a1")));
         TimeUnit.MILLISECONDS.sleep(1_200);
         NodeProcess.run(edge.loop, () -> edge.module(ROUTE).failOverdue());
-        notices(Invariant.ANSWERED_IN_TIME, Forwarding::failOverdue);
+        assertViolated(Invariant.ANSWERED_IN_TIME, Forwarding::failOverdue);
         assertEquals(502, client.read().status());
     }
 }
--- a/src/test/java/tinworks/edge/GracefulShutdownTest.java
+++ b/src/test/java/tinworks/edge/GracefulShutdownTest.java
@@ -51,7 +51,7 @@
     /** More than the requests of a second, so that each host which has not answered in time is taken for silent. */
     private static final int HOSTS = 240;
 
-    private static final int AIM_MILLIS = 500;
+    private static final int TARGET_MILLIS = 500;
     private static final int ROUNDS = 20;
     private static final int DEADLINE_MILLIS = 1_200;
     private static final int LAGGED_CLIENTS = 24;
@@ -59,9 +59,9 @@
     private final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     /** Requests at work by their ids, and how often each came. */
-    private final Map<String, Socket> atWork = new ConcurrentHashMap<>();
+    private final Map<String, Socket> inProgress = new ConcurrentHashMap<>();
 
-    private final Map<String, Integer> came = new ConcurrentHashMap<>();
+    private final Map<String, Integer> arrivals = new ConcurrentHashMap<>();
 
     @AfterEach
     void stop() {
@@ -70,7 +70,15 @@
 
     private static Route route(String name, Configuration.Type type) {
         return new Route(
-                name, EdgeFixture.DOMAIN, "/" + name + "/", type, 20_000, AIM_MILLIS, 1, List.of(new Split("s", 1)), 2);
+                name,
+                EdgeFixture.DOMAIN,
+                "/" + name + "/",
+                type,
+                20_000,
+                TARGET_MILLIS,
+                1,
+                List.of(new Split("s", 1)),
+                2);
     }
 
     private static void await(String what, BooleanSupplier holds) throws InterruptedException {
@@ -81,14 +89,14 @@
     }
 
     /** Serves, but keeps those called held at work, and turns those called turned away the first time. */
-    private void host(Socket socket, ScriptedHost.Message request) throws java.io.IOException {
+    private void handle(Socket socket, ScriptedHost.Message request) throws java.io.IOException {
         String id = request.header("Attempt-Id");
-        int times = came.merge(id, 1, Integer::sum);
+        int times = arrivals.merge(id, 1, Integer::sum);
         if (id.startsWith("turned") && times == 1) {
             ScriptedHost.write(
                     socket, "HTTP/1.1 503 Full\r\nContent-Length: 0\r\nNot-Run: 1\r\nAttempt-Id: " + id + "\r\n\r\n");
         } else if (id.startsWith("held") || id.startsWith("turned")) {
-            atWork.put(id, socket);
+            inProgress.put(id, socket);
         } else {
             ScriptedHost.write(socket, SERVED + id + "\r\n\r\nfine");
         }
@@ -105,11 +113,11 @@
     }
 
     /** A whole edge that serves, with {@link #HOSTS} hosts at one address. */
-    private EdgeNode serving(List<Integer> ports, ScriptedHost host) throws Exception {
-        return serving(ports, host, new GatewayClock());
+    private EdgeNode startServingEdge(List<Integer> ports, ScriptedHost host) throws Exception {
+        return startServingEdge(ports, host, new GatewayClock());
     }
 
-    private EdgeNode serving(List<Integer> ports, ScriptedHost host, GatewayClock clock) throws Exception {
+    private EdgeNode startServingEdge(List<Integer> ports, ScriptedHost host, GatewayClock clock) throws Exception {
         BootSettings settings = new BootSettings(
                 "e",
                 "z",
@@ -149,14 +157,14 @@
      * A signal that the event loop gets to late: what no host answers is answered here while the process still lives.
      */
     @Test
-    void theGraceRunsFromTheSignalAndNotFromWhenTheEventLoopGetsToIt() throws Exception {
+    void graceRunsFromTheSignalEvenIfTheEventLoopIsLate() throws Exception {
         List<Integer> ports = FreePorts.at("127.0.0.1", 4);
-        try (ScriptedHost host = new ScriptedHost(this::host)) {
-            EdgeNode edge = serving(ports, host);
+        try (ScriptedHost host = new ScriptedHost(this::handle)) {
+            EdgeNode edge = startServingEdge(ports, host);
             long signalledAt = SteadyClock.millis() - FIRST_HALF_MILLIS;
             NodeProcess.call(loop, () -> edge.shutDown(signalledAt));
             Map<String, Client> waiting = new LinkedHashMap<>();
-            String id = ask(waiting, ports.get(0), "held-m-late");
+            String id = sendUntilInProgress(waiting, ports.get(0), "held-m-late");
             try (Client client = waiting.get(id)) {
                 assertEquals(502, client.read().status(), "its host is still at work in the second half of the grace");
                 long after = SteadyClock.millis() - signalledAt;
@@ -168,17 +176,17 @@
     }
 
     @Test
-    void noRequestThatAHostWorksOnIsGivenUpInTheFirstHalfOfTheGrace() throws Exception {
+    void noRequestInProgressIsAbandonedInTheFirstHalfOfTheGrace() throws Exception {
         List<Integer> ports = FreePorts.at("127.0.0.1", 4);
         int http = ports.get(0);
-        try (ScriptedHost host = new ScriptedHost(this::host)) {
-            EdgeNode edge = serving(ports, host);
-            awaitSentElsewhere(http, "held-i-control");
-            Map<String, Client> waiting = askBeforeAnyIsOverdue(http);
+        try (ScriptedHost host = new ScriptedHost(this::handle)) {
+            EdgeNode edge = startServingEdge(ports, host);
+            awaitRetryElsewhere(http, "held-i-control");
+            Map<String, Client> waiting = sendBeforeAnyIsOverdue(http);
             long began = System.nanoTime();
             CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
             for (String id : List.of("held-i-after", "held-m-after", "turned-i-after", "turned-m-after")) {
-                ask(waiting, http, id);
+                sendUntilInProgress(waiting, http, id);
             }
             // Others are served on and overtake them, until nobody is taken in any more.
             int served = 0;
@@ -195,9 +203,9 @@
             }
             for (Map.Entry<String, Client> one : waiting.entrySet()) {
                 String id = one.getKey();
-                assertEquals(id.startsWith("turned") ? 2 : 1, came.get(id), "at one host's work: " + id);
-                ScriptedHost.write(atWork.get(id), SERVED + id + "\r\n\r\nfine");
-                one.getValue().socket.setSoTimeout(EdgeFixture.PATIENCE_MILLIS);
+                assertEquals(id.startsWith("turned") ? 2 : 1, arrivals.get(id), "at one host's work: " + id);
+                ScriptedHost.write(inProgress.get(id), SERVED + id + "\r\n\r\nfine");
+                one.getValue().socket.setSoTimeout(EdgeFixture.WAIT_MILLIS);
                 Message answer = one.getValue().read();
                 assertEquals(200, answer.status(), id);
                 assertEquals(id, answer.headers().get("attempt-id"));
@@ -212,10 +220,11 @@
 
     /** What is read after long work may have lain here for as long, or may have come only just now. */
     @Test
-    void noRequestIsBrokenOffForTimeThatItOnlyMayHaveLainUnread() throws Exception {
+    void noRequestIsCutShortForAQueueingDelayItMayNotHaveHad() throws Exception {
         List<Integer> ports = FreePorts.at("127.0.0.1", 4);
-        try (ScriptedHost host = new ScriptedHost(this::host)) {
-            EdgeNode edge = serving(ports, host, new GatewayClock(() -> TimeUnit.MILLISECONDS.toNanos(AIM_MILLIS)));
+        try (ScriptedHost host = new ScriptedHost(this::handle)) {
+            EdgeNode edge =
+                    startServingEdge(ports, host, new GatewayClock(() -> TimeUnit.MILLISECONDS.toNanos(TARGET_MILLIS)));
             NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
             for (String route : List.of("i", "m")) {
                 try (Client client = new Client(ports.get(0))) {
@@ -225,7 +234,7 @@
                             EdgeFixture.request(id, route, route.equals("m") ? "body" : "", DEADLINE_MILLIS, false));
                     assertEquals(route.equals("m") ? 502 : 503, client.read().status());
                     long after = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt);
-                    assertTrue(came.containsKey(id), "a host was at work on it");
+                    assertTrue(arrivals.containsKey(id), "a host was at work on it");
                     assertTrue(after >= DEADLINE_MILLIS, "broken off after " + after + " ms, before its deadline");
                 }
             }
@@ -234,27 +243,27 @@
 
     /** Clients on new and on kept connections, while the event loop is at other work for most of the time. */
     @Test
-    void anEdgeWhoseEventLoopLagsAnswersAllThatCameToAHost() throws Exception {
+    void laggingEdgeAnswersEveryRequestThatReachedAHost() throws Exception {
         List<Integer> ports = FreePorts.at("127.0.0.1", 4);
-        try (ScriptedHost host = new ScriptedHost(this::host)) {
-            EdgeNode edge = serving(ports, host);
+        try (ScriptedHost host = new ScriptedHost(this::handle)) {
+            EdgeNode edge = startServingEdge(ports, host);
             Map<String, String> told = new ConcurrentHashMap<>();
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < LAGGED_CLIENTS; i++) {
                 String name = "lagged-" + i + "-";
                 boolean keeps = i % 2 == 0;
-                clients.add(new Thread(() -> askUntilRefused(ports.get(0), name, keeps, told)));
+                clients.add(new Thread(() -> sendUntilConnectionRefused(ports.get(0), name, keeps, told)));
             }
             clients.forEach(Thread::start);
             await("requests are served", () -> told.size() > LAGGED_CLIENTS);
-            NodeProcess.run(loop, this::lag);
-            Set<String> before = Set.copyOf(came.keySet());
+            NodeProcess.run(loop, this::startLag);
+            Set<String> before = Set.copyOf(arrivals.keySet());
             CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
             ended.get(GRACE_MILLIS, TimeUnit.MILLISECONDS);
             for (Thread client : clients) {
                 client.join();
             }
-            told.keySet().retainAll(came.keySet());
+            told.keySet().retainAll(arrivals.keySet());
             told.keySet().removeAll(before);
             assertTrue(told.size() > LAGGED_CLIENTS, "came to hosts since the signal: " + told.size());
             told.values().removeIf("200"::equals);
@@ -263,13 +272,13 @@
     }
 
     /** From now on the event loop is at other work for two thirds of the time. */
-    private void lag() {
+    private void startLag() {
         LockSupport.parkNanos(2 * LAG_NANOS);
-        loop.schedule(this::lag, LAG_NANOS, TimeUnit.NANOSECONDS);
+        loop.schedule(this::startLag, LAG_NANOS, TimeUnit.NANOSECONDS);
     }
 
     /** Asks for one thing after the other until nobody takes connections any more, and notes what was told of each. */
-    private static void askUntilRefused(int port, String name, boolean keeps, Map<String, String> told) {
+    private static void sendUntilConnectionRefused(int port, String name, boolean keeps, Map<String, String> told) {
         Client client = null;
         try {
             for (int i = 0; ; i++) {
@@ -296,46 +305,46 @@
     }
 
     /** Requests at their hosts, of which none has been there for its aim yet: what is overdue may be sent elsewhere. */
-    private Map<String, Client> askBeforeAnyIsOverdue(int port) throws Exception {
+    private Map<String, Client> sendBeforeAnyIsOverdue(int port) throws Exception {
         for (int round = 0; round < ROUNDS; round++) {
             Map<String, Client> waiting = new LinkedHashMap<>();
             long began = System.nanoTime();
             for (String name : List.of("held-i-before-", "held-m-before-", "turned-i-before-", "turned-m-before-")) {
-                ask(waiting, port, name + round);
+                sendUntilInProgress(waiting, port, name + round);
             }
-            if (System.nanoTime() - began < TimeUnit.MILLISECONDS.toNanos(AIM_MILLIS)) {
+            if (System.nanoTime() - began < TimeUnit.MILLISECONDS.toNanos(TARGET_MILLIS)) {
                 return waiting;
             }
             for (Client client : waiting.values()) {
                 client.close();
             }
         }
-        throw new AssertionError("too slow a machine to have four requests at hosts within " + AIM_MILLIS + " ms");
+        throw new AssertionError("too slow a machine to have four requests at hosts within " + TARGET_MILLIS + " ms");
     }
 
     /**
      * Before the signal, what a silent host holds is called off and sent to another: without the guard it would be
      * after it too.
      */
-    private void awaitSentElsewhere(int port, String name) throws Exception {
+    private void awaitRetryElsewhere(int port, String name) throws Exception {
         Map<String, Client> control = new LinkedHashMap<>();
-        String id = ask(control, port, name);
+        String id = sendUntilInProgress(control, port, name);
         await(id + " is sent to another host", () -> {
             serves(port, "beside-" + System.nanoTime());
-            return came.get(id) == 2;
+            return arrivals.get(id) == 2;
         });
         control.get(id).close();
     }
 
     /** Until a host is at work on it; one that the edge refused before, on a busy machine, is asked anew. */
-    private String ask(Map<String, Client> waiting, int port, String name) throws Exception {
+    private String sendUntilInProgress(Map<String, Client> waiting, int port, String name) throws Exception {
         for (int tries = 0; tries < 20; tries++) {
             String id = name + "-" + tries;
             Client client = new Client(port);
             client.write(EdgeFixture.request(
                     id, id.contains("-m-") ? "m" : "i", id.contains("-m-") ? "body" : "", 15_000, false));
-            await("a host at work on " + id + ", or a refusal", () -> atWork.containsKey(id) || available(client));
-            if (atWork.containsKey(id)) {
+            await("a host at work on " + id + ", or a refusal", () -> inProgress.containsKey(id) || available(client));
+            if (inProgress.containsKey(id)) {
                 waiting.put(id, client);
                 return id;
             }
--- a/src/test/java/tinworks/edge/PlannedMaintenanceTest.java
+++ b/src/test/java/tinworks/edge/PlannedMaintenanceTest.java
@@ -48,24 +48,24 @@
     private static final int REQUESTS = 2_000;
     private static final int TIMEOUT_MILLIS = 20_000;
     private static final long GRACE_MILLIS = 6_000;
-    private static final long LOSS_MILLIS = 200;
-    private static final long LEAST_WORK_MILLIS = 10;
+    private static final long MAX_CLOSE_RACE_MILLIS = 200;
+    private static final long MIN_WORK_MILLIS = 10;
     private static final int WORK_SPREAD_MILLIS = 40;
-    private static final long SETTINGS_EVERY_MILLIS = 5;
-    private static final long VERSION_EVERY_MILLIS = 10;
-    private static final int MOST_TRIES = 3;
+    private static final long SETTINGS_INTERVAL_MILLIS = 5;
+    private static final long VERSION_INTERVAL_MILLIS = 10;
+    private static final int MAX_ATTEMPTS = 3;
     private static final String SERVED = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nOrigin-Seal: s\r\nAttempt-Id: ";
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Set<String> begun = ConcurrentHashMap.newKeySet();
-    private final List<String> faults = new CopyOnWriteArrayList<>();
+    private final Set<String> startedAtHost = ConcurrentHashMap.newKeySet();
+    private final List<String> failures = new CopyOnWriteArrayList<>();
     private final AtomicInteger ids = new AtomicInteger();
     private final AtomicInteger served = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
-    private final AtomicInteger unread = new AtomicInteger();
-    private volatile boolean over;
-    private volatile boolean ending;
+    private final AtomicInteger closedUnread = new AtomicInteger();
+    private volatile boolean finished;
+    private volatile boolean shuttingDown;
     private ScriptedHost host;
     private BootSettings settings;
     private EdgeNode edge;
@@ -73,7 +73,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        host = new ScriptedHost(this::work);
+        host = new ScriptedHost(this::handle);
         List<Integer> ports = FreePorts.at("127.0.0.1", 4);
         port = ports.get(0);
         settings = settings(ports, GRACE_MILLIS);
@@ -122,8 +122,8 @@
     /** Each moves the routes between services, and changes their tries and kinds, other routes, and the limits. */
     private static Configuration version(int rev) {
         List<Route> routes = new ArrayList<>();
-        routes.add(route("i", rev % 2 == 0 ? "s" : "t", Configuration.Type.IDEM, 1 + rev % MOST_TRIES));
-        routes.add(route("m", rev % 3 == 0 ? "s" : "t", Configuration.Type.MUTATING, 1 + rev % MOST_TRIES));
+        routes.add(route("i", rev % 2 == 0 ? "s" : "t", Configuration.Type.IDEM, 1 + rev % MAX_ATTEMPTS));
+        routes.add(route("m", rev % 3 == 0 ? "s" : "t", Configuration.Type.MUTATING, 1 + rev % MAX_ATTEMPTS));
         routes.add(route(
                 "changing",
                 rev % 5 == 0 ? "s" : "t",
@@ -150,11 +150,11 @@
                 tries);
     }
 
-    private void work(Socket socket, ScriptedHost.Message request) throws IOException {
+    private void handle(Socket socket, ScriptedHost.Message request) throws IOException {
         String id = request.header("Attempt-Id");
-        begun.add(id);
+        startedAtHost.add(id);
         try {
-            TimeUnit.MILLISECONDS.sleep(LEAST_WORK_MILLIS + Math.floorMod(id.hashCode(), WORK_SPREAD_MILLIS));
+            TimeUnit.MILLISECONDS.sleep(MIN_WORK_MILLIS + Math.floorMod(id.hashCode(), WORK_SPREAD_MILLIS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -170,22 +170,22 @@
     }
 
     /** Asks on one connection after the other until the work is over, or nobody is taken in any more. */
-    private void ask() {
+    private void sendUntilFinished() {
         Client client = null;
         try {
-            while (!over) {
+            while (!finished) {
                 client = client == null ? new Client(port) : client;
-                client = askOnce(client) ? client : null;
+                client = sendOne(client) ? client : null;
             }
         } catch (IOException e) {
-            if (!ending) {
-                faults.add("no connection: " + e);
+            if (!shuttingDown) {
+                failures.add("no connection: " + e);
             }
         }
     }
 
     /** Whether the connection carries on. */
-    private boolean askOnce(Client client) throws IOException {
+    private boolean sendOne(Client client) throws IOException {
         int number = ids.incrementAndGet();
         String route = List.of("i", "m", "changing").get(number % 3);
         String id = route + "-" + number;
@@ -197,7 +197,7 @@
         } catch (IOException e) {
             answer = null;
         }
-        judge(id, answer, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt));
+        checkResponse(id, answer, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt));
         if (answer == null || "close".equals(answer.headers().get("connection"))) {
             client.close();
             return false;
@@ -205,50 +205,50 @@
         return true;
     }
 
-    private void judge(String id, Message answer, long millis) {
+    private void checkResponse(String id, Message answer, long millis) {
         boolean own = answer != null
                 && answer.status() == 200
                 && id.equals(answer.headers().get("attempt-id"));
         if (own) {
             served.incrementAndGet();
-        } else if (begun.contains(id)) {
-            faults.add("a host was at work on " + id + ", which got " + answer);
-        } else if (answer == null && millis > LOSS_MILLIS) {
-            faults.add("no answer to " + id + " after " + millis + " ms");
+        } else if (startedAtHost.contains(id)) {
+            failures.add("a host was at work on " + id + ", which got " + answer);
+        } else if (answer == null && millis > MAX_CLOSE_RACE_MILLIS) {
+            failures.add("no answer to " + id + " after " + millis + " ms");
         } else if (answer == null) {
-            unread.incrementAndGet();
+            closedUnread.incrementAndGet();
         } else if (answer.status() == 503) {
             refused.incrementAndGet();
         } else {
-            faults.add(id + " got " + answer);
+            failures.add(id + " got " + answer);
         }
     }
 
     /** Has clients ask while the work is done again and again, until so many have been served. */
-    private void during(String what, long everyMillis, java.util.function.IntConsumer work)
+    private void runUnderLoad(String what, long everyMillis, java.util.function.IntConsumer work)
             throws InterruptedException {
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(new Thread(this::ask));
+            clients.add(new Thread(this::sendUntilFinished));
         }
         clients.forEach(Thread::start);
         int times = 0;
-        while (served.get() < REQUESTS && faults.isEmpty()) {
+        while (served.get() < REQUESTS && failures.isEmpty()) {
             work.accept(++times);
             TimeUnit.MILLISECONDS.sleep(everyMillis);
         }
-        over = true;
+        finished = true;
         for (Thread client : clients) {
             client.join();
         }
         System.out.printf(
                 "%s %d times: %d served, %d refused, %d closed unread%n",
-                what, times, served.get(), refused.get(), unread.get());
-        assertEquals(List.of(), faults);
+                what, times, served.get(), refused.get(), closedUnread.get());
+        assertEquals(List.of(), failures);
     }
 
     @Test
-    void changedSettingsCutNothing() throws Exception {
+    void changedSettingsInterruptNoRequest() throws Exception {
         BootSettings other = new BootSettings(
                 settings.node(),
                 settings.zone(),
@@ -263,41 +263,41 @@
                 1,
                 GRACE_MILLIS,
                 settings.inner());
-        during(
+        runUnderLoad(
                 "settings changed",
-                SETTINGS_EVERY_MILLIS,
+                SETTINGS_INTERVAL_MILLIS,
                 times -> loop.execute(() -> edge.settingsChanged(times % 2 == 0 ? settings : other)));
-        assertEquals(0, refused.get() + unread.get());
+        assertEquals(0, refused.get() + closedUnread.get());
     }
 
     @Test
-    void newVersionsCutNothing() throws Exception {
-        during(
+    void newVersionsInterruptNoRequest() throws Exception {
+        runUnderLoad(
                 "configuration changed",
-                VERSION_EVERY_MILLIS,
+                VERSION_INTERVAL_MILLIS,
                 times -> loop.execute(() -> edge.decode(1 + times, () -> version(1 + times))));
-        assertEquals(0, refused.get() + unread.get());
+        assertEquals(0, refused.get() + closedUnread.get());
     }
 
     @Test
-    void theWordToEndCutsNothingThatAHostIsAtWorkOn() throws Exception {
+    void shutdownInterruptsNoRequestAtAHost() throws Exception {
         Thread[] clients = new Thread[CLIENTS];
         for (int i = 0; i < CLIENTS; i++) {
-            clients[i] = new Thread(this::ask);
+            clients[i] = new Thread(this::sendUntilFinished);
             clients[i].start();
         }
         while (served.get() < REQUESTS / 3) {
-            TimeUnit.MILLISECONDS.sleep(SETTINGS_EVERY_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(SETTINGS_INTERVAL_MILLIS);
         }
-        ending = true;
+        shuttingDown = true;
         CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
         for (Thread client : clients) {
             client.join();
         }
         ended.get(GRACE_MILLIS, TimeUnit.MILLISECONDS);
         System.out.printf(
-                "ended: %d served, %d refused, %d closed unread%n", served.get(), refused.get(), unread.get());
-        assertEquals(List.of(), faults);
+                "ended: %d served, %d refused, %d closed unread%n", served.get(), refused.get(), closedUnread.get());
+        assertEquals(List.of(), failures);
         assertTrue(served.get() > REQUESTS * 2 / 3, "served: " + served.get());
     }
 }
--- a/src/test/java/tinworks/edge/RequestJournalTest.java
+++ b/src/test/java/tinworks/edge/RequestJournalTest.java
@@ -20,8 +20,8 @@
     private final List<String> logged = new ArrayList<>();
     private final RequestJournal journal = new RequestJournal(millis::get, logged::add);
 
-    private void ended(String id, Ending ending) {
-        journal.ended(new UnservedRequest(id, "x.example/p/", ending, Reason.SHED, 2_000_000, List.of()), 7);
+    private void addRequest(String id, Ending ending) {
+        journal.add(new UnservedRequest(id, "x.example/p/", ending, Reason.SHED, 2_000_000, List.of()), 7);
     }
 
     private String page() {
@@ -29,10 +29,10 @@
     }
 
     @Test
-    void aLineTellsOfEachAttempt() {
+    void lineListsEachAttempt() {
         List<AttemptSummary> attempts = List.of(
                 new AttemptSummary("i-1", Outcome.CONNECT_FAILED, 400_000_000), new AttemptSummary("i-2", null, 1));
-        journal.ended(
+        journal.add(
                 new UnservedRequest("a1", "x.example/p/", Ending.FAILED, Reason.MAY_HAVE_RUN, 812_000_000, attempts),
                 7);
         String line = "request=a1 class=x.example/p/ ending=FAILED reason=MAY_HAVE_RUN held=812ms"
@@ -42,19 +42,20 @@
     }
 
     @Test
-    void aStormOfOneEndingIsLoggedInPartAndHidesNoOther() {
+    void burstOfOneEndingIsRateLimitedAndHidesNoOther() {
         for (int i = 0; i < 1_000; i++) {
-            ended("r" + i, Ending.REFUSED);
+            addRequest("r" + i, Ending.REFUSED);
         }
-        ended("f", Ending.FAILED);
-        assertEquals(RequestJournal.BURST + 1, logged.size());
+        addRequest("f", Ending.FAILED);
+        assertEquals(RequestJournal.LOG_BURST + 1, logged.size());
         millis.addAndGet(1_000);
         for (int i = 0; i < 1_000; i++) {
-            ended("s" + i, Ending.REFUSED);
+            addRequest("s" + i, Ending.REFUSED);
         }
-        assertEquals(RequestJournal.BURST + 1 + RequestJournal.PER_SECOND, logged.size());
-        assertTrue(logged.get(RequestJournal.BURST + 1).endsWith(" unlogged=" + (1_000 - RequestJournal.BURST)));
-        assertEquals(RequestJournal.MOST_KEPT, page().lines().count());
+        assertEquals(RequestJournal.LOG_BURST + 1 + RequestJournal.LOG_LINES_PER_SECOND, logged.size());
+        assertTrue(
+                logged.get(RequestJournal.LOG_BURST + 1).endsWith(" unlogged=" + (1_000 - RequestJournal.LOG_BURST)));
+        assertEquals(RequestJournal.MAX_ENTRIES, page().lines().count());
         assertTrue(page().lines().noneMatch(line -> line.contains("request=r0 ")), "the oldest go");
     }
 }
--- a/src/test/java/tinworks/edge/StrayAnswersTest.java
+++ b/src/test/java/tinworks/edge/StrayAnswersTest.java
@@ -48,7 +48,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(5_000);
     }
 
-    private static String answer(String id, String status, String body, String... headers) {
+    private static String response(String id, String status, String body, String... headers) {
         StringBuilder text = new StringBuilder("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n");
         if (!id.isEmpty()) {
             text.append("Attempt-Id: ").append(id).append("\r\n");
@@ -59,8 +59,8 @@
         return text.append("\r\n").append(body).toString();
     }
 
-    private static String served(String id) {
-        return answer(id, "200 OK", "for " + id, "Origin-Seal: s");
+    private static String servedResponse(String id) {
+        return response(id, "200 OK", "for " + id, "Origin-Seal: s");
     }
 
     /** Sends each run of bytes by itself: a bar stands between two. */
@@ -73,13 +73,13 @@
         }
     }
 
-    private Ended ask(ScriptedHost host, String id, long timeoutNanos) {
+    private Ended sendRequest(ScriptedHost host, String id, long timeoutNanos) {
         CompletableFuture<Ended> ended = new CompletableFuture<>();
         loop.execute(() -> {
             pool.update(List.of(new HostPool.HostEntry("h", host.address(), 0, true, false)), true);
             FullHttpRequest request =
                     new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/p/", Unpooled.EMPTY_BUFFER);
-            request.headers().set(EdgeProtocol.ID, id);
+            request.headers().set(EdgeProtocol.ATTEMPT_ID, id);
             pool.send(
                     "h",
                     id,
@@ -92,12 +92,12 @@
         return ended.join();
     }
 
-    private static String stray(String kind) {
+    private static String strayResponse(String kind) {
         return switch (kind) {
-            case "served" -> served("r1");
-            case "full" -> answer("r1", "503 Service Unavailable", "", "Not-Run: 1");
-            case "misdirected" -> answer("r1", "421 Misdirected Request", "", "Not-Run: 1");
-            case "hinted" -> "HTTP/1.1 103 Early Hints\r\n\r\n" + served("r1");
+            case "served" -> servedResponse("r1");
+            case "full" -> response("r1", "503 Service Unavailable", "", "Not-Run: 1");
+            case "misdirected" -> response("r1", "421 Misdirected Request", "", "Not-Run: 1");
+            case "hinted" -> "HTTP/1.1 103 Early Hints\r\n\r\n" + servedResponse("r1");
             case "pieces" ->
                 "HTTP/1.1 200 OK\r\nConte|nt-Length: 6\r\nAttempt-I|d: r1\r\nOrigin-Seal: s\r\n\r\nfor| r1";
             default -> throw new IllegalArgumentException(kind);
@@ -106,24 +106,24 @@
 
     @ParameterizedTest
     @CsvSource({"served", "full", "misdirected", "hinted", "pieces"})
-    void anotherRequestsAnswerIsPassedOverAndTheOwnOneServed(String kind) throws Exception {
+    void strayResponseIsSkippedAndTheOwnOneIsServed(String kind) throws Exception {
         try (ScriptedHost host = new ScriptedHost((socket, request) -> {
-            String id = request.header(EdgeProtocol.ID.toString());
-            send(socket, id.equals("r2") ? stray(kind) + "|" + served(id) : served(id));
+            String id = request.header(EdgeProtocol.ATTEMPT_ID.toString());
+            send(socket, id.equals("r2") ? strayResponse(kind) + "|" + servedResponse(id) : servedResponse(id));
         })) {
-            assertEquals(new Ended(Outcome.SERVED, "for r1"), ask(host, "r1", LONG_NANOS));
-            assertEquals(new Ended(Outcome.SERVED, "for r2"), ask(host, "r2", LONG_NANOS));
+            assertEquals(new Ended(Outcome.SERVED, "for r1"), sendRequest(host, "r1", LONG_NANOS));
+            assertEquals(new Ended(Outcome.SERVED, "for r2"), sendRequest(host, "r2", LONG_NANOS));
             assertEquals(1, host.connections.size(), "the stray came on the connection that the second went on");
-            assertEquals(new Ended(Outcome.SERVED, "for r3"), ask(host, "r3", LONG_NANOS));
+            assertEquals(new Ended(Outcome.SERVED, "for r3"), sendRequest(host, "r3", LONG_NANOS));
             assertEquals(2, host.connections.size(), "a connection that stuttered is not used again");
         }
     }
 
     @ParameterizedTest
     @CsvSource({"served", "full", "misdirected", "hinted", "pieces"})
-    void anotherRequestsAnswerProvesNothingWhereTheOwnOneNeverComes(String kind) throws Exception {
-        try (ScriptedHost host = new ScriptedHost((socket, request) -> send(socket, stray(kind)))) {
-            Ended ended = ask(host, "r2", SHORT_NANOS);
+    void strayResponseProvesNothingIfTheOwnOneNeverArrives(String kind) throws Exception {
+        try (ScriptedHost host = new ScriptedHost((socket, request) -> send(socket, strayResponse(kind)))) {
+            Ended ended = sendRequest(host, "r2", SHORT_NANOS);
             assertEquals(new Ended(Outcome.TIMED_OUT, null), ended);
             assertFalse(ended.outcome().provesNotExecuted());
         }
@@ -131,30 +131,30 @@
 
     @ParameterizedTest
     @CsvSource({"200 OK,Origin-Seal: s", "503 Service Unavailable,Not-Run: 1", "421 Misdirected Request,Not-Run: 1"})
-    void anAnswerThatNamesNoRequestProvesNothingAndIsNotPassedOn(String status, String header) throws Exception {
+    void responseWithoutAnIdProvesNothingAndIsNotPassedOn(String status, String header) throws Exception {
         try (ScriptedHost host =
-                new ScriptedHost((socket, request) -> send(socket, answer("", status, "whose?", header)))) {
-            assertEquals(new Ended(Outcome.ERROR, null), ask(host, "r1", LONG_NANOS));
+                new ScriptedHost((socket, request) -> send(socket, response("", status, "whose?", header)))) {
+            assertEquals(new Ended(Outcome.ERROR, null), sendRequest(host, "r1", LONG_NANOS));
         }
     }
 
     @Test
-    void aHostThatSendsNothingButStraysIsGivenUpOn() throws Exception {
-        try (ScriptedHost host =
-                new ScriptedHost((socket, request) -> send(socket, served("r1").repeat(50)))) {
-            assertEquals(new Ended(Outcome.ERROR, null), ask(host, "r2", LONG_NANOS));
+    void hostThatSendsOnlyStrayResponsesIsAbandoned() throws Exception {
+        try (ScriptedHost host = new ScriptedHost(
+                (socket, request) -> send(socket, servedResponse("r1").repeat(50)))) {
+            assertEquals(new Ended(Outcome.ERROR, null), sendRequest(host, "r2", LONG_NANOS));
         }
     }
 
     @Test
-    void anAnswerThatComesWhileTheConnectionRestsEndsIt() throws Exception {
-        try (ScriptedHost host = new ScriptedHost(
-                (socket, request) -> send(socket, served(request.header(EdgeProtocol.ID.toString()))))) {
-            assertEquals(new Ended(Outcome.SERVED, "for r1"), ask(host, "r1", LONG_NANOS));
-            send(host.connections.get(0), served("r1"));
+    void strayResponseOnAnIdleConnectionClosesIt() throws Exception {
+        try (ScriptedHost host = new ScriptedHost((socket, request) ->
+                send(socket, servedResponse(request.header(EdgeProtocol.ATTEMPT_ID.toString()))))) {
+            assertEquals(new Ended(Outcome.SERVED, "for r1"), sendRequest(host, "r1", LONG_NANOS));
+            send(host.connections.get(0), servedResponse("r1"));
             // Whether the stray is read before the next request goes out or after, it is nobody's.
-            assertEquals(new Ended(Outcome.SERVED, "for r2"), ask(host, "r2", LONG_NANOS));
-            assertEquals(new Ended(Outcome.SERVED, "for r3"), ask(host, "r3", LONG_NANOS));
+            assertEquals(new Ended(Outcome.SERVED, "for r2"), sendRequest(host, "r2", LONG_NANOS));
+            assertEquals(new Ended(Outcome.SERVED, "for r3"), sendRequest(host, "r3", LONG_NANOS));
         }
     }
 }
--- a/src/test/java/tinworks/edge/UnreadableHostTest.java
+++ b/src/test/java/tinworks/edge/UnreadableHostTest.java
@@ -21,7 +21,7 @@
 @Timeout(value = 30, unit = TimeUnit.SECONDS)
 class UnreadableHostTest {
     @Test
-    void theOthersAreTakenIn() throws InterruptedException {
+    void otherHostsAreAccepted() throws InterruptedException {
         ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
--- a/src/test/java/tinworks/edge/UnusedServicesTest.java
+++ b/src/test/java/tinworks/edge/UnusedServicesTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void modulesOfServicesThatNoVersionNamesGo() throws InterruptedException {
+    void modulesOfRemovedServicesAreClosed() throws InterruptedException {
         ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
@@ -55,7 +55,7 @@
                 NodeProcess.run(loop, () -> edge.follower().received(null, body));
                 await(() -> NodeProcess.call(loop, () -> edge.follower().rev()) == body.rev());
             }
-            await(() -> NodeProcess.call(loop, edge::modules) == 1);
+            await(() -> NodeProcess.call(loop, edge::serviceCount) == 1);
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).await(5, TimeUnit.SECONDS);
         }
