--- a/src/test/java/tinworks/edge/AmbiguousRequestTest.java
+++ b/src/test/java/tinworks/edge/AmbiguousRequestTest.java
@@ -18,7 +18,8 @@
 import tinworks.net.ScriptedHost;
 
 /**
- * Requests that two readers could read in two ways, or that would not reach a host as they came: none goes to a host.
+ * Guards against request smuggling: a request that two parsers could read differently, or that would reach a host
+ * altered, must not be forwarded.
  */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class AmbiguousRequestTest {
@@ -99,14 +100,14 @@
     void ambiguousRequestReachesNoHostAndNeitherDoesWhatFollows(String bytes) throws Exception {
         try (Client client = edge.client()) {
             client.write(bytes);
-            Message answer = client.read();
-            assertTrue(answer != null && answer.status() == 400, "answered " + answer + " after " + host.requests);
-            assertNull(client.read(), "what follows can't be told from it");
-            assertEquals(0, host.requests.size(), () -> "went on: " + host.requests);
+            Message response = client.read();
+            assertTrue(response != null && response.status() == 400, "got " + response + " after " + host.requests);
+            assertNull(client.read(), "what follows cannot be separated from it");
+            assertEquals(0, host.requests.size(), () -> "forwarded: " + host.requests);
         }
     }
 
-    /** What can't be read behind an open request must not take its answer away. */
+    /** An invalid pipelined request must not suppress the response to the request in flight. */
     @Test
     void invalidPipelinedLengthIsAnsweredAfterTheRequestInFlight() throws Exception {
         try (Client client = edge.client()) {
@@ -118,7 +119,7 @@
         }
     }
 
-    /** Its end is plain, but not what is asked: what follows it is another request, and served. */
+    /** The request is invalid but its end is unambiguous, so the request after it is served. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -134,13 +135,15 @@
         try (Client client = edge.client()) {
             client.write(bytes);
             int status = client.read().status();
-            assertTrue(status == 400 || status == 404, "answered " + status + " after " + host.requests);
+            assertTrue(status == 400 || status == 404, "got " + status + " after " + host.requests);
             assertEquals("b", client.read().headers().get("attempt-id"));
-            assertEquals(1, host.requests.size(), () -> "went on: " + host.requests);
+            assertEquals(1, host.requests.size(), () -> "forwarded: " + host.requests);
         }
     }
 
-    /** A folded line becomes one, as the standard asks of a proxy: no second header comes out of it. */
+    /**
+     * A folded header is joined to one line, as RFC 9112 requires of a proxy; it must not turn into a second header.
+     */
     @Test
     void foldedHeaderIsForwardedAsOneLine() throws Exception {
         try (Client client = edge.client()) {
@@ -165,7 +168,7 @@
         }
     }
 
-    /** The answer to a HEAD has no body; bytes of one would stand where the next answer begins. */
+    /** The response to a HEAD has no body; bytes of one would be read as the start of the next response. */
     @Test
     void headResponseHasNoBody() throws Exception {
         try (Client client = edge.client()) {
@@ -176,7 +179,7 @@
             Message head = client.readHead();
             assertEquals(200, head.status());
             assertEquals("b", head.headers().get("attempt-id"));
-            assertEquals("4", head.headers().get("content-length"), "the host's own");
+            assertEquals("4", head.headers().get("content-length"), "as sent by the host");
             Message next = client.read();
             assertEquals("c", next.headers().get("attempt-id"));
             assertEquals("fine", next.body());
@@ -188,11 +191,11 @@
         try (Client client = edge.client()) {
             client.write(EdgeFixture.request("empty", "m", "x", 9_000, false)
                     + EdgeFixture.request("c", "i", "", 9_000, false));
-            Message answer = client.read();
-            assertEquals(204, answer.status());
-            assertEquals("s", answer.headers().get("origin-seal"));
+            Message response = client.read();
+            assertEquals(204, response.status());
+            assertEquals("s", response.headers().get("origin-seal"));
             assertEquals("fine", client.read().body());
-            assertEquals(1, host.connections.size(), "its connection lives");
+            assertEquals(1, host.connections.size(), "its connection is reused");
         }
     }
 }
--- a/src/test/java/tinworks/edge/AtMostOnceMutantsTest.java
+++ b/src/test/java/tinworks/edge/AtMostOnceMutantsTest.java
@@ -24,13 +24,16 @@
 import tinworks.net.HostPool.ResponseMatch;
 import tinworks.policy.LoadBalancerApi.Outcome;
 
-/** Each guard that docs/design/at-most-once.md names is needed: without it the walk fails. */
+/**
+ * Mutation test: every guard that docs/design/at-most-once.md names is needed, as {@link AtMostOnceSweep} fails without
+ * it.
+ */
 @Timeout(value = 240, unit = TimeUnit.SECONDS)
 @BreaksInvariants(Invariant.OWN_ANSWER)
 class AtMostOnceMutantsTest {
     private static final int POSITION_STEP = 9;
 
-    /** A style without one of its guards, and the endings that show it. */
+    /** A protocol without one of its guards, and the attempt endings that reveal it. */
     private record Mutant(String name, EdgeProtocol protocol, Set<AttemptEnding> detectedBy) {
         @Override
         public String toString() {
@@ -41,7 +44,7 @@
     static Stream<Mutant> mutants() {
         return Stream.of(
                 new Mutant(
-                        "any answer is the request's own",
+                        "any response is taken for the request's own",
                         new EdgeProtocol(1) {
                             @Override
                             public ResponseMatch match(String request, HttpHeaders headers) {
@@ -53,17 +56,17 @@
                                 AttemptEnding.STRAY_PROMISE_ALONE,
                                 AttemptEnding.STRAY_MISDIRECTED_ALONE)),
                 new Mutant(
-                        "an answer that names no request is its own",
+                        "a response without an id is taken for the request's own",
                         new EdgeProtocol(1) {
                             @Override
                             public ResponseMatch match(String request, HttpHeaders headers) {
-                                ResponseMatch whose = super.match(request, headers);
-                                return whose == ResponseMatch.UNIDENTIFIED ? ResponseMatch.THIS_REQUEST : whose;
+                                ResponseMatch match = super.match(request, headers);
+                                return match == ResponseMatch.UNIDENTIFIED ? ResponseMatch.THIS_REQUEST : match;
                             }
                         },
                         EnumSet.of(AttemptEnding.NOT_RUN_WITHOUT_ID)),
                 new Mutant(
-                        "a 429 or 503 proves that nothing ran",
+                        "a 429 or 503 alone proves that nothing ran",
                         new EdgeProtocol(1) {
                             @Override
                             public Outcome outcome(String request, HttpResponse head, boolean framed) {
@@ -75,7 +78,7 @@
                         },
                         EnumSet.of(AttemptEnding.BUSY, AttemptEnding.TOO_MANY)),
                 new Mutant(
-                        "Not-Run proves it beside any status",
+                        "Not-Run proves that nothing ran, whatever the status",
                         new EdgeProtocol(1) {
                             @Override
                             public Outcome outcome(String request, HttpResponse head, boolean framed) {
@@ -114,7 +117,7 @@
                         },
                         EnumSet.of(AttemptEnding.BUSY, AttemptEnding.TOO_MANY, AttemptEnding.TOO_LATE)),
                 new Mutant(
-                        "an own answer keeps a host's headers",
+                        "the edge's own response keeps the host's seal",
                         new EdgeProtocol(1) {
                             @Override
                             public void fail(Reply reply, Response last) {
@@ -133,7 +136,7 @@
                                 AttemptEnding.FAILED,
                                 AttemptEnding.FAILED_UNUSUAL_STATUS)),
                 new Mutant(
-                        "what failed and may have run is refused",
+                        "a failed request that may have run is refused",
                         new EdgeProtocol(1) {
                             @Override
                             public void fail(Reply reply, Response last) {
@@ -153,13 +156,15 @@
         Report report = AtMostOnceSweep.run(
                 mutant.protocol,
                 AtMostOnceSweep.cases(
-                        true, one -> mutant.detectedBy.contains(one.ending()) && one.position() % POSITION_STEP == 0));
-        assertFalse(report.failures().isEmpty(), "not caught in " + report.cases() + " cases");
-        Set<AttemptEnding> caught = EnumSet.noneOf(AttemptEnding.class);
+                        true,
+                        candidate -> mutant.detectedBy.contains(candidate.ending())
+                                && candidate.position() % POSITION_STEP == 0));
+        assertFalse(report.failures().isEmpty(), "not detected in " + report.cases() + " cases");
+        Set<AttemptEnding> detected = EnumSet.noneOf(AttemptEnding.class);
         mutant.detectedBy.stream()
                 .filter(ending ->
                         report.failures().stream().anyMatch(fault -> fault.contains("ending=" + ending + ",")))
-                .forEach(caught::add);
-        assertEquals(mutant.detectedBy, caught, () -> "of " + report.failures());
+                .forEach(detected::add);
+        assertEquals(mutant.detectedBy, detected, () -> "of " + report.failures());
     }
 }
--- a/src/test/java/tinworks/edge/AtMostOnceSweep.java
+++ b/src/test/java/tinworks/edge/AtMostOnceSweep.java
@@ -17,18 +17,17 @@
 import tinworks.edge.EdgeFixture.Message;
 import tinworks.edge.FaultInjectingHost.AttemptEnding;
 import tinworks.edge.FaultInjectingHost.InjectedFault;
-import tinworks.edge.FaultInjectingHost.KnownOutcome;
+import tinworks.edge.FaultInjectingHost.Known;
 
 /**
- * Walks through the table of docs/design/at-most-once.md: each ending at each byte, for both kinds of requests, on a
- * connection's first use and on a later one, with a request sent ahead behind it and others between, by several
- * clients.
+ * Plays the table of docs/design/at-most-once.md: every ending of an attempt at every byte, for both kinds of requests,
+ * on new and on reused connections, with a pipelined request behind it and concurrent ones from other clients.
  */
 final class AtMostOnceSweep {
-    /** One cell of the table at one byte: at the first host that the request reaches, or at each. */
+    /** One cell of the table at one byte, played at the first host that the request reaches or at each. */
     record Case(AttemptEnding ending, int position, boolean mutating, boolean reused, boolean atEachHost) {}
 
-    /** What was played, how often again as it had not come about, and what broke a rule. */
+    /** The cases played, the retries of cases that did not come about as intended, and the violations found. */
     record Report(int cases, int retries, Map<AttemptEnding, Integer> byEnding, List<String> failures) {}
 
     private static final long SEED = 20_261_202;
@@ -46,28 +45,28 @@
     private final AtomicInteger ids = new AtomicInteger();
     private final AtomicInteger retries = new AtomicInteger();
 
-    private AtMostOnceSweep(EdgeProtocol style) {
-        edge = new EdgeFixture(style);
+    private AtMostOnceSweep(EdgeProtocol protocol) {
+        edge = new EdgeFixture(protocol);
     }
 
     /**
-     * Each ending at each byte. Where all is sent, in two parts, each byte is played for one kind and use in turn;
-     * else, or where {@code all} are wanted, for both kinds and both uses. Beside these each ending is played at each
-     * host that the request reaches, each byte for one kind and use in turn.
+     * Every ending at every byte. Where everything is sent, in two parts, each byte is played with one combination of
+     * kind (mutating or not) and use (new or reused connection) in rotation. Otherwise, or with {@code all}, it is
+     * played with all four. In addition each ending is played at every host that the request reaches, in rotation too.
      */
-    static List<Case> cases(boolean all, Predicate<Case> wanted) {
+    static List<Case> cases(boolean all, Predicate<Case> filter) {
         List<Case> cases = new ArrayList<>();
         for (AttemptEnding ending : AttemptEnding.values()) {
             for (int position = 0; position < ending.positions(); position++) {
                 for (int kind = 0; kind < VARIANTS; kind++) {
                     boolean inTurn = position % VARIANTS == kind;
-                    Case one = new Case(ending, position, kind % 2 == 0, kind < 2, false);
-                    if ((all || ending.isCut() || inTurn) && wanted.test(one)) {
-                        cases.add(one);
+                    Case testCase = new Case(ending, position, kind % 2 == 0, kind < 2, false);
+                    if ((all || ending.isCut() || inTurn) && filter.test(testCase)) {
+                        cases.add(testCase);
                     }
-                    Case everywhere = new Case(ending, position, one.mutating, one.reused, true);
-                    if (inTurn && ending.canRepeatAtEachHost() && wanted.test(everywhere)) {
-                        cases.add(everywhere);
+                    Case atEachHost = new Case(ending, position, testCase.mutating, testCase.reused, true);
+                    if (inTurn && ending.canRepeatAtEachHost() && filter.test(atEachHost)) {
+                        cases.add(atEachHost);
                     }
                 }
             }
@@ -76,17 +75,17 @@
         return cases;
     }
 
-    static Report run(EdgeProtocol style, List<Case> cases) throws Exception {
-        AtMostOnceSweep walk = new AtMostOnceSweep(style);
+    static Report run(EdgeProtocol protocol, List<Case> cases) throws Exception {
+        AtMostOnceSweep sweep = new AtMostOnceSweep(protocol);
         List<Thread> workers = new ArrayList<>();
-        try (walk.edge) {
+        try (sweep.edge) {
             for (int w = 0; w < WORKERS; w++) {
                 int number = w;
                 List<Case> part = new ArrayList<>();
                 for (int i = w; i < cases.size(); i += WORKERS) {
                     part.add(cases.get(i));
                 }
-                workers.add(new Thread(() -> walk.runCases(number, part)));
+                workers.add(new Thread(() -> sweep.runCases(number, part)));
             }
             workers.forEach(Thread::start);
             for (Thread worker : workers) {
@@ -94,8 +93,8 @@
             }
         }
         Map<AttemptEnding, Integer> byEnding = new TreeMap<>();
-        cases.forEach(one -> byEnding.merge(one.ending, 1, Integer::sum));
-        return new Report(cases.size(), walk.retries.get(), byEnding, walk.failures);
+        cases.forEach(testCase -> byEnding.merge(testCase.ending, 1, Integer::sum));
+        return new Report(cases.size(), sweep.retries.get(), byEnding, sweep.failures);
     }
 
     private void runCases(int number, List<Case> cases) {
@@ -103,12 +102,12 @@
                 FaultInjectingHost b = new FaultInjectingHost("b" + number, sentRequests, failures);
                 FaultInjectingHost c = new FaultInjectingHost("c" + number, sentRequests, failures);
                 Worker worker = new Worker(number, a, b, c)) {
-            for (Case one : cases) {
-                int tries = 0;
-                while (!worker.runCase(one)) {
+            for (Case testCase : cases) {
+                int repeats = 0;
+                while (!worker.runCase(testCase)) {
                     retries.incrementAndGet();
-                    if (++tries > MAX_RETRIES) {
-                        failures.add("never came about: " + one);
+                    if (++repeats > MAX_RETRIES) {
+                        failures.add("never came about as intended: " + testCase);
                         break;
                     }
                 }
@@ -120,7 +119,7 @@
         }
     }
 
-    /** One host more than a request has tries, and clients that ask for one case after the other. */
+    /** Plays cases one after the other, with one host more than a request has attempts. */
     private final class Worker implements AutoCloseable {
         private final FaultInjectingHost[] hosts;
         private final String number;
@@ -128,7 +127,7 @@
         private Client client;
         private Client secondClient;
         private int casesRun;
-        /** Answers that promise that a request never runs, by its id. */
+        /** Statuses that promise that a mutating request never runs, by request id. */
         private final Map<String, Integer> refusalStatusById = new TreeMap<>();
 
         private final List<String> mutatingIds = new ArrayList<>();
@@ -156,25 +155,25 @@
             return EdgeFixture.request(id, route, body, deadline, random.nextBoolean());
         }
 
-        /** A plain request to each host, so that a connection to it rests; and the connection on which it came. */
+        /** Sends a plain request to a host, so that a connection to it is idle; returns that connection. */
         private FaultInjectingHost.Connection openIdleConnection(FaultInjectingHost host) throws IOException {
-            for (int tries = 0; tries < MAX_RETRIES; tries++) {
+            for (int repeats = 0; repeats < MAX_RETRIES; repeats++) {
                 String id = nextId();
                 client.write(newRequest(id, "warm-" + host.id(), false, LONG_DEADLINE_MILLIS));
-                Message answer = client.read();
-                if (answer != null && answer.status() == 200) {
-                    checkOwnResponse(answer, id, "a plain request");
+                Message response = client.read();
+                if (response != null && response.status() == 200) {
+                    checkOwnResponse(response, id, "a plain request");
                     return host.lastConnection;
                 }
                 edge.route("warm-" + host.id(), Configuration.Type.IDEM, 2, host.id());
-                reconnectIfClosed(answer);
+                reconnectIfClosed(response);
             }
-            failures.add("a host in good order was not reached");
+            failures.add("a working host was not reached");
             return null;
         }
 
-        private void reconnectIfClosed(Message answer) throws IOException {
-            if (answer == null || "close".equals(answer.headers().get("connection"))) {
+        private void reconnectIfClosed(Message response) throws IOException {
+            if (response == null || "close".equals(response.headers().get("connection"))) {
                 client.close();
                 client = edge.client();
             }
@@ -184,93 +183,96 @@
             return Stream.of(hosts).map(FaultInjectingHost::id).toArray(String[]::new);
         }
 
-        /** Whether it came about. */
-        boolean runCase(Case one) throws IOException, InterruptedException {
-            AttemptEnding ending = one.ending;
+        /** Plays a case; returns whether it came about as intended. */
+        boolean runCase(Case testCase) throws IOException, InterruptedException {
+            AttemptEnding ending = testCase.ending;
             for (FaultInjectingHost host : hosts) {
                 host.injected = null;
             }
-            edge.hosts(one.reused, hosts);
-            if (one.reused) {
+            edge.hosts(testCase.reused, hosts);
+            if (testCase.reused) {
                 for (FaultInjectingHost host : hosts) {
                     openIdleConnection(host);
                 }
             }
-            String route = (one.mutating ? "mutating-" : "idem-") + number;
+            String route = (testCase.mutating ? "mutating-" : "idem-") + number;
             String plain = "plain-" + number;
             edge.route(
                     route,
-                    one.mutating ? Configuration.Type.MUTATING : Configuration.Type.IDEM,
+                    testCase.mutating ? Configuration.Type.MUTATING : Configuration.Type.IDEM,
                     MAX_ATTEMPTS,
                     hostIds());
             if (++casesRun % NEW_SERVICE_EVERY == 1) {
                 edge.route(plain, Configuration.Type.IDEM, MAX_ATTEMPTS, hostIds());
             }
-            InjectedFault play = new InjectedFault(ending, one.position, nextId(), one.atEachHost);
-            if (one.mutating) {
-                mutatingIds.add(play.id);
+            InjectedFault fault = new InjectedFault(ending, testCase.position, nextId(), testCase.atEachHost);
+            if (testCase.mutating) {
+                mutatingIds.add(fault.id);
             }
             for (FaultInjectingHost host : hosts) {
-                host.injected = play;
+                host.injected = fault;
             }
-            boolean leaves = ending == AttemptEnding.CLIENT_DISCONNECTED;
-            boolean others = !leaves && ending != AttemptEnding.REQUEST_CUT && random.nextBoolean();
-            String behind = others ? nextId() : null;
-            String beside = others ? nextId() : null;
-            // What is served whole needs no time to run out.
-            long deadline = ending.waitsForDeadline() && ending.knownOutcome(one.position) != KnownOutcome.SERVED
+            boolean disconnects = ending == AttemptEnding.CLIENT_DISCONNECTED;
+            boolean withOthers = !disconnects && ending != AttemptEnding.REQUEST_CUT && random.nextBoolean();
+            String pipelinedId = withOthers ? nextId() : null;
+            String concurrentId = withOthers ? nextId() : null;
+            // A request that is served does not have to wait for its deadline.
+            long deadline = ending.waitsForDeadline() && ending.known(testCase.position) != Known.SERVED
                     ? SHORT_DEADLINE_MILLIS
                     : LONG_DEADLINE_MILLIS;
-            String text = newRequest(play.id, route, one.mutating, deadline);
-            client.write(others ? text + newRequest(behind, plain, false, LONG_DEADLINE_MILLIS) : text);
-            if (others && play.begun.await(one.reused ? 2_000 : 0, TimeUnit.MILLISECONDS)) {
-                secondClient.write(newRequest(beside, plain, false, LONG_DEADLINE_MILLIS));
-            } else if (others) {
-                secondClient.write(newRequest(beside, plain, false, LONG_DEADLINE_MILLIS));
+            String text = newRequest(fault.id, route, testCase.mutating, deadline);
+            client.write(withOthers ? text + newRequest(pipelinedId, plain, false, LONG_DEADLINE_MILLIS) : text);
+            if (withOthers && fault.begun.await(testCase.reused ? 2_000 : 0, TimeUnit.MILLISECONDS)) {
+                secondClient.write(newRequest(concurrentId, plain, false, LONG_DEADLINE_MILLIS));
+            } else if (withOthers) {
+                secondClient.write(newRequest(concurrentId, plain, false, LONG_DEADLINE_MILLIS));
             }
-            if (leaves) {
-                return checkClientDisconnect(play, one);
+            if (disconnects) {
+                return checkClientDisconnect(fault, testCase);
             }
-            Message answer = client.read();
-            checkResponse(one, play, answer);
-            if (others) {
-                checkOwnResponse(client.read(), behind, "behind " + one);
-                checkOwnResponse(secondClient.read(), beside, "beside " + one);
+            Message response = client.read();
+            checkResponse(testCase, fault, response);
+            if (withOthers) {
+                checkOwnResponse(client.read(), pipelinedId, "pipelined behind " + testCase);
+                checkOwnResponse(secondClient.read(), concurrentId, "concurrent with " + testCase);
             }
-            reconnectIfClosed(answer);
-            if (!play.isClaimed()) {
+            reconnectIfClosed(response);
+            if (!fault.isClaimed()) {
                 return false;
             }
-            if (!play.done.await(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS)) {
-                failures.add("the host is not done with " + one);
+            if (!fault.done.await(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS)) {
+                failures.add("the host has not completed " + testCase);
             }
-            boolean asWanted = play.reused == one.reused;
-            boolean lives = ending.leavesConnectionReusable(one.position)
-                    && one.reused
-                    && !others
-                    && asWanted
-                    && !one.atEachHost;
+            boolean asIntended = fault.reused == testCase.reused;
+            boolean expectsReuse = ending.leavesConnectionReusable(testCase.position)
+                    && testCase.reused
+                    && !withOthers
+                    && asIntended
+                    && !testCase.atEachHost;
             for (FaultInjectingHost host : hosts) {
                 host.injected = null;
             }
-            if (lives && openIdleConnection(play.host) != play.connection) {
-                failures.add("its connection does not live: " + one);
+            if (expectsReuse && openIdleConnection(fault.host) != fault.connection) {
+                failures.add("its connection is not reused: " + testCase);
             }
-            return asWanted;
+            return asIntended;
         }
 
-        /** The client goes away while its request is at the host: nobody else gets it, and its connection ends. */
-        private boolean checkClientDisconnect(InjectedFault play, Case one) throws IOException, InterruptedException {
-            boolean begun = play.begun.await(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS);
+        /**
+         * The client disconnects while its request is at the host: no other host gets it, and the connection is closed.
+         */
+        private boolean checkClientDisconnect(InjectedFault fault, Case testCase)
+                throws IOException, InterruptedException {
+            boolean begun = fault.begun.await(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS);
             client.close();
             client = edge.client();
-            if (!begun || !play.done.await(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS)) {
-                failures.add("the host is not told that the client left: " + one);
+            if (!begun || !fault.done.await(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS)) {
+                failures.add("the host did not notice the disconnect of the client: " + testCase);
             }
-            if (count(play.id, true) != 1) {
-                failures.add("arrived " + count(play.id, true) + " times: " + one);
+            if (count(fault.id, true) != 1) {
+                failures.add("arrived " + count(fault.id, true) + " times: " + testCase);
             }
-            return play.reused == one.reused;
+            return fault.reused == testCase.reused;
         }
 
         private int count(String id, boolean arrivals) {
@@ -281,57 +283,59 @@
             return sum;
         }
 
-        /** MIXED: an answer, whole, to this request. */
-        private void checkOwnResponse(Message answer, String id, String what) {
-            boolean own = answer != null
-                    && answer.status() == 200
-                    && id.equals(answer.headers().get("attempt-id"))
-                    && ("s" + id).equals(answer.headers().get("origin-seal"))
-                    && FaultInjectingHost.body(id).equals(answer.body());
-            if (!own) {
-                failures.add("MIXED: " + answer + " for " + id + ", " + what);
+        /** Rule MIXED: the response is complete and belongs to this request. */
+        private void checkOwnResponse(Message response, String id, String what) {
+            boolean isOwn = response != null
+                    && response.status() == 200
+                    && id.equals(response.headers().get("attempt-id"))
+                    && ("s" + id).equals(response.headers().get("origin-seal"))
+                    && FaultInjectingHost.body(id).equals(response.body());
+            if (!isOwn) {
+                failures.add("MIXED: " + response + " for " + id + ", " + what);
             }
         }
 
-        private void checkResponse(Case one, InjectedFault play, Message answer) {
-            int status = answer == null ? 0 : answer.status();
-            if (one.mutating && (status == 429 || status == 503 || status == 408 || status == 421)) {
-                refusalStatusById.put(play.id, status);
+        private void checkResponse(Case testCase, InjectedFault fault, Message response) {
+            int status = response == null ? 0 : response.status();
+            if (testCase.mutating && (status == 429 || status == 503 || status == 408 || status == 421)) {
+                refusalStatusById.put(fault.id, status);
             }
-            checkSeal(one, play, answer);
-            if (count(play.id, true) > MAX_ATTEMPTS) {
-                failures.add("BUDGET: reached " + count(play.id, true) + " hosts: " + one);
+            checkSeal(testCase, fault, response);
+            if (count(fault.id, true) > MAX_ATTEMPTS) {
+                failures.add("BUDGET: reached " + count(fault.id, true) + " hosts: " + testCase);
             }
-            if (!play.isClaimed()) {
-                return; // its time ran out, or its connection broke, before it reached a host
+            if (!fault.isClaimed()) {
+                return; // it timed out, or its connection broke, before it reached a host
             }
-            KnownOutcome known = one.ending.knownOutcome(one.position);
+            Known known = testCase.ending.known(testCase.position);
             if (status == 200) {
-                checkOwnResponse(answer, play.id, one.toString());
+                checkOwnResponse(response, fault.id, testCase.toString());
             }
-            int wanted = one.atEachHost
-                    ? expectedStatusIfAllHostsFail(known, one.mutating, status)
-                    : expectedStatus(known, one.mutating, status);
-            if (status != wanted) {
-                failures.add("answered " + status + ", not " + wanted + ": " + one + " on a "
-                        + (play.reused ? "used" : "new") + " connection");
+            int expected = testCase.atEachHost
+                    ? expectedStatusIfAllHostsFail(known, testCase.mutating, status)
+                    : expectedStatus(known, testCase.mutating, status);
+            if (status != expected) {
+                failures.add("got status " + status + ", not " + expected + ": " + testCase + " on a "
+                        + (fault.reused ? "used" : "new") + " connection");
             }
-            boolean elsewhere = one.mutating && known != KnownOutcome.NOT_RUN;
-            if (elsewhere && count(play.id, true) > 1) {
-                failures.add("went to another host though it may have run: " + one);
+            boolean mustNotRetry = testCase.mutating && known != Known.NOT_RUN;
+            if (mustNotRetry && count(fault.id, true) > 1) {
+                failures.add("sent to another host although it may have run: " + testCase);
             }
         }
 
-        /** MIXED: a host's seal goes with the status that the host gave, and never with an answer of the edge's own. */
-        private void checkSeal(Case one, InjectedFault play, Message answer) {
-            String seal = answer == null ? null : answer.headers().get("origin-seal");
-            if (seal != null && !seal.equals(FaultInjectingHost.seal(play.id, answer.status()))) {
-                failures.add("MIXED: " + answer.status() + " bears " + seal + ": " + one);
+        /**
+         * Rule MIXED: a host's seal comes only with the status that the host gave, never with the edge's own response.
+         */
+        private void checkSeal(Case testCase, InjectedFault fault, Message response) {
+            String seal = response == null ? null : response.headers().get("origin-seal");
+            if (seal != null && !seal.equals(FaultInjectingHost.seal(fault.id, response.status()))) {
+                failures.add("MIXED: " + response.status() + " carries the seal " + seal + ": " + testCase);
             }
         }
 
-        /** Where the other hosts serve. */
-        private int expectedStatus(KnownOutcome known, boolean mutating, int status) {
+        /** The status expected if the other hosts serve. */
+        private int expectedStatus(Known known, boolean mutating, int status) {
             return switch (known) {
                 case SERVED, NOT_RUN -> 200;
                 case FAILED -> mutating ? 500 : 200;
@@ -344,8 +348,8 @@
             };
         }
 
-        /** Where no host serves an idem request is refused, and a mutating one too if none ran it. */
-        private int expectedStatusIfAllHostsFail(KnownOutcome known, boolean mutating, int status) {
+        /** If no host serves, an idempotent request is refused, and a mutating one only if no host ran it. */
+        private int expectedStatusIfAllHostsFail(Known known, boolean mutating, int status) {
             return switch (known) {
                 case SERVED -> 200;
                 case NOT_RUN -> 503;
@@ -355,7 +359,7 @@
             };
         }
 
-        /** TWICE and REFUSED, once all that was sent has come. */
+        /** Rules TWICE and REFUSED, once everything sent has arrived. */
         void checkMutatingRequests() {
             for (String id : mutatingIds) {
                 if (count(id, false) > 1) {
@@ -364,7 +368,7 @@
             }
             refusalStatusById.forEach((id, status) -> {
                 if (count(id, false) > 0) {
-                    failures.add("REFUSED: " + id + " ran and was answered " + status);
+                    failures.add("REFUSED: " + id + " ran, but the client got " + status);
                 }
             });
         }
--- a/src/test/java/tinworks/edge/AtMostOnceTest.java
+++ b/src/test/java/tinworks/edge/AtMostOnceTest.java
@@ -23,7 +23,7 @@
 import tinworks.edge.EdgeFixture.Client;
 import tinworks.net.ScriptedHost;
 
-/** The table of docs/design/at-most-once.md. */
+/** Checks the table of docs/design/at-most-once.md: a mutating request runs at most once, however its attempt ends. */
 @Timeout(value = 240, unit = TimeUnit.SECONDS)
 class AtMostOnceTest {
     private static final long IDLE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
@@ -31,36 +31,36 @@
     @Test
     void everyEndingAtEveryByteKeepsTheRules() throws Exception {
         Report report = AtMostOnceSweep.run(
-                new EdgeProtocol(1), AtMostOnceSweep.cases(Boolean.getBoolean("tinworks.walk.all"), one -> true));
-        System.out.println("at most once: " + report.cases() + " cases, " + report.retries() + " played again, "
-                + report.byEnding());
+                new EdgeProtocol(1), AtMostOnceSweep.cases(Boolean.getBoolean("tinworks.walk.all"), testCase -> true));
+        System.out.println(
+                "at most once: " + report.cases() + " cases, " + report.retries() + " repeated, " + report.byEnding());
         assertEquals(
                 List.of(),
                 report.failures().subList(0, Math.min(20, report.failures().size())),
-                () -> report.failures().size() + " faults");
+                () -> report.failures().size() + " failures");
     }
 
     /**
-     * A host where no whole request can arrive: it refuses connections, leaves them unanswered, or resets amidst a long
-     * body.
+     * A host that no complete request can reach: it refuses connections, leaves them in its queue, or resets them
+     * during a long body.
      */
-    private static ServerSocket unreachable(String how, List<Socket> filling) throws IOException {
+    private static ServerSocket unreachable(String failure, List<Socket> queued) throws IOException {
         ServerSocket listener = new ServerSocket();
         listener.setReceiveBufferSize(4_096);
         listener.bind(new InetSocketAddress("127.0.0.1", 0), 1);
-        if (how.equals("refuses")) {
+        if (failure.equals("refuses")) {
             listener.close();
-        } else if (how.equals("is silent")) {
+        } else if (failure.equals("accepts nothing")) {
             try {
                 for (int i = 0; i < 64; i++) {
                     Socket socket = new Socket();
-                    filling.add(socket);
+                    queued.add(socket);
                     socket.connect(listener.getLocalSocketAddress(), 200);
                 }
             } catch (SocketTimeoutException e) {
-                return listener; // no more fit into its queue
+                return listener; // the queue is full
             }
-            throw new IOException("the queue of new connections never fills");
+            throw new IOException("the queue of new connections never fills up");
         } else {
             Thread reader = new Thread(() -> {
                 while (!listener.isClosed()) {
@@ -68,7 +68,7 @@
                         socket.setSoLinger(true, 0);
                         socket.getInputStream().readNBytes(10_000);
                     } catch (IOException e) {
-                        // closed by the test, or reset
+                        // Closed by the test, or reset.
                     }
                 }
             });
@@ -79,47 +79,56 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"refuses,MUTATING", "refuses,IDEM", "is silent,MUTATING", "is silent,IDEM", "resets amidst,MUTATING"})
-    void incompleteRequestIsRetriedElsewhereOrElseRefused(String how, Configuration.Type type) throws Exception {
-        String body = how.equals("resets amidst")
+    @CsvSource({
+        "refuses,MUTATING",
+        "refuses,IDEM",
+        "accepts nothing,MUTATING",
+        "accepts nothing,IDEM",
+        "resets midway,MUTATING"
+    })
+    void incompleteRequestIsRetriedElsewhereOrElseRefused(String failure, Configuration.Type type) throws Exception {
+        String body = failure.equals("resets midway")
                 ? "0123456789abcdef".repeat(12 << 16)
                 : type == Configuration.Type.IDEM ? "" : "body";
-        Map<String, String> asked = new ConcurrentHashMap<>();
-        List<Socket> filling = new ArrayList<>();
-        try (ServerSocket bad = unreachable(how, filling);
-                FaultInjectingHost good = new FaultInjectingHost("good", asked, FaultInjectingHost.newFailureList());
+        Map<String, String> sentRequests = new ConcurrentHashMap<>();
+        List<Socket> queued = new ArrayList<>();
+        try (ServerSocket broken = unreachable(failure, queued);
+                FaultInjectingHost good =
+                        new FaultInjectingHost("good", sentRequests, FaultInjectingHost.newFailureList());
                 EdgeFixture edge = new EdgeFixture(new EdgeProtocol(1));
                 Client client = edge.client()) {
-            edge.host("bad", new InetSocketAddress("127.0.0.1", bad.getLocalPort()), true);
+            edge.host("bad", new InetSocketAddress("127.0.0.1", broken.getLocalPort()), true);
             edge.host("good", good.address(), true);
             edge.route("alone", type, 2, "bad");
             client.write(EdgeFixture.request("alone", "alone", body, 1_500, false));
-            assertEquals(503, client.read().status(), "a promise, for either kind");
+            assertEquals(503, client.read().status(), "a refusal, for both kinds of requests");
             for (int i = 0; i < 6; i++) {
-                edge.route("both", type, 2, "bad", "good"); // a new module, which draws one of both
+                edge.route("both", type, 2, "bad", "good"); // a new module, which picks one of the two hosts
                 client.write(EdgeFixture.request("both-" + i, "both", body, 9_000, false));
                 assertEquals(200, client.read().status());
                 assertEquals(1, good.runs.get("both-" + i));
             }
         }
-        for (Socket socket : filling) {
+        for (Socket socket : queued) {
             socket.close();
         }
     }
 
     /**
-     * What an address says of a host that is gone: another one is there now; the runs there, and the client's answer.
+     * Sends a request to a removed host whose address another host has taken over. Returns the client's status and how
+     * often the other host ran the request.
      */
-    private static String requestToAReusedAddress(EdgeProtocol style) throws Exception {
-        Map<String, String> asked = new ConcurrentHashMap<>();
-        asked.put("a", "POST /m/a?q=%20a HTTP/1.1|body");
-        try (FaultInjectingHost now = new FaultInjectingHost("now", asked, FaultInjectingHost.newFailureList());
-                EdgeFixture edge = new EdgeFixture(style);
+    private static String requestToAReusedAddress(EdgeProtocol protocol) throws Exception {
+        Map<String, String> sentRequests = new ConcurrentHashMap<>();
+        sentRequests.put("a", "POST /m/a?q=%20a HTTP/1.1|body");
+        try (FaultInjectingHost newHost =
+                        new FaultInjectingHost("now", sentRequests, FaultInjectingHost.newFailureList());
+                EdgeFixture edge = new EdgeFixture(protocol);
                 Client client = edge.client()) {
-            edge.host("gone", now.address(), true);
+            edge.host("gone", newHost.address(), true);
             edge.route("m", Configuration.Type.MUTATING, 2, "gone");
             client.write(EdgeFixture.request("a", "m", "body", 2_000, false));
-            return client.read().status() + ", ran " + now.runs.getOrDefault("a", 0);
+            return client.read().status() + ", ran " + newHost.runs.getOrDefault("a", 0);
         }
     }
 
@@ -136,17 +145,16 @@
                         return sent;
                     }
                 }),
-                "without Want-Host it is");
+                "without Want-Host the other host runs it");
     }
 
     /**
-     * The host forgets connections that rest without a word: the answer to what is asked once its connection has
-     * rested.
+     * The status of a request sent after its connection idled, at a host that drops idle connections without notice.
      */
-    private static int statusAfterIdling(EdgeProtocol style, Configuration.Type type) throws Exception {
-        Map<String, String> asked = new ConcurrentHashMap<>();
-        try (FaultInjectingHost host = new FaultInjectingHost("h", asked, FaultInjectingHost.newFailureList());
-                EdgeFixture edge = new EdgeFixture(style);
+    private static int statusAfterIdling(EdgeProtocol protocol, Configuration.Type type) throws Exception {
+        Map<String, String> sentRequests = new ConcurrentHashMap<>();
+        try (FaultInjectingHost host = new FaultInjectingHost("h", sentRequests, FaultInjectingHost.newFailureList());
+                EdgeFixture edge = new EdgeFixture(protocol);
                 Client client = edge.client()) {
             host.dropsIdleConnections = true;
             edge.host("h", host.address(), true);
@@ -174,10 +182,10 @@
                             }
                         },
                         Configuration.Type.MUTATING),
-                "without the guard it meets a reset, and nobody knows whether it ran");
+                "without the guard the connection is reset, and the request may have run");
     }
 
-    /** MIXED, where an answer is its head alone. */
+    /** The seal must match the status also where a response is only a head. */
     @ParameterizedTest
     @CsvSource({
         "200 OK,200",
@@ -188,7 +196,7 @@
         "408 Late,502",
         "cut,502"
     })
-    void headResponseCarriesTheHostsSealOnlyWithTheHostsStatus(String given, int wanted) throws Exception {
+    void headResponseCarriesTheHostsSealOnlyWithTheHostsStatus(String given, int expected) throws Exception {
         try (ScriptedHost host = new ScriptedHost((socket, request) -> {
                     String head = "HTTP/1.1 " + (given.equals("cut") ? "500 Failed" : given)
                             + "\r\nContent-Length: 9\r\nAttempt-Id: h\r\nOrigin-Seal: s\r\n";
@@ -202,9 +210,9 @@
             edge.host("h", host.address(), true);
             edge.route("m", Configuration.Type.MUTATING, 2, "h");
             client.write(EdgeFixture.request("h", "m", "", 2_000, false).replaceFirst("GET", "HEAD"));
-            EdgeFixture.Message answer = client.readHead();
-            assertEquals(wanted, answer.status());
-            assertEquals(wanted == 502 ? null : "s", answer.headers().get("origin-seal"));
+            EdgeFixture.Message response = client.readHead();
+            assertEquals(expected, response.status());
+            assertEquals(expected == 502 ? null : "s", response.headers().get("origin-seal"));
         }
     }
 }
--- a/src/test/java/tinworks/edge/BlockedLoopTest.java
+++ b/src/test/java/tinworks/edge/BlockedLoopTest.java
@@ -20,7 +20,7 @@
 import tinworks.edge.EdgeFixture.Message;
 import tinworks.net.ScriptedHost;
 
-/** Requests at an edge whose event loop is at other work for longer than their time-outs. */
+/** Requests at an edge whose event loop is blocked for longer than their timeouts. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class BlockedLoopTest {
     private static final long BLOCK_MILLIS = 400;
@@ -43,8 +43,8 @@
         start(true);
     }
 
-    private void start(boolean watched) {
-        edge = new EdgeFixture(new EdgeProtocol(1), watched);
+    private void start(boolean measuresLag) {
+        edge = new EdgeFixture(new EdgeProtocol(1), measuresLag);
         String[] hosts = IntStream.range(0, HOSTS).mapToObj(i -> "h" + i).toArray(String[]::new);
         for (String id : hosts) {
             edge.host(id, host.address(), true);
@@ -59,7 +59,7 @@
         host.close();
     }
 
-    /** Serves what may take long, and is silent to all else. */
+    /** Serves requests of the route with the long timeout and does not respond to others. */
     private void serve(java.net.Socket socket, ScriptedHost.Message request) throws java.io.IOException {
         String id = request.header("Attempt-Id");
         deadlines.put(id, Long.parseLong(request.header("Deadline-Ms")));
@@ -74,7 +74,7 @@
     }
 
     /**
-     * Keeps the event loop at other work; the work has begun when this returns, and ends so long after the latch opens.
+     * Blocks the event loop; returns once it is blocked. It stays so for {@link #BLOCK_MILLIS} after the latch opens.
      */
     private CountDownLatch blockLoop() throws InterruptedException {
         CountDownLatch begun = new CountDownLatch(1);
@@ -92,7 +92,7 @@
         return sent;
     }
 
-    /** A connection that the edge has taken in and read from. */
+    /** A connection that the edge has accepted and read from. */
     private Client usedConnection(String id) throws Exception {
         Client client = edge.client();
         client.write(request(id, "long"));
@@ -114,15 +114,16 @@
                 assertEquals(200, served.read().status());
             }
             for (String id : List.of("a", "c")) {
-                long given = deadlines.get(id);
+                long givenMillis = deadlines.get(id);
                 assertTrue(
-                        given <= LONG_TIMEOUT_MILLIS - BLOCK_MILLIS, "the host was given " + given + " ms for " + id);
+                        givenMillis <= LONG_TIMEOUT_MILLIS - BLOCK_MILLIS,
+                        "the host was given " + givenMillis + " ms for " + id);
             }
             fresh.close();
             Message late = other.read();
-            assertEquals(503, late.status(), "its time was over before it was read");
+            assertEquals(503, late.status(), "its timeout had passed before it was read");
             assertNotNull(late.headers().get("retry-after"));
-            assertTrue(!deadlines.containsKey("b"), "no host got it");
+            assertTrue(!deadlines.containsKey("b"), "no host received it");
         }
     }
 
@@ -150,25 +151,25 @@
         for (int i = 0; i < CLIENTS; i++) {
             clients.get(i).write(request("out-" + i, "short"));
         }
-        // Some are at hosts, some wait here for a host with room.
+        // Some are at hosts, others are queued at the edge for a host with capacity.
         while (deadlines.keySet().stream().filter(id -> id.startsWith("out-")).count() < HOSTS / 2) {
             TimeUnit.MILLISECONDS.sleep(1);
         }
         CountDownLatch sent = blockLoop();
         sent.countDown();
         edge.loop.submit(() -> {}).sync();
-        long round = System.nanoTime();
+        long resumedAt = System.nanoTime();
         long worst = 0;
         for (Client client : clients) {
             assertEquals(503, client.read().status());
-            worst = Math.max(worst, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - round));
+            worst = Math.max(worst, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - resumedAt));
             client.close();
         }
-        System.out.println("answered after the loop came round: " + worst + " ms at most");
-        assertTrue(worst <= TOLERANCE_MILLIS, "answered " + worst + " ms after the loop came round");
+        System.out.println("answered after the loop resumed: " + worst + " ms at most");
+        assertTrue(worst <= TOLERANCE_MILLIS, "answered " + worst + " ms after the loop resumed");
     }
 
-    /** On a starved edge: at other work for most of the time. How long past its time-out a request is held at most. */
+    /** The event loop is blocked for most of the time. Measures how long past its timeout a request is held at most. */
     @Test
     void starvedLoopHoldsNoRequestMuchLongerThanOneTurnPastItsTimeout() throws Exception {
         List<Client> clients = new ArrayList<>();
@@ -186,29 +187,29 @@
                 0,
                 STARVED_GAP_MILLIS,
                 TimeUnit.MILLISECONDS);
-        List<Thread> asking = new ArrayList<>();
+        List<Thread> threads = new ArrayList<>();
         List<Long> held = java.util.Collections.synchronizedList(new ArrayList<>());
         for (int i = 0; i < CLIENTS; i++) {
             int number = i;
-            asking.add(new Thread(() -> sendRequests(clients.get(number), number, held)));
+            threads.add(new Thread(() -> sendRequests(clients.get(number), number, held)));
         }
-        asking.forEach(Thread::start);
-        for (Thread one : asking) {
-            one.join();
+        threads.forEach(Thread::start);
+        for (Thread thread : threads) {
+            thread.join();
         }
         long worst = held.stream().mapToLong(Long::longValue).max().orElseThrow() - SHORT_TIMEOUT_MILLIS;
-        System.out.println("held past the time-out on a starved edge: " + worst + " ms at most of " + held.size());
+        System.out.println("held past the timeout on a starved edge: " + worst + " ms at most of " + held.size());
         assertEquals(CLIENTS * ROUNDS, held.size());
-        assertTrue(worst <= STARVED_BLOCK_MILLIS + TOLERANCE_MILLIS, "held " + worst + " ms past its time-out");
+        assertTrue(worst <= STARVED_BLOCK_MILLIS + TOLERANCE_MILLIS, "held " + worst + " ms past its timeout");
     }
 
     private void sendRequests(Client client, int number, List<Long> held) {
         try (client) {
-            for (int round = 0; round < ROUNDS; round++) {
-                // At any point of the loop's turn.
-                TimeUnit.MILLISECONDS.sleep((number * 37 + round * 53) % STARVED_BLOCK_MILLIS);
+            for (int resumedAt = 0; resumedAt < ROUNDS; resumedAt++) {
+                // At varying points of the loop's turn.
+                TimeUnit.MILLISECONDS.sleep((number * 37 + resumedAt * 53) % STARVED_BLOCK_MILLIS);
                 long sentAt = System.nanoTime();
-                client.write(request("starved-" + number + "-" + round, "short"));
+                client.write(request("starved-" + number + "-" + resumedAt, "short"));
                 client.read();
                 held.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt));
             }
--- a/src/test/java/tinworks/edge/ConnectionDrainingTest.java
+++ b/src/test/java/tinworks/edge/ConnectionDrainingTest.java
@@ -21,10 +21,10 @@
 import tinworks.node.NodeProcess;
 import tinworks.policy.LoadBalancerApi.ShutdownStarted;
 
-/** What an edge that ends does with requests that it has read. */
+/** Connection draining during graceful shutdown: every request that was read gets its complete response. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class ConnectionDrainingTest {
-    /** More than the buffers of a connection hold whose reader takes little. */
+    /** More than the socket buffers hold when the client reads slowly. */
     private static final int LARGE_BODY_BYTES = 12 << 20;
 
     private static final int SMALL_BUFFER_BYTES = 4_096;
@@ -50,24 +50,26 @@
                     + EdgeFixture.request("b", "m", "y", 9_000, false)
                     + EdgeFixture.request("c", "m", "zz", 9_000, true));
             Socket at = held.get(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS);
-            edge.tell(new ShutdownStarted(TimeUnit.SECONDS.toNanos(5)));
+            edge.dispatch(new ShutdownStarted(TimeUnit.SECONDS.toNanos(5)));
             NodeProcess.run(edge.loop, edge.clients::closeAfterNextResponse);
             NodeProcess.run(edge.loop, edge.clients::stopAccepting);
             ScriptedHost.write(at, SERVED + "a\r\n\r\nfine");
             for (String id : new String[] {"a", "b", "c"}) {
-                Message answer = client.read();
-                assertEquals(200, answer.status());
-                assertEquals(id, answer.headers().get("attempt-id"));
+                Message response = client.read();
+                assertEquals(200, response.status());
+                assertEquals(id, response.headers().get("attempt-id"));
                 assertEquals(
-                        id.equals("c") ? "close" : null, answer.headers().get("connection"), "the last one says so");
+                        id.equals("c") ? "close" : null,
+                        response.headers().get("connection"),
+                        "only the last response closes the connection");
             }
             assertNull(client.read());
         }
     }
 
     /**
-     * It has begun before the end and says nothing of it, so its connection counts as idle while its rest still goes
-     * out.
+     * The response started before the shutdown, without {@code Connection: close}. Its connection counts as idle while
+     * the rest is still being written.
      */
     @Test
     void slowlyReadResponseIsNotCutWhenTheEdgeStopsAccepting() throws Exception {
@@ -91,11 +93,11 @@
             NodeProcess.run(edge.loop, edge.clients::stopAccepting);
             assertTrue(
                     NodeProcess.call(edge.loop, edge.clients::hasConnections),
-                    "the process lives on until it has gone out");
-            Message answer = Message.read(in, true);
-            assertNotNull(answer, "cut");
-            assertEquals(LARGE_BODY_BYTES, answer.body().length());
-            assertEquals(-1, in.read(), "its connection ends behind it");
+                    "the process stays until the response has been written");
+            Message response = Message.read(in, true);
+            assertNotNull(response, "the response was cut");
+            assertEquals(LARGE_BODY_BYTES, response.body().length());
+            assertEquals(-1, in.read(), "its connection is closed after it");
             assertFalse(NodeProcess.call(edge.loop, edge.clients::hasConnections));
         }
     }
--- a/src/test/java/tinworks/edge/CoreFollowerTest.java
+++ b/src/test/java/tinworks/edge/CoreFollowerTest.java
@@ -24,14 +24,14 @@
 import tinworks.config.Configuration;
 import tinworks.config.Configuration.Limits;
 
-/** What an edge takes from core machines of which some were cut off, frozen, or have just begun to lead. */
+/** What an edge accepts from core nodes that were partitioned or paused, or have just become leader. */
 class CoreFollowerTest implements CoreFollower.Callbacks {
     private final List<Long> decodedVersions = new ArrayList<>();
     private final Core core = new Core();
     private long now = 10_000;
     private CoreFollower edge = new CoreFollower(this);
 
-    /** A core machine, as far as this edge sees it. */
+    /** A core node as the edge sees it; records what the edge requests. */
     private static final class Core implements Conversation {
         final List<Signal> requests = new ArrayList<>();
 
@@ -73,17 +73,17 @@
 
     @Override
     public void hostListChanged(HostList list) {
-        // Asked for below.
+        // The tests query the follower.
     }
 
     @Override
     public void edgeCountChanged(int edges) {
-        // Asked for below.
+        // The tests query the follower.
     }
 
     @Override
     public void log(String line) {
-        // Nobody reads it.
+        // Not checked.
     }
 
     private static HostListVersion hosts(long term, long count) {
@@ -119,15 +119,15 @@
         followerAnnounces(2, 4, hosts(2, 5), false);
         apply(4);
         receiveHosts(2, 5);
-        assertFalse(edge.mayServe(), "who tells of 4 may be behind");
+        assertFalse(edge.mayServe(), "the node that announces 4 may lag behind");
         followerAnnounces(3, 7, hosts(3, 1), true);
         assertFalse(edge.mayServe());
         apply(7);
-        assertFalse(edge.mayServe(), "its list of hosts is an older one");
+        assertFalse(edge.mayServe(), "its host list is an older one");
         receiveHosts(3, 1);
         assertTrue(edge.mayServe());
         leaderAnnounces(3, 9, hosts(3, 2), "a:1");
-        assertTrue(edge.mayServe() && edge.hasBeenUpToDate(), "a later version makes no ready edge unready");
+        assertTrue(edge.mayServe() && edge.hasBeenUpToDate(), "a later version does not make a ready edge unready");
     }
 
     @Test
@@ -138,7 +138,7 @@
         followerAnnounces(2, 4, hosts(2, 5), false);
         assertFalse(edge.mayServe());
         now += 1;
-        assertTrue(edge.mayServe(), "better than nothing");
+        assertTrue(edge.mayServe(), "an old configuration serves better than none");
         assertFalse(edge.hasBeenUpToDate());
     }
 
@@ -152,7 +152,7 @@
             now += 1_000;
         }
         now += 1;
-        assertTrue(edge.mayServe(), "it can't be had");
+        assertTrue(edge.mayServe(), "the newer version could not be fetched");
     }
 
     @Test
@@ -174,13 +174,10 @@
         assertEquals(List.of(), decodedVersions);
         assertEquals(9, edge.rev());
         assertTrue(edge.hostList().version().is(hosts(6, 2)));
-        assertTrue(edge.isCoreUnreachable(), "only an old leader speaks");
+        assertTrue(edge.isCoreUnreachable(), "only a deposed leader announces itself");
     }
 
-    /**
-     * Whether what an old leader said before it was frozen, and what comes only now, is taken for the present leader's
-     * word.
-     */
+    /** Whether a deposed leader's announcement, sent before it was paused and delivered late, is accepted. */
     private boolean acceptsADeposedLeader(CoreFollower follower) {
         edge = follower;
         leaderAnnounces(6, 9, hosts(6, 1), "a:1", "b:1");
@@ -202,7 +199,7 @@
                         return false;
                     }
                 }),
-                "with the guard off");
+                "without the guard it is accepted");
     }
 
     @Test
@@ -211,7 +208,7 @@
         followerAnnounces(8, 4, hosts(5, 1), false);
         now += 1_000;
         leaderAnnounces(6, 9, hosts(6, 1), "a:1", "b:1");
-        assertEquals(0, edge.millisSinceLeaderContact(), "a machine that is cut off has raised its own term");
+        assertEquals(0, edge.millisSinceLeaderContact(), "a partitioned node has raised its own term");
         assertEquals(Set.of("a:1", "b:1"), edge.addressesToDial(List.of()));
     }
 
--- a/src/test/java/tinworks/edge/DrainedHostsTest.java
+++ b/src/test/java/tinworks/edge/DrainedHostsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import tinworks.channel.HostList.Host;
 
-/** Hosts that are drained stay so at an edge. */
+/** A host that was once draining stays so, whatever an older list says. */
 class DrainedHostsTest {
     private final DrainedHosts drained = new DrainedHosts();
 
@@ -21,7 +21,7 @@
         assertTrue(drained.withDrainingKept(host("i-1", true)).draining());
         assertTrue(
                 drained.withDrainingKept(host("i-1", false)).draining(),
-                "told by a machine that had died and holds an older list");
+                "listed by a node that had crashed and holds an older list");
         assertEquals(host("i-2", false), drained.withDrainingKept(host("i-2", false)));
     }
 
--- a/src/test/java/tinworks/edge/EdgeFixture.java
+++ b/src/test/java/tinworks/edge/EdgeFixture.java
@@ -36,10 +36,7 @@
 import tinworks.policy.LoadBalancerApi.ServerListKind;
 import tinworks.policy.LoadBalancerApi.ServerListReceived;
 
-/**
- * The path of a request through an edge, over loopback, without links to the core: routes and hosts are told by the
- * test.
- */
+/** The request path of an edge, over loopback and without connections to the core: the test sets routes and hosts. */
 final class EdgeFixture implements AutoCloseable, Forwarding.Callbacks {
     static final int WAIT_MILLIS = 20_000;
     static final long LONG_MILLIS = 15_000;
@@ -60,24 +57,24 @@
     private final RequestRouter requests;
     private final List<Route> routes = new ArrayList<>();
     private final Set<String> mutating = new HashSet<>();
-    /** Hosts that must get nothing new; for use on the event loop. */
+    /** Hosts that must receive no new requests; to be used on the event loop. */
     final Set<String> drained = new HashSet<>();
 
-    EdgeFixture(EdgeProtocol style) {
-        this(style, true);
+    EdgeFixture(EdgeProtocol protocol) {
+        this(protocol, true);
     }
 
-    /** One whose clock knows, or doesn't, how far the event loop is behind. */
-    EdgeFixture(EdgeProtocol style, boolean watched) {
-        this.protocol = style;
-        clock = watched ? new GatewayClock(lag::nanos) : new GatewayClock();
+    /** A fixture whose clock does or does not know the lag of the event loop. */
+    EdgeFixture(EdgeProtocol protocol, boolean measuresLag) {
+        this.protocol = protocol;
+        clock = measuresLag ? new GatewayClock(lag::nanos) : new GatewayClock();
         pool = new HostPool(
                 loop,
                 Transport.TCP,
                 clock,
                 new HostPool.Bounds(DIAL_NANOS, LONG_NANOS, CONNECTIONS, MAX_BODY_BYTES),
-                style);
-        requests = new RequestRouter(clock, new SplittableRandom(1), style, services);
+                protocol);
+        requests = new RequestRouter(clock, new SplittableRandom(1), protocol, services);
         clients = new ClientServer(
                 loop,
                 Transport.TCP,
@@ -88,12 +85,12 @@
         NodeProcess.call(loop, () -> clients.address().getPort());
     }
 
-    /** Tells of a host; connections to one that isn't kept are closed after their first answer. */
+    /** Lists a host; connections to one that is not kept are closed after their first response. */
     void host(String id, SocketAddress address, boolean kept) {
         NodeProcess.run(loop, () -> pool.update(List.of(new HostPool.HostEntry(id, address, 0, kept, false)), false));
     }
 
-    /** Tells of hosts, as {@link #host}. */
+    /** Lists hosts, as {@link #host} does. */
     void hosts(boolean kept, FaultInjectingHost... hosts) {
         List<HostPool.HostEntry> places = new ArrayList<>();
         for (FaultInjectingHost host : hosts) {
@@ -102,13 +99,13 @@
         NodeProcess.run(loop, () -> pool.update(places, false));
     }
 
-    /** A route of a service of its own, whose module knows these hosts; told again, the module is a new one. */
-    void route(String name, Configuration.Type type, int tries, String... hosts) {
-        route(name, type, LONG_MILLIS, tries, hosts);
+    /** Adds a route with its own service and these hosts; a repeated call replaces the service's decision module. */
+    void route(String name, Configuration.Type type, int maxAttempts, String... hosts) {
+        route(name, type, LONG_MILLIS, maxAttempts, hosts);
     }
 
-    /** The same with a time-out. */
-    void route(String name, Configuration.Type type, long timeoutMillis, int tries, String... hosts) {
+    /** The same, with a timeout. */
+    void route(String name, Configuration.Type type, long timeoutMillis, int maxAttempts, String... hosts) {
         Route route = new Route(
                 name,
                 DOMAIN,
@@ -118,23 +115,23 @@
                 timeoutMillis / 2,
                 1,
                 List.of(new Split(name, 1)),
-                tries);
-        Configuration one =
+                maxAttempts);
+        Configuration config =
                 new Configuration(1, List.of(route), Map.of(name, new Service(name, "/", CONNECTIONS)), Limits.USUAL);
         List<ServerInfo> servers = new ArrayList<>();
         for (String host : hosts) {
             servers.add(new ServerInfo(host, "", "", 0, Readiness.READY, 4, 0));
         }
         NodeProcess.run(loop, () -> {
-            Forwarding made = new Forwarding(
+            Forwarding created = new Forwarding(
                     loop,
                     clock,
-                    ServiceSettings.settings(ServiceSettings.classes(one).get(name), 1, ""),
+                    ServiceSettings.settings(ServiceSettings.classes(config).get(name), 1, ""),
                     name.hashCode(),
                     pool,
                     protocol,
                     this);
-            Forwarding old = services.put(name, made);
+            Forwarding old = services.put(name, created);
             if (old == null) {
                 routes.add(route);
                 if (type == Configuration.Type.MUTATING) {
@@ -145,17 +142,17 @@
             } else {
                 old.close();
             }
-            made.dispatch(new ServerListReceived(ServerListKind.FULL, servers));
+            created.dispatch(new ServerListReceived(ServerListKind.FULL, servers));
         });
     }
 
-    /** The module of a route's service; for use on the event loop. */
+    /** The forwarding of a route's service; to be used on the event loop. */
     Forwarding module(String route) {
         return services.get(route);
     }
 
-    /** Tells all modules. */
-    void tell(Event event) {
+    /** Dispatches an event to all services. */
+    void dispatch(Event event) {
         NodeProcess.run(loop, () -> services.values().forEach(service -> service.dispatch(event)));
     }
 
@@ -203,13 +200,13 @@
                 + body.substring(half) + "\r\n0\r\n\r\n";
     }
 
-    /** A message as it stood on a socket; header names are in lower case. */
+    /** A message as read from a socket; header names are in lower case. */
     record Message(String first, Map<String, String> headers, String body) {
         int status() {
             return Integer.parseInt(first.split(" ")[1]);
         }
 
-        /** Reads one; null at the end of the stream, or where it ends within a message. */
+        /** Reads a message; null at the end of the stream, even within a message. */
         static Message read(InputStream in, boolean withBody) throws IOException {
             String first = line(in);
             if (first == null) {
@@ -261,12 +258,12 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        /** The next answer, or null where the edge closed the connection. */
+        /** The next response, or null if the edge closed the connection. */
         Message read() throws IOException {
             return Message.read(in, true);
         }
 
-        /** The next answer, to a HEAD. */
+        /** The next response, to a HEAD request. */
         Message readHead() throws IOException {
             return Message.read(in, false);
         }
--- a/src/test/java/tinworks/edge/EdgeTest.java
+++ b/src/test/java/tinworks/edge/EdgeTest.java
@@ -23,7 +23,7 @@
 import tinworks.config.Configuration.Split;
 import tinworks.policy.LoadBalancerApi.Outcome;
 
-/** Routes, and how requests and answers look at an edge. */
+/** Routing, the edge's protocol headers, and the freshness gate. */
 class EdgeTest {
     private final EdgeProtocol protocol = new EdgeProtocol(1);
 
@@ -54,22 +54,22 @@
             routes.add(route("r" + i, "x.example", "/p" + i + "/"));
         }
         RouteTable table = new RouteTable(routes);
-        long started = System.nanoTime();
+        long startedAtNanos = System.nanoTime();
         for (int i = 0; i < 100_000; i++) {
             assertEquals(
                     "r" + i,
                     table.find("x.example", "/p" + i + "/a/b/c").route().name());
         }
-        // A search through all would take minutes; the bound is wide for slow machines.
-        assertFalse(System.nanoTime() - started > TimeUnit.SECONDS.toNanos(20));
+        // A linear search would take minutes; the bound is wide for slow machines.
+        assertFalse(System.nanoTime() - startedAtNanos > TimeUnit.SECONDS.toNanos(20));
     }
 
     private static HttpResponse response(int status, String... headers) {
-        HttpResponse answer = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
+        HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status));
         for (int i = 0; i < headers.length; i += 2) {
-            answer.headers().add(headers[i], headers[i + 1]);
+            response.headers().add(headers[i], headers[i + 1]);
         }
-        return answer;
+        return response;
     }
 
     @Test
@@ -114,7 +114,7 @@
         assertEquals("900", sent.headers().get("Deadline-Ms"));
         assertEquals(List.of("i-9"), sent.headers().getAll("Want-Host"));
         assertEquals(List.of("a", "b"), sent.headers().getAll("x-two"));
-        assertEquals("caf\u00e9", sent.headers().get("X-Bytes"), "bytes outside of ASCII travel as they are");
+        assertEquals("caf\u00e9", sent.headers().get("X-Bytes"), "bytes outside of ASCII are forwarded unchanged");
         assertEquals("3", sent.headers().get("Content-Length"));
         assertEquals("2", sent.headers().get("X-End"));
         assertNull(sent.headers().get("X-Hop"));
@@ -130,16 +130,16 @@
 
     @Test
     void newEdgeIsNotReadyWithTheStateOfANodeWithoutLeaderContact() {
-        FreshnessGate newest = new FreshnessGate();
-        newest.announced(4, HostListVersion.NONE, false);
-        newest.holds(4, HostListVersion.NONE);
-        assertFalse(newest.reached(), "who tells of 4 may be behind");
-        newest.announced(7, HostListVersion.NONE, true);
-        newest.holds(4, HostListVersion.NONE);
-        assertFalse(newest.reached());
-        newest.holds(7, HostListVersion.NONE);
-        newest.announced(9, HostListVersion.NONE, true);
-        newest.holds(7, HostListVersion.NONE);
-        assertEquals(true, newest.reached(), "a later version makes no ready edge unready");
+        FreshnessGate gate = new FreshnessGate();
+        gate.announced(4, HostListVersion.NONE, false);
+        gate.holds(4, HostListVersion.NONE);
+        assertFalse(gate.reached(), "the node that announces 4 may lag behind");
+        gate.announced(7, HostListVersion.NONE, true);
+        gate.holds(4, HostListVersion.NONE);
+        assertFalse(gate.reached());
+        gate.holds(7, HostListVersion.NONE);
+        gate.announced(9, HostListVersion.NONE, true);
+        gate.holds(7, HostListVersion.NONE);
+        assertEquals(true, gate.reached(), "a later version does not make a ready edge unready");
     }
 }
--- a/src/test/java/tinworks/edge/EdgeWarmUpTest.java
+++ b/src/test/java/tinworks/edge/EdgeWarmUpTest.java
@@ -14,7 +14,7 @@
 import tinworks.net.GatewayClock;
 import tinworks.node.NodeProcess;
 
-/** An edge's warm-up before it calls itself ready. */
+/** The warm-up of an edge: it sends requests through the edge's components, and ends when a client connects. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class EdgeWarmUpTest {
     private final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
@@ -25,18 +25,18 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(5_000);
     }
 
-    private EdgeWarmUp.Result warmUp(boolean clientThere) {
-        CompletableFuture<EdgeWarmUp.Result> played = new CompletableFuture<>();
+    private EdgeWarmUp.Result warmUp(boolean clientPresent) {
+        CompletableFuture<EdgeWarmUp.Result> result = new CompletableFuture<>();
         NodeProcess.run(
-                loop, () -> new EdgeWarmUp(loop, new GatewayClock(), () -> clientThere, played::complete).start());
-        return played.join();
+                loop, () -> new EdgeWarmUp(loop, new GatewayClock(), () -> clientPresent, result::complete).start());
+        return result.join();
     }
 
     @Test
     void requestsAreServedThroughTheEdgesComponents() {
-        EdgeWarmUp.Result played = warmUp(false);
-        assertTrue(played.responses() > 100, played.toString());
-        assertTrue(played.served() * 10 >= played.responses() * 9L, "nearly all by a host: " + played);
+        EdgeWarmUp.Result result = warmUp(false);
+        assertTrue(result.responses() > 100, result.toString());
+        assertTrue(result.served() * 10 >= result.responses() * 9L, "nearly all are served by a host: " + result);
     }
 
     @Test
--- a/src/test/java/tinworks/edge/FaultInjectingHost.java
+++ b/src/test/java/tinworks/edge/FaultInjectingHost.java
@@ -21,11 +21,11 @@
 import java.util.function.Function;
 
 /**
- * A host that ends one attempt as it is told, at a given byte, and serves all others; it keeps a ledger of what it ran.
+ * A host that ends one attempt in a given way at a given byte and serves all others. It records the requests it ran.
  */
 final class FaultInjectingHost implements AutoCloseable {
-    /** What can be known of an attempt that ended so. */
-    enum KnownOutcome {
+    /** What the edge can know of an attempt that ended in this way. */
+    enum Known {
         SERVED,
         FAILED,
         FAILED_UNUSUAL_STATUS,
@@ -37,303 +37,174 @@
         FAILED_OR_LATE
     }
 
-    private enum ConnectionAction {
-        KEEPS_OPEN,
-        RESETS,
-        CLOSES,
-        STOPS_RESPONDING
+    /** The state of the connection after the response. */
+    private enum After {
+        OPEN,
+        RESET,
+        CLOSED,
+        SILENT
     }
 
-    /** How the position is used: all is sent, in two parts; only so much is sent; or so much of the request is read. */
-    private enum PositionKind {
+    /** What the position means: where a response is split, where it is cut, or where reading of the request stops. */
+    private enum Mode {
         SPLIT,
         CUT,
         REQUEST
     }
 
-    /** The ways in which an attempt ends at a host that is reached. */
+    /** The ways in which an attempt can end at a host that it reached. */
     enum AttemptEnding {
-        WHOLE(
-                PositionKind.SPLIT,
-                KnownOutcome.SERVED,
-                true,
-                FaultInjectingHost::ownResponse,
-                ConnectionAction.KEEPS_OPEN),
-        WHOLE_CHUNKED(
-                PositionKind.SPLIT,
-                KnownOutcome.SERVED,
-                true,
-                FaultInjectingHost::chunkedResponse,
-                ConnectionAction.KEEPS_OPEN),
+        WHOLE(Mode.SPLIT, Known.SERVED, true, FaultInjectingHost::own, After.OPEN),
+        WHOLE_CHUNKED(Mode.SPLIT, Known.SERVED, true, FaultInjectingHost::chunked, After.OPEN),
         WHOLE_LAST(
-                PositionKind.SPLIT,
-                KnownOutcome.SERVED,
+                Mode.SPLIT,
+                Known.SERVED,
                 false,
                 id -> response(id, "200 OK", "Origin-Seal: s" + id + "\r\nConnection: close"),
-                ConnectionAction.KEEPS_OPEN),
-        HINTED(
-                PositionKind.SPLIT,
-                KnownOutcome.SERVED,
-                true,
-                id -> HINT + ownResponse(id),
-                ConnectionAction.KEEPS_OPEN),
-        STRAY(
-                PositionKind.SPLIT,
-                KnownOutcome.SERVED,
-                false,
-                id -> ownResponse(otherId(id)) + ownResponse(id),
-                ConnectionAction.KEEPS_OPEN),
+                After.OPEN),
+        HINTED(Mode.SPLIT, Known.SERVED, true, id -> HINT + own(id), After.OPEN),
+        STRAY(Mode.SPLIT, Known.SERVED, false, id -> own(other(id)) + own(id), After.OPEN),
         STRAY_PROMISE(
-                PositionKind.SPLIT,
-                KnownOutcome.SERVED,
-                false,
-                id -> response(otherId(id), "503 Full", "Not-Run: 1") + ownResponse(id),
-                ConnectionAction.KEEPS_OPEN),
-        SURPLUS(
-                PositionKind.CUT,
-                KnownOutcome.SERVED,
-                false,
-                id -> ownResponse(otherId(id)),
-                ConnectionAction.KEEPS_OPEN),
-        RESET(PositionKind.CUT, KnownOutcome.UNKNOWN, false, FaultInjectingHost::ownResponse, ConnectionAction.RESETS),
-        CLOSE(PositionKind.CUT, KnownOutcome.UNKNOWN, false, FaultInjectingHost::ownResponse, ConnectionAction.CLOSES),
-        CLOSE_CHUNKED(
-                PositionKind.CUT,
-                KnownOutcome.UNKNOWN,
-                false,
-                FaultInjectingHost::chunkedResponse,
-                ConnectionAction.CLOSES),
-        CLOSE_HINTED(
-                PositionKind.CUT, KnownOutcome.UNKNOWN, false, id -> HINT + ownResponse(id), ConnectionAction.CLOSES),
-        SILENCE(
-                PositionKind.CUT,
-                KnownOutcome.TIMED_OUT,
+                Mode.SPLIT,
+                Known.SERVED,
                 false,
-                FaultInjectingHost::ownResponse,
-                ConnectionAction.STOPS_RESPONDING),
-        STRAY_ALONE(
-                PositionKind.CUT, KnownOutcome.UNKNOWN, false, id -> ownResponse(otherId(id)), ConnectionAction.CLOSES),
+                id -> response(other(id), "503 Full", "Not-Run: 1") + own(id),
+                After.OPEN),
+        SURPLUS(Mode.CUT, Known.SERVED, false, id -> own(other(id)), After.OPEN),
+        RESET(Mode.CUT, Known.UNKNOWN, false, FaultInjectingHost::own, After.RESET),
+        CLOSE(Mode.CUT, Known.UNKNOWN, false, FaultInjectingHost::own, After.CLOSED),
+        CLOSE_CHUNKED(Mode.CUT, Known.UNKNOWN, false, FaultInjectingHost::chunked, After.CLOSED),
+        CLOSE_HINTED(Mode.CUT, Known.UNKNOWN, false, id -> HINT + own(id), After.CLOSED),
+        SILENCE(Mode.CUT, Known.TIMED_OUT, false, FaultInjectingHost::own, After.SILENT),
+        STRAY_ALONE(Mode.CUT, Known.UNKNOWN, false, id -> own(other(id)), After.CLOSED),
         STRAY_PROMISE_ALONE(
-                PositionKind.SPLIT,
-                KnownOutcome.UNKNOWN,
-                false,
-                id -> response(otherId(id), "503 Full", "Not-Run: 1"),
-                ConnectionAction.CLOSES),
+                Mode.SPLIT, Known.UNKNOWN, false, id -> response(other(id), "503 Full", "Not-Run: 1"), After.CLOSED),
         STRAY_MISDIRECTED_ALONE(
-                PositionKind.SPLIT,
-                KnownOutcome.UNKNOWN,
-                false,
-                id -> response(otherId(id), "421 Other", "Not-Run: 1"),
-                ConnectionAction.CLOSES),
+                Mode.SPLIT, Known.UNKNOWN, false, id -> response(other(id), "421 Other", "Not-Run: 1"), After.CLOSED),
         GARBLED(
-                PositionKind.CUT,
-                KnownOutcome.FAILED_OR_LATE,
+                Mode.CUT,
+                Known.FAILED_OR_LATE,
                 false,
-                id -> interleavedResponse(otherId(id), "200 OK\r\nOrigin-Seal: s" + id),
-                ConnectionAction.STOPS_RESPONDING),
+                id -> interleavedResponse(other(id), "200 OK\r\nOrigin-Seal: s" + id),
+                After.SILENT),
         GARBLED_PROMISE(
-                PositionKind.CUT,
-                KnownOutcome.SERVED_OR_LATE,
+                Mode.CUT,
+                Known.SERVED_OR_LATE,
                 false,
-                id -> interleavedResponse(otherId(id), "503 Full\r\nNot-Run: 1"),
-                ConnectionAction.STOPS_RESPONDING),
-        GARBAGE(
-                PositionKind.CUT,
-                KnownOutcome.UNKNOWN,
-                false,
-                FaultInjectingHost::randomBytes,
-                ConnectionAction.CLOSES),
+                id -> interleavedResponse(other(id), "503 Full\r\nNot-Run: 1"),
+                After.SILENT),
+        GARBAGE(Mode.CUT, Known.UNKNOWN, false, FaultInjectingHost::randomBytes, After.CLOSED),
         NOT_RUN_503(
-                PositionKind.SPLIT,
-                KnownOutcome.NOT_RUN,
-                true,
-                id -> failureResponse(id, "503 Full", "Not-Run: 1\r\nRetry-After: 1"),
-                ConnectionAction.KEEPS_OPEN),
-        NOT_RUN_429(
-                PositionKind.SPLIT,
-                KnownOutcome.NOT_RUN,
+                Mode.SPLIT,
+                Known.NOT_RUN,
                 true,
-                id -> failureResponse(id, "429 Full", "Not-Run: 1"),
-                ConnectionAction.KEEPS_OPEN),
-        NOT_RUN_400(
-                PositionKind.SPLIT,
-                KnownOutcome.NOT_RUN,
-                true,
-                id -> failureResponse(id, "400 Bad", "Not-Run: 1"),
-                ConnectionAction.KEEPS_OPEN),
-        MISDIRECTED(
-                PositionKind.SPLIT,
-                KnownOutcome.NOT_RUN,
-                true,
-                id -> failureResponse(id, "421 Other", "Not-Run: 1"),
-                ConnectionAction.KEEPS_OPEN),
-        NOT_RUN_CUT(
-                PositionKind.CUT,
-                KnownOutcome.UNKNOWN,
-                false,
-                id -> response(id, "503 Full", "Not-Run: 1"),
-                ConnectionAction.CLOSES),
-        NOT_RUN_RESET(
-                PositionKind.CUT,
-                KnownOutcome.UNKNOWN,
-                false,
-                id -> response(id, "429 Full", "Not-Run: 1"),
-                ConnectionAction.RESETS),
-        MISDIRECTED_CUT(
-                PositionKind.CUT,
-                KnownOutcome.UNKNOWN,
-                false,
-                id -> response(id, "421 Other", "Not-Run: 1"),
-                ConnectionAction.CLOSES),
-        NOT_RUN_WITHOUT_ID(
-                PositionKind.SPLIT,
-                KnownOutcome.UNKNOWN,
-                false,
-                id -> response("", "503 Full", "Not-Run: 1"),
-                ConnectionAction.KEEPS_OPEN),
+                id -> failure(id, "503 Full", "Not-Run: 1\r\nRetry-After: 1"),
+                After.OPEN),
+        NOT_RUN_429(Mode.SPLIT, Known.NOT_RUN, true, id -> failure(id, "429 Full", "Not-Run: 1"), After.OPEN),
+        NOT_RUN_400(Mode.SPLIT, Known.NOT_RUN, true, id -> failure(id, "400 Bad", "Not-Run: 1"), After.OPEN),
+        MISDIRECTED(Mode.SPLIT, Known.NOT_RUN, true, id -> failure(id, "421 Other", "Not-Run: 1"), After.OPEN),
+        NOT_RUN_CUT(Mode.CUT, Known.UNKNOWN, false, id -> response(id, "503 Full", "Not-Run: 1"), After.CLOSED),
+        NOT_RUN_RESET(Mode.CUT, Known.UNKNOWN, false, id -> response(id, "429 Full", "Not-Run: 1"), After.RESET),
+        MISDIRECTED_CUT(Mode.CUT, Known.UNKNOWN, false, id -> response(id, "421 Other", "Not-Run: 1"), After.CLOSED),
+        NOT_RUN_WITHOUT_ID(Mode.SPLIT, Known.UNKNOWN, false, id -> response("", "503 Full", "Not-Run: 1"), After.OPEN),
         NOT_RUN_200(
-                PositionKind.SPLIT,
-                KnownOutcome.UNKNOWN,
+                Mode.SPLIT,
+                Known.UNKNOWN,
                 true,
                 id -> response(id, "200 OK", "Not-Run: 1\r\nOrigin-Seal: s" + id),
-                ConnectionAction.KEEPS_OPEN),
-        BUSY(
-                PositionKind.SPLIT,
-                KnownOutcome.UNKNOWN,
-                true,
-                id -> failureResponse(id, "503 Busy", "Retry-After: 1"),
-                ConnectionAction.KEEPS_OPEN),
-        TOO_MANY(
-                PositionKind.SPLIT,
-                KnownOutcome.UNKNOWN,
-                true,
-                id -> failureResponse(id, "429 Busy", "Retry-After: 1"),
-                ConnectionAction.KEEPS_OPEN),
-        TOO_LATE(
-                PositionKind.SPLIT,
-                KnownOutcome.UNKNOWN,
-                true,
-                id -> failureResponse(id, "408 Late", "X-A: a"),
-                ConnectionAction.KEEPS_OPEN),
-        FAILED(
-                PositionKind.SPLIT,
-                KnownOutcome.FAILED,
-                true,
-                id -> failureResponse(id, "500 Failed", "X-A: a"),
-                ConnectionAction.KEEPS_OPEN),
-        FAILED_CUT(
-                PositionKind.CUT,
-                KnownOutcome.UNKNOWN,
-                false,
-                id -> failureResponse(id, "500 Failed", "X-A: a"),
-                ConnectionAction.CLOSES),
+                After.OPEN),
+        BUSY(Mode.SPLIT, Known.UNKNOWN, true, id -> failure(id, "503 Busy", "Retry-After: 1"), After.OPEN),
+        TOO_MANY(Mode.SPLIT, Known.UNKNOWN, true, id -> failure(id, "429 Busy", "Retry-After: 1"), After.OPEN),
+        TOO_LATE(Mode.SPLIT, Known.UNKNOWN, true, id -> failure(id, "408 Late", "X-A: a"), After.OPEN),
+        FAILED(Mode.SPLIT, Known.FAILED, true, id -> failure(id, "500 Failed", "X-A: a"), After.OPEN),
+        FAILED_CUT(Mode.CUT, Known.UNKNOWN, false, id -> failure(id, "500 Failed", "X-A: a"), After.CLOSED),
         FAILED_UNUSUAL_STATUS(
-                PositionKind.SPLIT,
-                KnownOutcome.FAILED_UNUSUAL_STATUS,
-                true,
-                id -> failureResponse(id, UNUSUAL_STATUS + " Odd", "X-A: a"),
-                ConnectionAction.KEEPS_OPEN),
-        UNSEALED(
-                PositionKind.SPLIT,
-                KnownOutcome.UNKNOWN,
+                Mode.SPLIT,
+                Known.FAILED_UNUSUAL_STATUS,
                 true,
-                id -> response(id, "200 OK", "X-A: a"),
-                ConnectionAction.KEEPS_OPEN),
+                id -> failure(id, UNUSUAL_STATUS + " Odd", "X-A: a"),
+                After.OPEN),
+        UNSEALED(Mode.SPLIT, Known.UNKNOWN, true, id -> response(id, "200 OK", "X-A: a"), After.OPEN),
         ENCODED(
-                PositionKind.SPLIT,
-                KnownOutcome.UNKNOWN,
+                Mode.SPLIT,
+                Known.UNKNOWN,
                 true,
                 id -> response(id, "200 OK", "Content-Encoding: gzip\r\nOrigin-Seal: s" + id),
-                ConnectionAction.KEEPS_OPEN),
+                After.OPEN),
         UNFRAMED(
-                PositionKind.SPLIT,
-                KnownOutcome.UNKNOWN,
+                Mode.SPLIT,
+                Known.UNKNOWN,
                 false,
                 id -> "HTTP/1.1 200 OK\r\nAttempt-Id: " + id + "\r\nOrigin-Seal: s" + id + "\r\n\r\n" + body(id),
-                ConnectionAction.CLOSES),
-        REQUEST_CUT(
-                PositionKind.REQUEST,
-                KnownOutcome.UNKNOWN,
-                false,
-                id -> ".".repeat(MAX_REQUEST_BYTES),
-                ConnectionAction.RESETS),
-        CLIENT_DISCONNECTED(
-                PositionKind.CUT,
-                KnownOutcome.UNKNOWN,
-                false,
-                FaultInjectingHost::ownResponse,
-                ConnectionAction.STOPS_RESPONDING);
+                After.CLOSED),
+        REQUEST_CUT(Mode.REQUEST, Known.UNKNOWN, false, id -> ".".repeat(MAX_REQUEST_BYTES), After.RESET),
+        CLIENT_DISCONNECTED(Mode.CUT, Known.UNKNOWN, false, FaultInjectingHost::own, After.SILENT);
 
-        private final PositionKind positionKind;
-        private final KnownOutcome knownOutcome;
+        private final Mode mode;
+        private final Known known;
         private final boolean reusable;
 
-        @SuppressWarnings("ImmutableEnumChecker") // Each of the functions is a lambda without state.
-        private final Function<String, String> responseText;
-
-        private final ConnectionAction connectionAction;
-
-        AttemptEnding(
-                PositionKind at,
-                KnownOutcome known,
-                boolean lives,
-                Function<String, String> text,
-                ConnectionAction then) {
-            this.positionKind = at;
-            this.knownOutcome = known;
-            this.reusable = lives;
-            this.responseText = text;
-            this.connectionAction = then;
+        @SuppressWarnings("ImmutableEnumChecker") // The functions are stateless lambdas.
+        private final Function<String, String> text;
+
+        private final After after;
+
+        AttemptEnding(Mode mode, Known known, boolean reusable, Function<String, String> text, After after) {
+            this.mode = mode;
+            this.known = known;
+            this.reusable = reusable;
+            this.text = text;
+            this.after = after;
         }
 
-        /** The positions are from 0, below this. */
+        /** The number of positions, from 0. */
         int positions() {
-            return responseText.apply(ID).length() + (positionKind == PositionKind.CUT ? 1 : 0);
+            return text.apply(ID).length() + (mode == Mode.CUT ? 1 : 0);
         }
 
-        /** What can be known where it ends at this position; what is cut at its end is whole. */
-        KnownOutcome knownOutcome(int position) {
-            if (positionKind != PositionKind.CUT || position < positions() - 1) {
-                return knownOutcome;
+        /** What the edge can know if the attempt ends at this position; a response cut at its end is complete. */
+        Known known(int position) {
+            if (mode != Mode.CUT || position < positions() - 1) {
+                return known;
             }
             return switch (this) {
-                case CLOSE, CLOSE_CHUNKED, CLOSE_HINTED, SILENCE -> KnownOutcome.SERVED;
-                case FAILED_CUT -> KnownOutcome.FAILED;
-                case RESET -> KnownOutcome.SERVED_OR_UNKNOWN;
-                case NOT_RUN_CUT, MISDIRECTED_CUT, NOT_RUN_RESET -> KnownOutcome.NOT_RUN;
-                default -> knownOutcome;
+                case CLOSE, CLOSE_CHUNKED, CLOSE_HINTED, SILENCE -> Known.SERVED;
+                case FAILED_CUT -> Known.FAILED;
+                case RESET -> Known.SERVED_OR_UNKNOWN;
+                case NOT_RUN_CUT, MISDIRECTED_CUT, NOT_RUN_RESET -> Known.NOT_RUN;
+                default -> known;
             };
         }
 
-        /** Whether the connection carries on. */
+        /** Whether the connection can carry another request. */
         boolean leavesConnectionReusable(int position) {
             return reusable || (this == SURPLUS && position == 0);
         }
 
-        /** Whether it can be played at more hosts than one: the edge goes on to another. */
+        /** Whether it can be played at several hosts, as the edge retries at another one. */
         boolean canRepeatAtEachHost() {
-            return positionKind != PositionKind.REQUEST && this != CLIENT_DISCONNECTED && !waitsForDeadline();
+            return mode != Mode.REQUEST && this != CLIENT_DISCONNECTED && !waitsForDeadline();
         }
 
         boolean isCut() {
-            return positionKind != PositionKind.SPLIT;
+            return mode != Mode.SPLIT;
         }
 
-        /** Whether the client must wait out its deadline. */
+        /** Whether the client has to wait until its deadline. */
         boolean waitsForDeadline() {
             return this == SILENCE || this == GARBLED || this == GARBLED_PROMISE;
         }
     }
 
-    /** One attempt that is to end so: at the first host that it reaches. */
+    /** A fault to be injected into an attempt of one request, at the first host that it reaches. */
     static final class InjectedFault {
         final AttemptEnding ending;
         final int position;
         final String id;
         final CountDownLatch begun = new CountDownLatch(1);
-        /** The host has done its part, and seen its connection closed where it waited for that. */
+        /** The host has injected the fault and, where it waits for that, has seen the connection closed. */
         final CountDownLatch done = new CountDownLatch(1);
-        /** Each host that it reaches ends it so, not only the first. */
+        /** Injected at each host that the request reaches, not only at the first. */
         private final boolean atEachHost;
 
         private final AtomicBoolean claimed = new AtomicBoolean();
@@ -341,11 +212,11 @@
         volatile Connection connection;
         volatile boolean reused;
 
-        InjectedFault(AttemptEnding ending, int position, String id, boolean everywhere) {
+        InjectedFault(AttemptEnding ending, int position, String id, boolean atEachHost) {
             this.ending = ending;
             this.position = position;
             this.id = id;
-            this.atEachHost = everywhere;
+            this.atEachHost = atEachHost;
         }
 
         private boolean claim(FaultInjectingHost at, Connection on) {
@@ -367,8 +238,8 @@
     static final class Connection {
         final Socket socket;
         private int requests;
-        /** What makes it unfit for another request, or null. */
-        private volatile String unusableSince;
+        /** What made the connection unusable for another request, or null. */
+        private volatile String unusableBecause;
 
         private volatile long lastUsedNanos = System.nanoTime();
 
@@ -386,22 +257,22 @@
     private final String id;
     private final ServerSocket listener;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
-    /** What went wrong, for all hosts of a walk. */
+    /** Violations found, shared by all hosts of a sweep. */
     private final List<String> failures;
-    /** Requests by their ids as clients sent them: first line and body. */
+    /** Requests by id, as clients sent them: first line and body. */
     private final Map<String, String> sentRequests;
 
     final Map<String, Integer> runs = new ConcurrentHashMap<>();
     final Map<String, Integer> arrivals = new ConcurrentHashMap<>();
     volatile InjectedFault injected;
     volatile Connection lastConnection;
-    /** It drops connections that rested, without a word until something is sent on one. */
+    /** Drops idle connections without notice: a connection is reset only when the next request is sent on it. */
     volatile boolean dropsIdleConnections;
 
-    FaultInjectingHost(String id, Map<String, String> asked, List<String> faults) throws IOException {
+    FaultInjectingHost(String id, Map<String, String> sentRequests, List<String> failures) throws IOException {
         this.id = id;
-        this.sentRequests = asked;
-        this.failures = faults;
+        this.sentRequests = sentRequests;
+        this.failures = failures;
         listener = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
         startDaemon(this::accept);
     }
@@ -422,7 +293,7 @@
         return "for " + id + "\n".repeat(2);
     }
 
-    private static String otherId(String id) {
+    private static String other(String id) {
         return "x" + id.substring(1);
     }
 
@@ -431,26 +302,26 @@
                 + (id.isEmpty() ? "" : "Attempt-Id: " + id + "\r\n") + headers + "\r\n\r\n" + body(id);
     }
 
-    /** A host's own failure bears its seal too. */
-    private static String failureResponse(String id, String status, String headers) {
+    /** A host's error response carries its seal too. */
+    private static String failure(String id, String status, String headers) {
         return response(id, status, headers + "\r\nOrigin-Seal: " + seal(id, Integer.parseInt(status.split(" ")[0])));
     }
 
-    /** What a host seals an answer with that has this status. */
+    /** The seal of a host's response with this status. */
     static String seal(String id, int status) {
         return status == 200 ? "s" + id : "f" + id + "-" + status;
     }
 
-    private static String ownResponse(String id) {
+    private static String own(String id) {
         return response(id, "200 OK", "Origin-Seal: s" + id);
     }
 
-    /** Another request's answer, of which a part may stand ahead of the own one as if both were one. */
+    /** Another request's response, a part of which may precede this request's response as if both were one. */
     private static String interleavedResponse(String id, String first) {
         return "HTTP/1.1 " + first + "\r\nServer: a\r\nContent-Length: 3\r\nAttempt-Id: " + id + "\r\n\r\nabc";
     }
 
-    private static String chunkedResponse(String id) {
+    private static String chunked(String id) {
         String body = body(id);
         return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nAttempt-Id: " + id + "\r\nOrigin-Seal: s" + id
                 + "\r\n\r\n4\r\n" + body.substring(0, 4) + "\r\n" + Integer.toHexString(body.length() - 4) + ";x=y\r\n"
@@ -492,13 +363,13 @@
                 more = serveOne(connection, in);
             }
         } catch (IOException e) {
-            // The far side, or the test, closed it.
+            // Closed by the edge or by the test.
         } finally {
             sockets.remove(connection.socket);
         }
     }
 
-    /** Bytes of a request as they come, until its head and body are whole or enough has come. */
+    /** Reads a request up to its end, or up to the byte at which the fault is injected, and responds to it. */
     private boolean serveOne(Connection connection, InputStream in) throws IOException {
         StringBuilder bytes = new StringBuilder();
         int headEnd = -1;
@@ -511,8 +382,8 @@
             }
             if (bytes.length() == 0) {
                 connection.requests++;
-                if (connection.unusableSince != null) {
-                    failures.add("a request came on a connection spoilt by " + connection.unusableSince);
+                if (connection.unusableBecause != null) {
+                    failures.add("a request arrived on a connection made unusable by " + connection.unusableBecause);
                 }
                 if (dropsIdleConnections
                         && connection.requests > 1
@@ -520,10 +391,9 @@
                     reset(connection);
                     return false;
                 }
-                InjectedFault now = injected;
-                boolean cuts =
-                        now != null && now.ending.positionKind == PositionKind.REQUEST && peek(in).contains(now.id);
-                cut = cuts && now.claim(this, connection) ? now : null;
+                InjectedFault fault = injected;
+                boolean cuts = fault != null && fault.ending.mode == Mode.REQUEST && peek(in).contains(fault.id);
+                cut = cuts && fault.claim(this, connection) ? fault : null;
             }
             bytes.append((char) read);
             if (cut != null && bytes.length() > cut.position) {
@@ -535,39 +405,39 @@
                 bodyLength = length == null ? 0 : Integer.parseInt(length);
             }
         }
-        boolean whole = headEnd >= 0 && bytes.length() >= headEnd + bodyLength;
-        String request = whole ? header(bytes.toString(), "attempt-id") : cut.id;
+        boolean complete = headEnd >= 0 && bytes.length() >= headEnd + bodyLength;
+        String request = complete ? header(bytes.toString(), "attempt-id") : cut.id;
         if (cut != null) {
-            recordArrival(request, whole ? bytes.toString() : null, headEnd);
-            connection.unusableSince = cut.ending + " at " + cut.position;
+            recordArrival(request, complete ? bytes.toString() : null, headEnd);
+            connection.unusableBecause = cut.ending + " at " + cut.position;
             cut.begun.countDown();
             reset(connection);
             cut.done.countDown();
             return false;
         }
         lastConnection = connection;
-        String wanted = header(bytes.toString(), "want-host");
-        if (wanted != null && !wanted.equals(id)) {
+        String wantedHost = header(bytes.toString(), "want-host");
+        if (wantedHost != null && !wantedHost.equals(id)) {
             write(connection, response(request, "421 Other", "Not-Run: 1"));
             return true;
         }
         recordArrival(request, bytes.toString(), headEnd);
-        InjectedFault now = injected;
+        InjectedFault fault = injected;
         boolean goesOn = true;
-        if (now != null
-                && now.ending.positionKind != PositionKind.REQUEST
-                && request.equals(now.id)
-                && now.claim(this, connection)) {
-            goesOn = inject(connection, in, now);
-            now.done.countDown();
+        if (fault != null
+                && fault.ending.mode != Mode.REQUEST
+                && request.equals(fault.id)
+                && fault.claim(this, connection)) {
+            goesOn = inject(connection, in, fault);
+            fault.done.countDown();
         } else {
-            write(connection, ownResponse(request));
+            write(connection, own(request));
         }
         connection.lastUsedNanos = System.nanoTime();
         return goesOn;
     }
 
-    /** What has come already, to tell the request that is to be cut from one that the edge gave up long ago. */
+    /** The bytes that have arrived, to tell the request to be cut from one that the edge abandoned long before. */
     private static String peek(InputStream in) throws IOException {
         in.mark(MAX_REQUEST_BYTES * 2);
         String ahead =
@@ -591,67 +461,68 @@
         if (bytes == null) {
             return;
         }
-        String came = bytes.substring(0, bytes.indexOf("\r\n")) + "|" + bytes.substring(headEnd);
-        if (!came.equals(sentRequests.get(request))) {
-            failures.add("UNASKED: " + came + " for " + sentRequests.get(request));
+        String arrived = bytes.substring(0, bytes.indexOf("\r\n")) + "|" + bytes.substring(headEnd);
+        if (!arrived.equals(sentRequests.get(request))) {
+            failures.add("UNASKED: " + arrived + " instead of " + sentRequests.get(request));
         }
-        InjectedFault now = injected;
-        boolean turnedAway = now != null
-                && now.id.equals(request)
-                && (now.atEachHost || !now.isClaimed())
-                && now.ending.knownOutcome(now.position) == KnownOutcome.NOT_RUN;
+        InjectedFault fault = injected;
+        boolean turnedAway = fault != null
+                && fault.id.equals(request)
+                && (fault.atEachHost || !fault.isClaimed())
+                && fault.ending.known(fault.position) == Known.NOT_RUN;
         if (!turnedAway) {
             runs.merge(request, 1, Integer::sum);
         }
     }
 
-    @SuppressWarnings("ThreadPriorityCheck") // A yield makes two pieces likelier; no outcome depends on it.
-    private boolean inject(Connection connection, InputStream in, InjectedFault now) throws IOException {
-        AttemptEnding ending = now.ending;
-        now.begun.countDown();
-        if (!ending.leavesConnectionReusable(now.position)) {
-            connection.unusableSince = ending + " at " + now.position;
+    @SuppressWarnings("ThreadPriorityCheck") // Yielding makes two reads likelier; no outcome depends on it.
+    private boolean inject(Connection connection, InputStream in, InjectedFault fault) throws IOException {
+        AttemptEnding ending = fault.ending;
+        fault.begun.countDown();
+        if (!ending.leavesConnectionReusable(fault.position)) {
+            connection.unusableBecause = ending + " at " + fault.position;
         }
-        String text = ending.responseText.apply(now.id);
-        if (ending.positionKind == PositionKind.SPLIT) {
-            write(connection, text.substring(0, now.position));
+        String text = ending.text.apply(fault.id);
+        if (ending.mode == Mode.SPLIT) {
+            write(connection, text.substring(0, fault.position));
             Thread.yield();
-            write(connection, text.substring(now.position));
+            write(connection, text.substring(fault.position));
         } else {
-            String first = ending == AttemptEnding.SURPLUS ? ownResponse(now.id) : "";
-            String behind = ending == AttemptEnding.GARBLED
-                    ? failureResponse(now.id, "500 Failed", "X-A: a")
-                    : ending == AttemptEnding.GARBLED_PROMISE ? ownResponse(now.id) : "";
-            write(connection, first + text.substring(0, now.position) + behind);
+            String first = ending == AttemptEnding.SURPLUS ? own(fault.id) : "";
+            String trailing = ending == AttemptEnding.GARBLED
+                    ? failure(fault.id, "500 Failed", "X-A: a")
+                    : ending == AttemptEnding.GARBLED_PROMISE ? own(fault.id) : "";
+            write(connection, first + text.substring(0, fault.position) + trailing);
         }
-        switch (ending.connectionAction) {
-            case RESETS -> reset(connection);
-            case CLOSES -> connection.socket.close();
-            case STOPS_RESPONDING -> awaitClose(connection, in, now);
+        switch (ending.after) {
+            case RESET -> reset(connection);
+            case CLOSED -> connection.socket.close();
+            case SILENT -> awaitClose(connection, in, fault);
             default -> {}
         }
-        return ending.connectionAction == ConnectionAction.KEEPS_OPEN;
+        return ending.after == After.OPEN;
     }
 
-    /** The edge must close it; a whole answer that stays behind may be followed by another request. */
-    private void awaitClose(Connection connection, InputStream in, InjectedFault now) throws IOException {
-        boolean whole = now.ending == AttemptEnding.SILENCE
-                ? now.position == now.ending.positions() - 1
-                : now.ending.waitsForDeadline() && now.position == 0;
-        if (whole) {
+    /** The edge must close the connection. After a complete response it may send another request instead. */
+    private void awaitClose(Connection connection, InputStream in, InjectedFault fault) throws IOException {
+        boolean complete = fault.ending == AttemptEnding.SILENCE
+                ? fault.position == fault.ending.positions() - 1
+                : fault.ending.waitsForDeadline() && fault.position == 0;
+        if (complete) {
             reset(connection);
             return;
         }
         connection.socket.setSoTimeout(EdgeFixture.WAIT_MILLIS);
         try {
             if (in.read() >= 0) {
-                failures.add("a request came on a connection where " + now.ending + " had left another at "
-                        + now.position + ", used " + connection.requests);
+                failures.add(
+                        "a request arrived on a connection on which " + fault.ending + " had left another request at "
+                                + fault.position + ", requests so far: " + connection.requests);
             }
         } catch (java.net.SocketTimeoutException e) {
-            failures.add("the connection outlives " + now.ending + " at " + now.position);
+            failures.add("the connection stays open after " + fault.ending + " at " + fault.position);
         } catch (IOException e) {
-            // reset is an end too
+            // A reset closes it too.
         }
     }
 
--- a/src/test/java/tinworks/edge/FaultyDecisionTest.java
+++ b/src/test/java/tinworks/edge/FaultyDecisionTest.java
@@ -16,9 +16,9 @@
 import tinworks.net.ScriptedHost;
 
 /**
- * A fault of the program in the decision on an answer. Its request had no answer until the check of once a second found
- * it forgotten, a second after its time was over: here 11 s after the fault, which the log shows at once
- * ({@code invariant NO_FAULT violated: the decision on AttemptEnded}).
+ * Guards against a request left without a response when the decision on an attempt's outcome throws. The request was
+ * answered only by the periodic check for overdue requests, a second after its deadline: here 11 s after the fault,
+ * which the log shows at once ({@code invariant NO_FAULT violated: the decision on AttemptEnded}).
  */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 @BreaksInvariants(Invariant.NO_FAULT)
@@ -26,17 +26,17 @@
     private static final long DEADLINE_MILLIS = 10_000;
     private static final long MAX_RESPONSE_MILLIS = 3_000;
 
-    /** Each first time that a request is to be failed ends in a fault. */
+    /** Throws when a request is to be failed for the first time, and not the second time. */
     private final EdgeProtocol protocol = new EdgeProtocol(1) {
         private boolean faulty;
 
         @Override
-        public void fail(Reply reply, Response answer) {
+        public void fail(Reply reply, Response response) {
             faulty = !faulty;
             if (faulty) {
                 throw new IllegalStateException("a fault");
             }
-            super.fail(reply, answer);
+            super.fail(reply, response);
         }
     };
 
@@ -58,11 +58,11 @@
             edge.host("h-1", host.address(), true);
             edge.route("r", Configuration.Type.MUTATING, 2, "h-1");
             long before = Invariant.NO_FAULT.violations();
-            long asked = System.nanoTime();
+            long sentAt = System.nanoTime();
             client.write(EdgeFixture.request("bad", "r", "body", DEADLINE_MILLIS, false));
             assertEquals(502, client.read().status());
-            long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
-            assertTrue(took < MAX_RESPONSE_MILLIS, took + " ms");
+            long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt);
+            assertTrue(elapsedMillis < MAX_RESPONSE_MILLIS, elapsedMillis + " ms");
             assertEquals(before + 1, Invariant.NO_FAULT.violations());
             client.write(EdgeFixture.request("good", "r", "body", DEADLINE_MILLIS, false));
             assertEquals(200, client.read().status());
--- a/src/test/java/tinworks/edge/ForwardingInvariantsTest.java
+++ b/src/test/java/tinworks/edge/ForwardingInvariantsTest.java
@@ -26,7 +26,7 @@
 import tinworks.node.NodeProcess;
 import tinworks.policy.LoadBalancerApi.ClientDisconnected;
 
-/** Each check of an edge's requests notices a module that does what it must not. */
+/** Each invariant check on the edge's requests detects a decision module that violates it. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 @BreaksInvariants({
     Invariant.RUNS_ONCE,
@@ -54,7 +54,7 @@
     private EdgeFixture edge;
     private Client client;
 
-    /** A request is at work at the one host that the module knows. */
+    /** Starts an edge whose decision module knows one host, which holds requests. */
     @BeforeEach
     void start() throws Exception {
         host = new ServerSocket(0, 16, InetAddress.getByName("127.0.0.1"));
@@ -82,29 +82,29 @@
         while (!host.isClosed()) {
             try {
                 Socket socket = host.accept();
-                Thread one = new Thread(() -> respond(socket), "host's connection");
-                one.setDaemon(true);
-                one.start();
+                Thread connection = new Thread(() -> respond(socket), "host's connection");
+                connection.setDaemon(true);
+                connection.start();
             } catch (IOException e) {
                 return;
             }
         }
     }
 
-    /** Holds each request until the test lets go, and then answers with another request's id. */
+    /** Holds each request until the test allows a response, and then responds with another request's id. */
     private void respond(Socket socket) {
         try (socket) {
             InputStream in = socket.getInputStream();
             if (Message.read(in, true) != null) {
                 received.countDown();
                 mayRespond.await();
-                String answer =
+                String response =
                         "HTTP/1.1 200 OK\r\nAttempt-Id: another\r\nOrigin-Seal: s\r\nContent-Length: 2\r\n\r\nok";
-                socket.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
+                socket.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
                 in.read();
             }
         } catch (IOException e) {
-            // The edge has closed it.
+            // Closed by the edge.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -115,9 +115,9 @@
         assertTrue(received.await(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS));
     }
 
-    private void assertViolated(Invariant invariant, Consumer<Forwarding> wrong) {
+    private void assertViolated(Invariant invariant, Consumer<Forwarding> violation) {
         long before = invariant.violations();
-        NodeProcess.run(edge.loop, () -> wrong.accept(edge.module(ROUTE)));
+        NodeProcess.run(edge.loop, () -> violation.accept(edge.module(ROUTE)));
         assertTrue(invariant.violations() > before, invariant.name());
     }
 
@@ -154,7 +154,7 @@
         assertEquals(before + 1, Invariant.OWN_ANSWER.violations());
     }
 
-    /** The module thinks that it is over; the client would wait for ever. */
+    /** The module considers the request ended; the client would wait forever. */
     @Test
     void forgottenRequestIsFailed() throws Exception {
         sendRequest("a1", 100);
--- a/src/test/java/tinworks/edge/GracefulShutdownTest.java
+++ b/src/test/java/tinworks/edge/GracefulShutdownTest.java
@@ -41,14 +41,14 @@
 import tinworks.node.BootSettings;
 import tinworks.node.NodeProcess;
 
-/** A whole edge after its SIGTERM, with hosts at work on requests of both kinds. */
+/** Graceful shutdown of a whole edge while hosts process requests of both kinds. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class GracefulShutdownTest {
     private static final long GRACE_MILLIS = 6_000;
     private static final long FIRST_HALF_MILLIS = GRACE_MILLIS / 2;
     private static final long FIRST_HALF_NANOS = TimeUnit.MILLISECONDS.toNanos(FIRST_HALF_MILLIS);
     private static final String SERVED = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nOrigin-Seal: s\r\nAttempt-Id: ";
-    /** More than the requests of a second, so that each host which has not answered in time is taken for silent. */
+    /** More than the requests of a second, so that each host that misses its target counts as unresponsive. */
     private static final int HOSTS = 240;
 
     private static final int TARGET_MILLIS = 500;
@@ -58,9 +58,10 @@
     private static final long LAG_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
     private final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    /** Requests at work by their ids, and how often each came. */
+    /** The connections of requests in progress at a host, by request id. */
     private final Map<String, Socket> inProgress = new ConcurrentHashMap<>();
 
+    /** How often each request arrived at a host. */
     private final Map<String, Integer> arrivals = new ConcurrentHashMap<>();
 
     @AfterEach
@@ -83,12 +84,14 @@
 
     private static void await(String what, BooleanSupplier holds) throws InterruptedException {
         for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20); !holds.getAsBoolean(); ) {
-            assertTrue(System.nanoTime() < end, "not in time: " + what);
+            assertTrue(System.nanoTime() < end, "timed out waiting for: " + what);
             TimeUnit.MILLISECONDS.sleep(5);
         }
     }
 
-    /** Serves, but keeps those called held at work, and turns those called turned away the first time. */
+    /**
+     * Serves requests, but holds those named held, and rejects those named turned on first arrival and then holds them.
+     */
     private void handle(Socket socket, ScriptedHost.Message request) throws java.io.IOException {
         String id = request.header("Attempt-Id");
         int times = arrivals.merge(id, 1, Integer::sum);
@@ -105,14 +108,14 @@
     private static boolean serves(int port, String id) {
         try (Client client = new Client(port)) {
             client.write(EdgeFixture.request(id, "i", "", 2_000, false));
-            Message answer = client.read();
-            return answer != null && answer.status() == 200;
+            Message response = client.read();
+            return response != null && response.status() == 200;
         } catch (java.io.IOException e) {
             return false;
         }
     }
 
-    /** A whole edge that serves, with {@link #HOSTS} hosts at one address. */
+    /** A running edge with {@link #HOSTS} hosts at one address, which serves requests. */
     private EdgeNode startServingEdge(List<Integer> ports, ScriptedHost host) throws Exception {
         return startServingEdge(ports, host, new GatewayClock());
     }
@@ -154,7 +157,8 @@
     }
 
     /**
-     * A signal that the event loop gets to late: what no host answers is answered here while the process still lives.
+     * The event loop processes the signal late. A request that no host answers must still be answered by the edge
+     * before the process is killed.
      */
     @Test
     void graceRunsFromTheSignalEvenIfTheEventLoopIsLate() throws Exception {
@@ -166,11 +170,14 @@
             Map<String, Client> waiting = new LinkedHashMap<>();
             String id = sendUntilInProgress(waiting, ports.get(0), "held-m-late");
             try (Client client = waiting.get(id)) {
-                assertEquals(502, client.read().status(), "its host is still at work in the second half of the grace");
+                assertEquals(
+                        502,
+                        client.read().status(),
+                        "its host still processes it in the second half of the grace period");
                 long after = SteadyClock.millis() - signalledAt;
                 assertTrue(
                         after > FIRST_HALF_MILLIS && after < GRACE_MILLIS,
-                        "answered " + after + " ms after the signal");
+                        "got the response " + after + " ms after the signal");
             }
         }
     }
@@ -188,28 +195,30 @@
             for (String id : List.of("held-i-after", "held-m-after", "turned-i-after", "turned-m-after")) {
                 sendUntilInProgress(waiting, http, id);
             }
-            // Others are served on and overtake them, until nobody is taken in any more.
+            // Further requests are served and overtake them, until the edge stops accepting.
             int served = 0;
             for (int i = 0; System.nanoTime() - began < FIRST_HALF_NANOS * 8 / 10; i++) {
                 served += serves(http, "other-" + i) ? 1 : 0;
                 TimeUnit.MILLISECONDS.sleep(10);
             }
-            assertTrue(served > 10, "served on: " + served);
-            for (Map.Entry<String, Client> one : waiting.entrySet()) {
+            assertTrue(served > 10, "served during shutdown: " + served);
+            for (Map.Entry<String, Client> entry : waiting.entrySet()) {
                 long left = TimeUnit.NANOSECONDS.toMillis(began + FIRST_HALF_NANOS - System.nanoTime());
-                one.getValue().socket.setSoTimeout((int) Math.max(1, left - 50));
+                entry.getValue().socket.setSoTimeout((int) Math.max(1, left - 50));
                 assertThrows(
-                        SocketTimeoutException.class, one.getValue()::read, () -> one.getKey() + " was told something");
+                        SocketTimeoutException.class,
+                        entry.getValue()::read,
+                        () -> entry.getKey() + " received a response");
             }
-            for (Map.Entry<String, Client> one : waiting.entrySet()) {
-                String id = one.getKey();
-                assertEquals(id.startsWith("turned") ? 2 : 1, arrivals.get(id), "at one host's work: " + id);
+            for (Map.Entry<String, Client> entry : waiting.entrySet()) {
+                String id = entry.getKey();
+                assertEquals(id.startsWith("turned") ? 2 : 1, arrivals.get(id), "arrivals at hosts: " + id);
                 ScriptedHost.write(inProgress.get(id), SERVED + id + "\r\n\r\nfine");
-                one.getValue().socket.setSoTimeout(EdgeFixture.WAIT_MILLIS);
-                Message answer = one.getValue().read();
-                assertEquals(200, answer.status(), id);
-                assertEquals(id, answer.headers().get("attempt-id"));
-                assertEquals("close", answer.headers().get("connection"));
+                entry.getValue().socket.setSoTimeout(EdgeFixture.WAIT_MILLIS);
+                Message response = entry.getValue().read();
+                assertEquals(200, response.status(), id);
+                assertEquals(id, response.headers().get("attempt-id"));
+                assertEquals("close", response.headers().get("connection"));
             }
             ended.get(5, TimeUnit.SECONDS);
             for (Client client : waiting.values()) {
@@ -218,7 +227,7 @@
         }
     }
 
-    /** What is read after long work may have lain here for as long, or may have come only just now. */
+    /** A request read after a stall may have been queued for as long as the stall, or may only just have arrived. */
     @Test
     void noRequestIsCutShortForAQueueingDelayItMayNotHaveHad() throws Exception {
         List<Integer> ports = FreePorts.at("127.0.0.1", 4);
@@ -234,28 +243,29 @@
                             EdgeFixture.request(id, route, route.equals("m") ? "body" : "", DEADLINE_MILLIS, false));
                     assertEquals(route.equals("m") ? 502 : 503, client.read().status());
                     long after = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt);
-                    assertTrue(arrivals.containsKey(id), "a host was at work on it");
-                    assertTrue(after >= DEADLINE_MILLIS, "broken off after " + after + " ms, before its deadline");
+                    assertTrue(arrivals.containsKey(id), "a host processed it");
+                    assertTrue(after >= DEADLINE_MILLIS, "ended after " + after + " ms, before its deadline");
                 }
             }
         }
     }
 
-    /** Clients on new and on kept connections, while the event loop is at other work for most of the time. */
+    /** Clients use new and reused connections while the event loop is busy for most of the time. */
     @Test
     void laggingEdgeAnswersEveryRequestThatReachedAHost() throws Exception {
         List<Integer> ports = FreePorts.at("127.0.0.1", 4);
         try (ScriptedHost host = new ScriptedHost(this::handle)) {
             EdgeNode edge = startServingEdge(ports, host);
-            Map<String, String> told = new ConcurrentHashMap<>();
+            Map<String, String> statusById = new ConcurrentHashMap<>();
             List<Thread> clients = new ArrayList<>();
             for (int i = 0; i < LAGGED_CLIENTS; i++) {
                 String name = "lagged-" + i + "-";
-                boolean keeps = i % 2 == 0;
-                clients.add(new Thread(() -> sendUntilConnectionRefused(ports.get(0), name, keeps, told)));
+                boolean reusesConnection = i % 2 == 0;
+                clients.add(
+                        new Thread(() -> sendUntilConnectionRefused(ports.get(0), name, reusesConnection, statusById)));
             }
             clients.forEach(Thread::start);
-            await("requests are served", () -> told.size() > LAGGED_CLIENTS);
+            await("requests are served", () -> statusById.size() > LAGGED_CLIENTS);
             NodeProcess.run(loop, this::startLag);
             Set<String> before = Set.copyOf(arrivals.keySet());
             CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
@@ -263,48 +273,52 @@
             for (Thread client : clients) {
                 client.join();
             }
-            told.keySet().retainAll(arrivals.keySet());
-            told.keySet().removeAll(before);
-            assertTrue(told.size() > LAGGED_CLIENTS, "came to hosts since the signal: " + told.size());
-            told.values().removeIf("200"::equals);
-            assertEquals(Map.of(), told, "a host got these");
+            statusById.keySet().retainAll(arrivals.keySet());
+            statusById.keySet().removeAll(before);
+            assertTrue(
+                    statusById.size() > LAGGED_CLIENTS,
+                    "requests that reached hosts since the signal: " + statusById.size());
+            statusById.values().removeIf("200"::equals);
+            assertEquals(Map.of(), statusById, "these reached a host but were not served");
         }
     }
 
-    /** From now on the event loop is at other work for two thirds of the time. */
+    /** Keeps the event loop busy for two thirds of the time from now on. */
     private void startLag() {
         LockSupport.parkNanos(2 * LAG_NANOS);
         loop.schedule(this::startLag, LAG_NANOS, TimeUnit.NANOSECONDS);
     }
 
-    /** Asks for one thing after the other until nobody takes connections any more, and notes what was told of each. */
-    private static void sendUntilConnectionRefused(int port, String name, boolean keeps, Map<String, String> told) {
+    /** Sends requests one after the other until connections are refused, and records the status of each. */
+    private static void sendUntilConnectionRefused(
+            int port, String name, boolean reusesConnection, Map<String, String> statusById) {
         Client client = null;
         try {
             for (int i = 0; ; i++) {
                 client = client == null ? new Client(port) : client;
                 String id = name + i;
                 boolean mutating = i % 3 == 0;
-                Message answer = null;
+                Message response = null;
                 try {
                     client.write(EdgeFixture.request(id, mutating ? "m" : "i", mutating ? "body" : "", 3_000, false));
-                    answer = client.read();
+                    response = client.read();
                 } catch (java.io.IOException e) {
-                    // The edge has closed the connection: an answer that is cut, or none.
+                    // The edge closed the connection: the response is cut or missing.
                 }
-                told.put(id, answer == null ? "nothing" : String.valueOf(answer.status()));
-                boolean ends = answer == null || "close".equals(answer.headers().get("connection"));
-                if (ends || !keeps) {
+                statusById.put(id, response == null ? "nothing" : String.valueOf(response.status()));
+                boolean ends =
+                        response == null || "close".equals(response.headers().get("connection"));
+                if (ends || !reusesConnection) {
                     client.close();
                     client = null;
                 }
             }
         } catch (java.io.IOException e) {
-            // No connection is taken any more.
+            // Connections are no longer accepted.
         }
     }
 
-    /** Requests at their hosts, of which none has been there for its aim yet: what is overdue may be sent elsewhere. */
+    /** Requests in progress, none of which has exceeded its target yet: an overdue one could be retried elsewhere. */
     private Map<String, Client> sendBeforeAnyIsOverdue(int port) throws Exception {
         for (int round = 0; round < ROUNDS; round++) {
             Map<String, Client> waiting = new LinkedHashMap<>();
@@ -319,43 +333,44 @@
                 client.close();
             }
         }
-        throw new AssertionError("too slow a machine to have four requests at hosts within " + TARGET_MILLIS + " ms");
+        throw new AssertionError(
+                "the machine is too slow to get four requests to hosts within " + TARGET_MILLIS + " ms");
     }
 
     /**
-     * Before the signal, what a silent host holds is called off and sent to another: without the guard it would be
-     * after it too.
+     * Positive control: before the signal, a request held by an unresponsive host is cancelled and retried at another
+     * one. Without the guard the same would happen during shutdown.
      */
     private void awaitRetryElsewhere(int port, String name) throws Exception {
         Map<String, Client> control = new LinkedHashMap<>();
         String id = sendUntilInProgress(control, port, name);
-        await(id + " is sent to another host", () -> {
+        await(id + " is retried at another host", () -> {
             serves(port, "beside-" + System.nanoTime());
             return arrivals.get(id) == 2;
         });
         control.get(id).close();
     }
 
-    /** Until a host is at work on it; one that the edge refused before, on a busy machine, is asked anew. */
+    /** Sends a request until a host processes it; the edge may refuse it first if the machine is busy. */
     private String sendUntilInProgress(Map<String, Client> waiting, int port, String name) throws Exception {
-        for (int tries = 0; tries < 20; tries++) {
-            String id = name + "-" + tries;
+        for (int attempt = 0; attempt < 20; attempt++) {
+            String id = name + "-" + attempt;
             Client client = new Client(port);
             client.write(EdgeFixture.request(
                     id, id.contains("-m-") ? "m" : "i", id.contains("-m-") ? "body" : "", 15_000, false));
-            await("a host at work on " + id + ", or a refusal", () -> inProgress.containsKey(id) || available(client));
+            await("a host to process " + id + ", or a refusal", () -> inProgress.containsKey(id) || available(client));
             if (inProgress.containsKey(id)) {
                 waiting.put(id, client);
                 return id;
             }
-            assertEquals(503, client.read().status(), "no host is at work on it");
+            assertEquals(503, client.read().status(), "no host processes it");
             client.close();
-            // Further tries come out of a part of the requests.
+            // Retries draw on a budget that is a fraction of the requests.
             for (int i = 0; i < 10; i++) {
                 serves(port, "between-" + id + "-" + i);
             }
         }
-        throw new AssertionError("no host ever worked on " + name);
+        throw new AssertionError("no host ever processed " + name);
     }
 
     private static boolean available(Client client) {
--- a/src/test/java/tinworks/edge/PlannedMaintenanceTest.java
+++ b/src/test/java/tinworks/edge/PlannedMaintenanceTest.java
@@ -40,7 +40,7 @@
 import tinworks.node.BootSettings;
 import tinworks.node.NodeProcess;
 
-/** A whole edge under load, with hosts that take tens of milliseconds, through each kind of planned work. */
+/** Reloads and graceful shutdown of a whole edge under load, with hosts that take tens of milliseconds. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class PlannedMaintenanceTest {
     private static final int CLIENTS = 16;
@@ -92,7 +92,7 @@
         });
         for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
                 !isServed("warm-" + ids.incrementAndGet()); ) {
-            assertTrue(System.nanoTime() < end, "the edge doesn't serve");
+            assertTrue(System.nanoTime() < end, "the edge does not serve");
         }
     }
 
@@ -119,7 +119,9 @@
                 new InetSocketAddress("127.0.0.1", ports.get(3)));
     }
 
-    /** Each moves the routes between services, and changes their tries and kinds, other routes, and the limits. */
+    /**
+     * Each version moves the routes between services and changes their attempts and types, other routes and the limits.
+     */
     private static Configuration version(int rev) {
         List<Route> routes = new ArrayList<>();
         routes.add(route("i", rev % 2 == 0 ? "s" : "t", Configuration.Type.IDEM, 1 + rev % MAX_ATTEMPTS));
@@ -137,7 +139,7 @@
                 rev, routes, Map.of("s", new Service("s", "/", 100), "t", new Service("t", "/", 100)), limits);
     }
 
-    private static Route route(String name, String service, Configuration.Type type, int tries) {
+    private static Route route(String name, String service, Configuration.Type type, int maxAttempts) {
         return new Route(
                 name,
                 EdgeFixture.DOMAIN,
@@ -147,7 +149,7 @@
                 TIMEOUT_MILLIS / 2,
                 1,
                 List.of(new Split(service, 1)),
-                tries);
+                maxAttempts);
     }
 
     private void handle(Socket socket, ScriptedHost.Message request) throws IOException {
@@ -164,12 +166,12 @@
     private boolean isServed(String id) throws IOException {
         try (Client client = new Client(port)) {
             client.write(EdgeFixture.request(id, "i", "", TIMEOUT_MILLIS, false));
-            Message answer = client.read();
-            return answer != null && answer.status() == 200;
+            Message response = client.read();
+            return response != null && response.status() == 200;
         }
     }
 
-    /** Asks on one connection after the other until the work is over, or nobody is taken in any more. */
+    /** Sends requests, reconnecting when needed, until the test is finished or connections are refused. */
     private void sendUntilFinished() {
         Client client = null;
         try {
@@ -184,47 +186,47 @@
         }
     }
 
-    /** Whether the connection carries on. */
+    /** Sends one request; returns whether the connection can be used again. */
     private boolean sendOne(Client client) throws IOException {
         int number = ids.incrementAndGet();
         String route = List.of("i", "m", "changing").get(number % 3);
         String id = route + "-" + number;
         long sentAt = System.nanoTime();
-        Message answer;
+        Message response;
         try {
             client.write(EdgeFixture.request(id, route, number % 2 == 0 ? "" : "body", TIMEOUT_MILLIS, false));
-            answer = client.read();
+            response = client.read();
         } catch (IOException e) {
-            answer = null;
+            response = null;
         }
-        checkResponse(id, answer, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt));
-        if (answer == null || "close".equals(answer.headers().get("connection"))) {
+        checkResponse(id, response, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt));
+        if (response == null || "close".equals(response.headers().get("connection"))) {
             client.close();
             return false;
         }
         return true;
     }
 
-    private void checkResponse(String id, Message answer, long millis) {
-        boolean own = answer != null
-                && answer.status() == 200
-                && id.equals(answer.headers().get("attempt-id"));
-        if (own) {
+    private void checkResponse(String id, Message response, long millis) {
+        boolean success = response != null
+                && response.status() == 200
+                && id.equals(response.headers().get("attempt-id"));
+        if (success) {
             served.incrementAndGet();
         } else if (startedAtHost.contains(id)) {
-            failures.add("a host was at work on " + id + ", which got " + answer);
-        } else if (answer == null && millis > MAX_CLOSE_RACE_MILLIS) {
-            failures.add("no answer to " + id + " after " + millis + " ms");
-        } else if (answer == null) {
+            failures.add("a host had started " + id + ", which got " + response);
+        } else if (response == null && millis > MAX_CLOSE_RACE_MILLIS) {
+            failures.add("no response to " + id + " after " + millis + " ms");
+        } else if (response == null) {
             closedUnread.incrementAndGet();
-        } else if (answer.status() == 503) {
+        } else if (response.status() == 503) {
             refused.incrementAndGet();
         } else {
-            failures.add(id + " got " + answer);
+            failures.add(id + " got " + response);
         }
     }
 
-    /** Has clients ask while the work is done again and again, until so many have been served. */
+    /** Repeats an operation under client load until {@link #REQUESTS} requests have been served. */
     private void runUnderLoad(String what, long everyMillis, java.util.function.IntConsumer work)
             throws InterruptedException {
         List<Thread> clients = new ArrayList<>();
--- a/src/test/java/tinworks/edge/RequestJournalTest.java
+++ b/src/test/java/tinworks/edge/RequestJournalTest.java
@@ -14,7 +14,7 @@
 import tinworks.policy.LoadBalancerApi.Outcome;
 import tinworks.policy.Reason;
 
-/** What is kept of requests that ended without success, and how much of it goes to the log. */
+/** The page of unsuccessful requests, and the rate limit of its log lines. */
 class RequestJournalTest {
     private final AtomicLong millis = new AtomicLong(5_000);
     private final List<String> logged = new ArrayList<>();
@@ -56,6 +56,6 @@
         assertTrue(
                 logged.get(RequestJournal.LOG_BURST + 1).endsWith(" unlogged=" + (1_000 - RequestJournal.LOG_BURST)));
         assertEquals(RequestJournal.MAX_ENTRIES, page().lines().count());
-        assertTrue(page().lines().noneMatch(line -> line.contains("request=r0 ")), "the oldest go");
+        assertTrue(page().lines().noneMatch(line -> line.contains("request=r0 ")), "the oldest are evicted");
     }
 }
--- a/src/test/java/tinworks/edge/StaleVersionFollower.java
+++ b/src/test/java/tinworks/edge/StaleVersionFollower.java
@@ -1,10 +1,10 @@
 package tinworks.edge;
 
-/** Broken on purpose: it takes whatever version comes. */
+/** A mutant that accepts any version that differs, even an older one. */
 public final class StaleVersionFollower extends CoreFollower {
-    /** One that knows nothing yet. */
-    public StaleVersionFollower(Callbacks owner) {
-        super(owner);
+    /** Creates a follower that has received nothing yet. */
+    public StaleVersionFollower(Callbacks callbacks) {
+        super(callbacks);
     }
 
     @Override
--- a/src/test/java/tinworks/edge/StrayAnswersTest.java
+++ b/src/test/java/tinworks/edge/StrayAnswersTest.java
@@ -27,7 +27,10 @@
 import tinworks.net.Transport;
 import tinworks.policy.LoadBalancerApi.Outcome;
 
-/** A host that stutters: answers that come late, where the next one is due. None may pass for another request's. */
+/**
+ * Guards against a late response taken for that of the next request on the same connection. It comes about if a host
+ * sends a response after its request has timed out, or sends one twice.
+ */
 @Timeout(value = 30, unit = TimeUnit.SECONDS)
 class StrayAnswersTest {
     private static final long LONG_NANOS = TimeUnit.SECONDS.toNanos(20);
@@ -63,12 +66,12 @@
         return response(id, "200 OK", "for " + id, "Origin-Seal: s");
     }
 
-    /** Sends each run of bytes by itself: a bar stands between two. */
-    @SuppressWarnings("ThreadPriorityCheck") // A yield makes two pieces likelier; no outcome depends on it.
-    private static void send(Socket socket, String runs) throws java.io.IOException {
-        for (String run : runs.split("\\|")) {
-            ScriptedHost.write(socket, run);
-            // A piece of its own on the way, most of the time; the outcome is the same where it isn't.
+    /** Sends the pieces of a text, separated by bars, one at a time. */
+    @SuppressWarnings("ThreadPriorityCheck") // Yielding makes two reads likelier; no outcome depends on it.
+    private static void send(Socket socket, String pieces) throws java.io.IOException {
+        for (String piece : pieces.split("\\|")) {
+            ScriptedHost.write(socket, piece);
+            // Usually read as a separate piece; the outcome is the same if it is not.
             Thread.yield();
         }
     }
@@ -86,8 +89,8 @@
                     request,
                     timeoutNanos,
                     Long.MAX_VALUE,
-                    (attempt, outcome, at, load, answer) -> ended.complete(new Ended(
-                            outcome, answer == null ? null : answer.body().toString(StandardCharsets.US_ASCII))));
+                    (attempt, outcome, at, load, response) -> ended.complete(new Ended(
+                            outcome, response == null ? null : response.body().toString(StandardCharsets.US_ASCII))));
         });
         return ended.join();
     }
@@ -113,9 +116,9 @@
         })) {
             assertEquals(new Ended(Outcome.SERVED, "for r1"), sendRequest(host, "r1", LONG_NANOS));
             assertEquals(new Ended(Outcome.SERVED, "for r2"), sendRequest(host, "r2", LONG_NANOS));
-            assertEquals(1, host.connections.size(), "the stray came on the connection that the second went on");
+            assertEquals(1, host.connections.size(), "the stray response came on the connection of the second request");
             assertEquals(new Ended(Outcome.SERVED, "for r3"), sendRequest(host, "r3", LONG_NANOS));
-            assertEquals(2, host.connections.size(), "a connection that stuttered is not used again");
+            assertEquals(2, host.connections.size(), "a connection with a stray response is not reused");
         }
     }
 
@@ -152,7 +155,7 @@
                 send(socket, servedResponse(request.header(EdgeProtocol.ATTEMPT_ID.toString()))))) {
             assertEquals(new Ended(Outcome.SERVED, "for r1"), sendRequest(host, "r1", LONG_NANOS));
             send(host.connections.get(0), servedResponse("r1"));
-            // Whether the stray is read before the next request goes out or after, it is nobody's.
+            // Whether the stray response is read before or after the next request is sent, it belongs to no request.
             assertEquals(new Ended(Outcome.SERVED, "for r2"), sendRequest(host, "r2", LONG_NANOS));
             assertEquals(new Ended(Outcome.SERVED, "for r3"), sendRequest(host, "r3", LONG_NANOS));
         }
--- a/src/test/java/tinworks/edge/UnreadableHostTest.java
+++ b/src/test/java/tinworks/edge/UnreadableHostTest.java
@@ -17,7 +17,7 @@
 import tinworks.node.BootSettings;
 import tinworks.node.NodeProcess;
 
-/** One entry of the platform's list that can't be read keeps none of the others from an edge. */
+/** Guards against one entry with an invalid address keeping the rest of the platform's host list from an edge. */
 @Timeout(value = 30, unit = TimeUnit.SECONDS)
 class UnreadableHostTest {
     @Test
--- a/src/test/java/tinworks/edge/UnusedServicesTest.java
+++ b/src/test/java/tinworks/edge/UnusedServicesTest.java
@@ -24,9 +24,9 @@
 import tinworks.node.NodeProcess;
 
 /**
- * Services that come and go with versions of the configuration. Each that there ever was kept its module, with a timer
- * and a page of metrics: after 400 versions with a service each there were 400, for 80 kB of metrics and 34 ms of
- * processor time a second.
+ * Guards against decision modules that outlive their services. Each service that a configuration version ever named
+ * kept its module, with a timer and metrics: 400 versions with one service each left 400 modules, which cost 80 kB of
+ * metrics and 34 ms of processor time a second.
  */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class UnusedServicesTest {
@@ -64,7 +64,7 @@
     private static void await(java.util.function.BooleanSupplier condition) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
         while (!condition.getAsBoolean()) {
-            assertTrue(System.nanoTime() < until, "modules of services that are gone stay");
+            assertTrue(System.nanoTime() < until, "modules of removed services were not closed");
             TimeUnit.MILLISECONDS.sleep(10);
         }
     }
