--- a/src/main/java/tinworks/Main.java
+++ b/src/main/java/tinworks/Main.java
@@ -6,7 +6,7 @@
 import tinworks.cli.CommandLineTool;
 import tinworks.control.Core;
 import tinworks.edge.Edge;
-import tinworks.net.Server;
+import tinworks.net.GatewayProcess;
 import tinworks.node.NodeProcess;
 import tinworks.sim.MalformedInput;
 import tinworks.sim.SimulatorAdapter;
@@ -28,7 +28,7 @@
             switch (verb) {
                 case "edge" -> Edge.run(NodeProcess.start(System.getenv()));
                 case "core" -> Core.run(NodeProcess.start(System.getenv()));
-                case "serve" -> Server.serve(System.getenv());
+                case "serve" -> GatewayProcess.start(System.getenv());
                 case "simhost" -> new SimulatorAdapter(System.in, System.out).run();
                 // Not at the platform's commands: the library that reads arguments costs a start too much.
                 default ->
--- a/src/main/java/tinworks/control/CoreNode.java
+++ b/src/main/java/tinworks/control/CoreNode.java
@@ -12,7 +12,7 @@
 import tinworks.channel.SteadyClock;
 import tinworks.channel.TcpLinks;
 import tinworks.logging.Fatal;
-import tinworks.net.GatewayClock;
+import tinworks.net.MonotonicClock;
 import tinworks.node.BootSettings;
 import tinworks.node.StallWatch;
 import tinworks.platform.HostPoller;
@@ -40,7 +40,7 @@
         this.loop = loop;
         this.settings = settings;
         current = settings;
-        GatewayClock clock = new GatewayClock();
+        MonotonicClock clock = new MonotonicClock();
         disk = new DiskThread(work -> loop.execute(() -> orEnd(work)), store, this::log);
         machine = new CoreMachine(
                 new CoreMachine.Identity(id, settings.innerAddress(), settings.losses()), stored, disk, this);
--- a/src/main/java/tinworks/control/OperatorServer.java
+++ b/src/main/java/tinworks/control/OperatorServer.java
@@ -27,7 +27,7 @@
 import tinworks.net.ClientServer;
 import tinworks.net.ClientServer.BadRequest;
 import tinworks.net.ClientServer.Reply;
-import tinworks.net.GatewayClock;
+import tinworks.net.MonotonicClock;
 import tinworks.net.Transport;
 import tinworks.node.StallWatch;
 import tinworks.raft.Raft;
@@ -58,7 +58,7 @@
     private final ClientServer server;
     private final ExecutorService checks = Executors.newSingleThreadExecutor(work -> new Thread(work, "configuration"));
 
-    OperatorServer(EventLoop loop, GatewayClock clock, String name, CoreMachine machine, StallWatch stalls) {
+    OperatorServer(EventLoop loop, MonotonicClock clock, String name, CoreMachine machine, StallWatch stalls) {
         this.stalls = stalls;
         this.loop = loop;
         this.name = name;
--- a/src/main/java/tinworks/edge/EdgeNode.java
+++ b/src/main/java/tinworks/edge/EdgeNode.java
@@ -28,8 +28,8 @@
 import tinworks.metrics.MetricsPage;
 import tinworks.net.ClientServer;
 import tinworks.net.Forwarding;
-import tinworks.net.GatewayClock;
 import tinworks.net.HostPool;
+import tinworks.net.MonotonicClock;
 import tinworks.net.Transport;
 import tinworks.net.UnservedRequest;
 import tinworks.node.BootSettings;
@@ -70,7 +70,7 @@
     private final EventLoop loop;
     private final BootSettings settings;
     private final EdgeMemory memory = EdgeMemory.ofThisProcess();
-    private final GatewayClock clock;
+    private final MonotonicClock clock;
     private final SplittableRandom random;
     private final TcpLinks links;
     private final HostPoller poller;
@@ -109,7 +109,7 @@
     private long shutdownDeadlineMillis;
 
     /** Creates an edge that has neither a configuration nor a host list yet. */
-    public EdgeNode(EventLoop loop, GatewayClock clock, BootSettings settings, long id) {
+    public EdgeNode(EventLoop loop, MonotonicClock clock, BootSettings settings, long id) {
         this.loop = loop;
         this.clock = clock;
         this.settings = settings;
--- a/src/main/java/tinworks/edge/EdgeWarmUp.java
+++ b/src/main/java/tinworks/edge/EdgeWarmUp.java
@@ -28,11 +28,11 @@
 import tinworks.config.Configuration.Service;
 import tinworks.config.Configuration.Split;
 import tinworks.net.ClientServer;
-import tinworks.net.FarSide;
 import tinworks.net.Forwarding;
-import tinworks.net.GatewayClock;
 import tinworks.net.HostPool;
+import tinworks.net.MonotonicClock;
 import tinworks.net.Transport;
+import tinworks.net.WarmUpPeer;
 import tinworks.policy.LoadBalancerApi.Outcome;
 import tinworks.policy.LoadBalancerApi.Readiness;
 import tinworks.policy.LoadBalancerApi.ServerInfo;
@@ -74,7 +74,7 @@
     record Result(int responses, long served, long millis, String endReason) {}
 
     private final EventLoop loop;
-    private final GatewayClock clock;
+    private final MonotonicClock clock;
     private final BooleanSupplier clientPresent;
     private final Consumer<Result> whenDone;
     private final EdgeProtocol protocol = new EdgeProtocol(1);
@@ -95,7 +95,7 @@
      * @param clientPresent whether a client is connected, which then has the event loop to itself
      * @param whenDone is called once, with the result
      */
-    EdgeWarmUp(EventLoop loop, GatewayClock clock, BooleanSupplier clientPresent, Consumer<Result> whenDone) {
+    EdgeWarmUp(EventLoop loop, MonotonicClock clock, BooleanSupplier clientPresent, Consumer<Result> whenDone) {
         this.loop = loop;
         this.whenDone = whenDone;
         this.clock = clock;
@@ -194,7 +194,7 @@
         }
     }
 
-    private static ChannelInitializer<Channel> handler(java.util.function.Supplier<FarSide> maker) {
+    private static ChannelInitializer<Channel> handler(java.util.function.Supplier<WarmUpPeer> maker) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
@@ -245,7 +245,7 @@
         LOG.debug(line);
     }
 
-    private final class Client extends FarSide {
+    private final class Client extends WarmUpPeer {
         private int requestsOnConnection;
 
         @Override
@@ -261,16 +261,16 @@
                     + EdgeProtocol.ATTEMPT_ID + ": rehearsal-" + sequence + "\r\n" + EdgeProtocol.DEADLINE_MS + ": "
                     + TIMEOUT_MILLIS
                     + "\r\n";
-            write(ctx, isRead ? head : head + "Content-Length: " + BODY.length + "\r\n", isRead ? NOTHING : BODY);
+            write(ctx, isRead ? head : head + "Content-Length: " + BODY.length + "\r\n", isRead ? EMPTY_BODY : BODY);
         }
 
         @Override
-        protected boolean isWhole(int first, int last, ByteBuf end) {
-            return isWholeAnswer(last, end);
+        protected boolean isComplete(int first, int last, ByteBuf end) {
+            return isCompleteResponse(last, end);
         }
 
         @Override
-        protected void came(ChannelHandlerContext ctx) {
+        protected void messageReceived(ChannelHandlerContext ctx) {
             responses++;
             if (finishIfDue()) {
                 return;
@@ -295,20 +295,20 @@
      * Serves nearly all requests and rejects some. Each connection carries one request at a time, so a response takes
      * its id from the request read last.
      */
-    private final class Host extends FarSide {
+    private final class Host extends WarmUpPeer {
         private static final int REJECT_EVERY = 37;
         private String id = "";
 
         @Override
-        protected boolean isWhole(int first, int last, ByteBuf end) {
+        protected boolean isComplete(int first, int last, ByteBuf end) {
             String text = end.toString(java.nio.charset.StandardCharsets.US_ASCII);
             int idAt = text.indexOf(EdgeProtocol.ATTEMPT_ID + ": ");
             id = idAt < 0 ? id : text.substring(idAt + EdgeProtocol.ATTEMPT_ID.length() + 2, text.indexOf('\r', idAt));
-            return isWholeRequest(first, last);
+            return isCompleteRequest(first, last);
         }
 
         @Override
-        protected void came(ChannelHandlerContext ctx) {
+        protected void messageReceived(ChannelHandlerContext ctx) {
             boolean rejects = requestsSent % REJECT_EVERY == 0;
             write(
                     ctx,
--- a/src/main/java/tinworks/edge/RequestRouter.java
+++ b/src/main/java/tinworks/edge/RequestRouter.java
@@ -16,7 +16,7 @@
 import tinworks.net.ClientServer.BadRequest;
 import tinworks.net.ClientServer.Reply;
 import tinworks.net.Forwarding;
-import tinworks.net.GatewayClock;
+import tinworks.net.MonotonicClock;
 import tinworks.policy.LoadBalancerApi.RequestArrived;
 
 /**
@@ -26,7 +26,7 @@
 final class RequestRouter implements ClientServer.Listener {
     private static final long UNCONFIGURED_RETRY_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    private final GatewayClock clock;
+    private final MonotonicClock clock;
     private final SplittableRandom random;
     private final EdgeProtocol protocol;
     private final Map<String, Forwarding> services;
@@ -40,7 +40,7 @@
      * Creates a router without routes; the caller keeps {@code services} filled with every service that a route names.
      */
     RequestRouter(
-            GatewayClock clock, SplittableRandom random, EdgeProtocol protocol, Map<String, Forwarding> services) {
+            MonotonicClock clock, SplittableRandom random, EdgeProtocol protocol, Map<String, Forwarding> services) {
         this.clock = clock;
         this.random = random;
         this.protocol = protocol;
--- a/src/main/java/tinworks/load/LoadClients.java
+++ b/src/main/java/tinworks/load/LoadClients.java
@@ -20,10 +20,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import tinworks.net.GatewayClock;
 import tinworks.net.HostPool;
 import tinworks.net.HostPool.HostEntry;
 import tinworks.net.HostPool.Response;
+import tinworks.net.MonotonicClock;
 import tinworks.net.Transport;
 import tinworks.policy.LoadBalancerApi.LoadReport;
 import tinworks.policy.LoadBalancerApi.Outcome;
@@ -68,7 +68,7 @@
     private static final Set<Integer> FINAL = Set.of(400, 401, 404, 413, 431);
 
     private final EventLoop loop;
-    private final GatewayClock clock = new GatewayClock();
+    private final MonotonicClock clock = new MonotonicClock();
     private final HostPool pool;
     private final SplittableRandom random;
     private final Watcher watcher;
--- a/src/main/java/tinworks/net/BalancerProtocol.java
+++ b/src/main/java/tinworks/net/BalancerProtocol.java
@@ -54,6 +54,6 @@
 
     @Override
     public LoadReport load(HttpHeaders headers) {
-        return LoadReports.read(headers.getAll("X-Server-Load"));
+        return LoadReportParser.parse(headers.getAll("X-Server-Load"));
     }
 }
--- a/src/main/java/tinworks/net/ClientServer.java
+++ b/src/main/java/tinworks/net/ClientServer.java
@@ -115,7 +115,7 @@
 
     private final EventLoop loop;
     private final Transport transport;
-    private final GatewayClock clock;
+    private final MonotonicClock clock;
     private final Listener listener;
     private final Set<Connection> connections = new LinkedHashSet<>();
     /** Those that have asked and have no request open, the longest idle first. */
@@ -139,7 +139,7 @@
     private long nextFaultLineAt = Long.MIN_VALUE;
 
     /** A server that doesn't listen yet, with room for all bodies. */
-    public ClientServer(EventLoop loop, Transport transport, GatewayClock clock, Bounds bounds, Listener listener) {
+    public ClientServer(EventLoop loop, Transport transport, MonotonicClock clock, Bounds bounds, Listener listener) {
         this(loop, transport, clock, bounds, new ByteBudget(Long.MAX_VALUE), listener);
     }
 
@@ -147,7 +147,7 @@
     public ClientServer(
             EventLoop loop,
             Transport transport,
-            GatewayClock clock,
+            MonotonicClock clock,
             Bounds bounds,
             ByteBudget bodies,
             Listener listener) {
@@ -161,7 +161,7 @@
     public ClientServer(
             EventLoop loop,
             Transport transport,
-            GatewayClock clock,
+            MonotonicClock clock,
             Bounds bounds,
             BodyBudget bodies,
             ByteBudget heads,
@@ -179,7 +179,7 @@
     /** Starts to listen; the future fails where the address can't be had. */
     public ChannelFuture listen(SocketAddress address) {
         ServerBootstrap listening = new ServerBootstrap().group(loop).channel(transport.server());
-        if (!transport.equals(Transport.MEMORY)) {
+        if (!transport.equals(Transport.IN_MEMORY)) {
             listening.option(ChannelOption.SO_BACKLOG, BACKLOG);
         }
         ChannelFuture bound = listening
@@ -544,7 +544,7 @@
             connections.add(this);
             tally.connectionOpened();
             acceptedAt = clock.nanos();
-            acceptedLateBy = clock.heldUpNanos();
+            acceptedLateBy = clock.queueingDelayNanos();
             dueSince = acceptedAt;
             due.add(this);
             bound();
@@ -582,7 +582,7 @@
 
         /** What came right behind its connect lay here for as long as the connection waited to be accepted. */
         private long heldUpNanos() {
-            long heldUp = clock.heldUpNanos();
+            long heldUp = clock.queueingDelayNanos();
             long sinceAccepted = clock.nanos() - acceptedAt;
             return !asked && sinceAccepted <= heldUp + acceptedLateBy ? sinceAccepted + acceptedLateBy : heldUp;
         }
--- a/src/main/java/tinworks/net/EndpointList.java
+++ b/src/main/java/tinworks/net/EndpointList.java
@@ -59,7 +59,7 @@
                 entry.field("group").number(0).intValue(),
                 readiness,
                 entry.field("weight").number(1).doubleValue(),
-                GatewayClock.ofUnixMillis(entry.field("since_ms").number(0).longValue()));
+                MonotonicClock.ofUnixMillis(entry.field("since_ms").number(0).longValue()));
         // One that is removed may come without an address: nothing goes there any more.
         SocketAddress address = readiness == Readiness.REMOVED
                 ? null
--- a/src/main/java/tinworks/net/Forwarding.java
+++ b/src/main/java/tinworks/net/Forwarding.java
@@ -57,7 +57,7 @@
     static final long FORGOTTEN_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private final EventLoop loop;
-    private final GatewayClock clock;
+    private final MonotonicClock clock;
     private final HostPool hosts;
     private final ForwardingProtocol style;
     private final Callbacks owner;
@@ -77,7 +77,7 @@
     /** A module with these settings; the hosts are the caller's to keep in step with the lists that it tells. */
     public Forwarding(
             EventLoop loop,
-            GatewayClock clock,
+            MonotonicClock clock,
             Settings settings,
             long seed,
             HostPool hosts,
@@ -245,7 +245,7 @@
         loop.schedule(
                 () -> {
                     if (!closed) {
-                        dispatch(new TimerFired(token, clock.heldUpNanos()));
+                        dispatch(new TimerFired(token, clock.queueingDelayNanos()));
                     }
                 },
                 delayNanos,
@@ -353,7 +353,7 @@
                             attempt.elapsed(at),
                             reply.isDone(),
                             load,
-                            clock.heldUpNanos()));
+                            clock.queueingDelayNanos()));
         }
 
         private void keep(Response answer) {
--- a/src/main/java/tinworks/net/Gateway.java
+++ b/src/main/java/tinworks/net/Gateway.java
@@ -37,7 +37,7 @@
 
     private final EventLoop loop;
     private final Consumer<String> log;
-    private final GatewayClock clock;
+    private final MonotonicClock clock;
     private final GatewayConfig config;
     private final Map<String, RequestClass> classes = new HashMap<>();
     private final CompletableFuture<Void> ended = new CompletableFuture<>();
--- a/src/main/java/tinworks/net/Server.java
+++ b/src/main/java/tinworks/net/GatewayProcess.java
@@ -13,7 +13,7 @@
 import tinworks.logging.LogWriter;
 
 /** The process round a {@link Gateway}: its thread, its start, its signals and its end. */
-public final class Server {
+public final class GatewayProcess {
     /** The platform kills no sooner than 3.7 s after it asked for an end, where a deadline is 3 s. */
     private static final long LONGEST_END_MILLIS = 3_600;
 
@@ -23,7 +23,7 @@
     private static final LogWriter OUTPUT =
             new LogWriter("output", () -> System.out, lines -> lines + " lines were dropped: nobody read the output\n");
 
-    private Server() {}
+    private GatewayProcess() {}
 
     private static void log(String line) {
         OUTPUT.write(line + "\n");
@@ -33,17 +33,18 @@
      * Starts the gateway that the environment describes and returns when it listens; it runs until the process is asked
      * to end. A bad environment or configuration is an {@link IllegalArgumentException}.
      */
-    public static void serve(Map<String, String> environment) {
+    public static void start(Map<String, String> environment) {
         // Guards against a search for logging libraries that aren't there, which costs a start as much as a list.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         CompletableFuture<Gateway> started = new CompletableFuture<>();
         onHangUp(() -> started.thenAccept(gateway -> reload(gateway, environment)));
         GatewayConfig config = GatewayConfig.read(environment);
         GatewayLoop loop = GatewayLoop.watched();
-        Gateway gateway = Gateway.open(loop, config, Transport.TCP, Server::log).join();
+        Gateway gateway =
+                Gateway.open(loop, config, Transport.TCP, GatewayProcess::log).join();
         started.complete(gateway);
         // While discovery thinks about its first answer.
-        Rehearsal.run(config, Rehearsal.LONGEST_MILLIS);
+        WarmUp.run(config, WarmUp.LONGEST_MILLIS);
         try {
             gateway.listen().join();
             Runtime.getRuntime().addShutdownHook(new Thread(() -> end(gateway, loop.loop())));
--- a/src/main/java/tinworks/net/HostPool.java
+++ b/src/main/java/tinworks/net/HostPool.java
@@ -84,7 +84,7 @@
     private static final int MOST_DIGITS = 6;
 
     private final EventLoop loop;
-    private final GatewayClock clock;
+    private final MonotonicClock clock;
     private final Bounds bounds;
     private final ByteBudget answers;
     private final ResponseClassifier dialect;
@@ -95,7 +95,7 @@
 
     /** A pool that knows no host yet, with room for all answers. */
     public HostPool(
-            EventLoop loop, Transport transport, GatewayClock clock, Bounds bounds, ResponseClassifier dialect) {
+            EventLoop loop, Transport transport, MonotonicClock clock, Bounds bounds, ResponseClassifier dialect) {
         this(loop, transport, clock, bounds, new ByteBudget(Long.MAX_VALUE), dialect);
     }
 
@@ -106,7 +106,7 @@
     public HostPool(
             EventLoop loop,
             Transport transport,
-            GatewayClock clock,
+            MonotonicClock clock,
             Bounds bounds,
             ByteBudget answers,
             ResponseClassifier dialect) {
--- a/src/main/java/tinworks/net/LoadReports.java
+++ b/src/main/java/tinworks/net/LoadReportParser.java
@@ -4,18 +4,18 @@
 import tinworks.policy.LoadBalancerApi.LoadReport;
 
 /** Reads a host's account of its load, as {@code tps=140,load_share=0.62,err_ps=0.5}. */
-final class LoadReports {
+final class LoadReportParser {
     /** No host does more of anything in a second, nor holds more. */
     private static final double MOST = 1e9;
 
-    private LoadReports() {}
+    private LoadReportParser() {}
 
     /**
      * The report, or null where there is none that can be read; it is advice, so nothing else depends on it. Guards
      * against believing figures that can't be: one that is no number, infinite, negative or absurd, and two reports in
      * one answer, leave none.
      */
-    static LoadReport read(List<String> headers) {
+    static LoadReport parse(List<String> headers) {
         if (headers.size() != 1) {
             return null;
         }
--- a/src/main/java/tinworks/net/GatewayClock.java
+++ b/src/main/java/tinworks/net/MonotonicClock.java
@@ -8,24 +8,24 @@
  * started, so its figures are this clock's own, and stay equal from one list to the next, which a conversion with two
  * clocks at each list would not grant.
  */
-public final class GatewayClock {
+public final class MonotonicClock {
     private final LongSupplier lag;
     private final long offset = TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis()) - System.nanoTime();
 
     /** A clock beside an event loop that nobody watches. */
-    public GatewayClock() {
+    public MonotonicClock() {
         this(() -> 0);
     }
 
     /**
      * A clock beside an event loop; {@code lag} tells how long what is told now may have waited there, in nanoseconds.
      */
-    public GatewayClock(LongSupplier lag) {
+    public MonotonicClock(LongSupplier lag) {
         this.lag = lag;
     }
 
     /** The most that what the network brings now can have lain unread; asked on the event loop. */
-    public long heldUpNanos() {
+    public long queueingDelayNanos() {
         return lag.getAsLong();
     }
 
--- a/src/main/java/tinworks/net/Transport.java
+++ b/src/main/java/tinworks/net/Transport.java
@@ -15,8 +15,9 @@
     public static final Transport TCP = new Transport(NioServerSocketChannel.class, NioSocketChannel.class);
 
     /** Sockets in the file system, which nothing outside this machine can reach. */
-    static final Transport FILES = new Transport(NioServerDomainSocketChannel.class, NioDomainSocketChannel.class);
+    static final Transport UNIX_DOMAIN =
+            new Transport(NioServerDomainSocketChannel.class, NioDomainSocketChannel.class);
 
     /** No sockets at all: both ends lie in this process, and its event loop has to be of the same kind. */
-    static final Transport MEMORY = new Transport(LocalServerChannel.class, LocalChannel.class);
+    static final Transport IN_MEMORY = new Transport(LocalServerChannel.class, LocalChannel.class);
 }
--- a/src/main/java/tinworks/net/Rehearsal.java
+++ b/src/main/java/tinworks/net/WarmUp.java
@@ -37,7 +37,7 @@
  * are answered late, and the module learns from these answers that all hosts are slow. Nothing of the rehearsal
  * outlives it, and no client or host ever sees it.
  */
-final class Rehearsal {
+final class WarmUp {
     /** Enough to meet nearly all code often; more would keep a gateway that starts anew out for longer. */
     private static final int REQUESTS = 400;
     /** Without sockets less can be warmed: enough to meet the code once, and clients are served the sooner. */
@@ -62,7 +62,7 @@
     private int asked;
     private int answered;
 
-    private Rehearsal(
+    private WarmUp(
             EventLoop loop,
             EventLoop farSides,
             GatewayConfig config,
@@ -73,7 +73,7 @@
         this.farSides = farSides;
         this.config = config;
         this.transport = transport;
-        requests = transport.equals(Transport.MEMORY) ? REQUESTS_IN_MEMORY : REQUESTS;
+        requests = transport.equals(Transport.IN_MEMORY) ? REQUESTS_IN_MEMORY : REQUESTS;
         this.stage = stage;
         this.hosts = hosts;
     }
@@ -115,7 +115,7 @@
                     config,
                     longestMillis,
                     NioIoHandler.newFactory(),
-                    Transport.FILES,
+                    Transport.UNIX_DOMAIN,
                     UnixDomainSocketAddress.of(folder.resolve("stage")),
                     UnixDomainSocketAddress.of(folder.resolve("hosts")));
         } finally {
@@ -132,7 +132,7 @@
                 config,
                 longestMillis,
                 LocalIoHandler.newFactory(),
-                Transport.MEMORY,
+                Transport.IN_MEMORY,
                 new LocalAddress("rehearsal-stage"),
                 new LocalAddress("rehearsal-hosts"));
     }
@@ -147,10 +147,10 @@
             throws InterruptedException, ExecutionException, TimeoutException {
         // In memory a write on one loop would be read within the call: the far sides have a loop of their own, and
         // as each tells the other of its end, neither may end at once.
-        boolean twoLoops = transport.equals(Transport.MEMORY);
+        boolean twoLoops = transport.equals(Transport.IN_MEMORY);
         ClosingEventLoopGroup group = new ClosingEventLoopGroup(twoLoops ? 2 : 1, io);
         try {
-            new Rehearsal(group.next(), group.next(), config, transport, stage, hosts)
+            new WarmUp(group.next(), group.next(), config, transport, stage, hosts)
                     .play()
                     .get(longestMillis, TimeUnit.MILLISECONDS);
             return true;
@@ -222,7 +222,7 @@
         }
     }
 
-    private final class Client extends FarSide {
+    private final class Client extends WarmUpPeer {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             ask(ctx);
@@ -241,16 +241,16 @@
             if (c.idempotency() == Idempotency.KEYED) {
                 head += "Idempotency-Key: rehearsal-" + asked + "\r\n";
             }
-            write(ctx, safe ? head : head + "Content-Length: " + BODY.length + "\r\n", safe ? NOTHING : BODY);
+            write(ctx, safe ? head : head + "Content-Length: " + BODY.length + "\r\n", safe ? EMPTY_BODY : BODY);
         }
 
         @Override
-        protected boolean isWhole(int first, int last, ByteBuf end) {
-            return isWholeAnswer(last, end);
+        protected boolean isComplete(int first, int last, ByteBuf end) {
+            return isCompleteResponse(last, end);
         }
 
         @Override
-        protected void came(ChannelHandlerContext ctx) {
+        protected void messageReceived(ChannelHandlerContext ctx) {
             if (++answered < requests) {
                 ask(ctx);
             } else {
@@ -260,7 +260,7 @@
     }
 
     /** Serves nearly all, and shows the gateway the other ends that an attempt can have. */
-    private static final class Host extends FarSide {
+    private static final class Host extends WarmUpPeer {
         private static final int FULL_EVERY = 37;
         private static final int ERROR_EVERY = 53;
         private static final String REST = "Content-Length: " + BODY.length + "\r\nX-Server-Load: tps=";
@@ -268,12 +268,12 @@
         private int requests;
 
         @Override
-        protected boolean isWhole(int first, int last, ByteBuf end) {
-            return isWholeRequest(first, last);
+        protected boolean isComplete(int first, int last, ByteBuf end) {
+            return isCompleteRequest(first, last);
         }
 
         @Override
-        protected void came(ChannelHandlerContext ctx) {
+        protected void messageReceived(ChannelHandlerContext ctx) {
             requests++;
             boolean full = requests % FULL_EVERY == 0;
             String status = full
--- a/src/main/java/tinworks/net/FarSide.java
+++ b/src/main/java/tinworks/net/WarmUpPeer.java
@@ -10,13 +10,13 @@
  * A client or a host of a rehearsal. Far sides know each other's words and so need no codec, whose own warming would
  * only cost time: what they send ends in a mark, and nothing follows before it has its answer.
  */
-public abstract class FarSide extends SimpleChannelInboundHandler<ByteBuf> {
+public abstract class WarmUpPeer extends SimpleChannelInboundHandler<ByteBuf> {
     /** Ends a body, and stands nowhere else in one: a read may end anywhere. */
-    protected static final int MARK = 0;
+    protected static final int TERMINATOR = 0;
     /** A body. */
-    protected static final byte[] BODY = (".".repeat(600) + (char) MARK).getBytes(StandardCharsets.US_ASCII);
+    protected static final byte[] BODY = (".".repeat(600) + (char) TERMINATOR).getBytes(StandardCharsets.US_ASCII);
     /** No body. */
-    protected static final byte[] NOTHING = {};
+    protected static final byte[] EMPTY_BODY = {};
 
     private static final int NONE = -1;
 
@@ -29,30 +29,30 @@
         }
         first = first == NONE ? bytes.getByte(bytes.readerIndex()) : first;
         int last = bytes.getByte(bytes.writerIndex() - 1);
-        if (isWhole(first, last, bytes)) {
+        if (isComplete(first, last, bytes)) {
             first = NONE;
-            came(ctx);
+            messageReceived(ctx);
         }
     }
 
     /** Whether a message that began with one byte and ends, so far, with another is whole. */
-    protected abstract boolean isWhole(int firstByte, int lastByte, ByteBuf end);
+    protected abstract boolean isComplete(int firstByte, int lastByte, ByteBuf end);
 
     /** A whole message has come. */
-    protected abstract void came(ChannelHandlerContext ctx);
+    protected abstract void messageReceived(ChannelHandlerContext ctx);
 
     /**
      * Whether an answer is whole: a host's body ends in the mark, a gateway's own line in a bare line feed, which no
      * head does.
      */
-    protected static boolean isWholeAnswer(int last, ByteBuf end) {
-        int ahead = end.readableBytes() < 2 ? MARK : end.getByte(end.writerIndex() - 2);
-        return last == MARK || (last == '\n' && ahead != '\r');
+    protected static boolean isCompleteResponse(int last, ByteBuf end) {
+        int ahead = end.readableBytes() < 2 ? TERMINATOR : end.getByte(end.writerIndex() - 2);
+        return last == TERMINATOR || (last == '\n' && ahead != '\r');
     }
 
     /** Whether a request is whole: a POST has a body, which ends in the mark; a GET ends with its head. */
-    protected static boolean isWholeRequest(int first, int last) {
-        return last == (first == 'P' ? MARK : '\n');
+    protected static boolean isCompleteRequest(int first, int last) {
+        return last == (first == 'P' ? TERMINATOR : '\n');
     }
 
     /** Writes a head, without the empty line at its end, and a body. */
--- a/src/main/java/tinworks/node/NodeProcess.java
+++ b/src/main/java/tinworks/node/NodeProcess.java
@@ -18,8 +18,8 @@
 import org.slf4j.event.Level;
 import tinworks.logging.Fatal;
 import tinworks.logging.JsonLog;
-import tinworks.net.GatewayClock;
 import tinworks.net.LoopLag;
+import tinworks.net.MonotonicClock;
 
 /** A process of the system: its settings and their changes, its event loop, its signals. */
 public final class NodeProcess {
@@ -86,8 +86,8 @@
     }
 
     /** A clock that knows how far the event loop is behind. */
-    public GatewayClock clock() {
-        return new GatewayClock(lag::nanos);
+    public MonotonicClock clock() {
+        return new MonotonicClock(lag::nanos);
     }
 
     /** Does something on the event loop and waits for what comes of it. */
--- a/src/main/java/tinworks/platform/HostPoller.java
+++ b/src/main/java/tinworks/platform/HostPoller.java
@@ -20,10 +20,10 @@
 import java.util.function.Consumer;
 import tinworks.channel.HostList.Host;
 import tinworks.json.Json;
-import tinworks.net.GatewayClock;
 import tinworks.net.HostPool;
 import tinworks.net.HostPool.HostEntry;
 import tinworks.net.HostPool.Response;
+import tinworks.net.MonotonicClock;
 import tinworks.net.Transport;
 import tinworks.policy.LoadBalancerApi.LoadReport;
 import tinworks.policy.LoadBalancerApi.Outcome;
@@ -45,7 +45,7 @@
     private final Consumer<List<Host>> listener;
     private final Consumer<String> log;
     private final HostPool pool;
-    private final GatewayClock clock;
+    private final MonotonicClock clock;
     private final SplittableRandom random;
     private InetSocketAddress address;
     private long moves = 1;
@@ -58,7 +58,7 @@
     /** A poller that is off; the listener is told of each whole list, in the order of the hosts' ids. */
     public HostPoller(
             EventLoop loop,
-            GatewayClock clock,
+            MonotonicClock clock,
             InetSocketAddress address,
             long seed,
             Consumer<List<Host>> listener,
--- a/src/main/java/tinworks/standin/StandInHost.java
+++ b/src/main/java/tinworks/standin/StandInHost.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import tinworks.net.ClientServer;
 import tinworks.net.ClientServer.Reply;
-import tinworks.net.GatewayClock;
+import tinworks.net.MonotonicClock;
 import tinworks.net.Transport;
 
 /**
@@ -76,7 +76,7 @@
         server = new ClientServer(
                 loop,
                 Transport.TCP,
-                new GatewayClock(),
+                new MonotonicClock(),
                 new ClientServer.Bounds(
                         CONNECTIONS,
                         TimeUnit.SECONDS.toNanos(ARRIVAL_SECONDS),
--- a/src/main/java/tinworks/standin/StandInPlatform.java
+++ b/src/main/java/tinworks/standin/StandInPlatform.java
@@ -18,7 +18,7 @@
 import tinworks.net.ClientServer;
 import tinworks.net.ClientServer.BadRequest;
 import tinworks.net.ClientServer.Reply;
-import tinworks.net.GatewayClock;
+import tinworks.net.MonotonicClock;
 import tinworks.net.Transport;
 
 /**
@@ -68,7 +68,7 @@
         server = new ClientServer(
                 loop,
                 Transport.TCP,
-                new GatewayClock(),
+                new MonotonicClock(),
                 new ClientServer.Bounds(
                         CONNECTIONS,
                         TimeUnit.SECONDS.toNanos(2),
--- a/src/test/java/tinworks/edge/EdgeFixture.java
+++ b/src/test/java/tinworks/edge/EdgeFixture.java
@@ -25,9 +25,9 @@
 import tinworks.net.ClientServer;
 import tinworks.net.ClosingEventLoopGroup;
 import tinworks.net.Forwarding;
-import tinworks.net.GatewayClock;
 import tinworks.net.HostPool;
 import tinworks.net.LoopLag;
+import tinworks.net.MonotonicClock;
 import tinworks.net.Transport;
 import tinworks.node.NodeProcess;
 import tinworks.policy.LoadBalancerApi.Event;
@@ -49,7 +49,7 @@
     private final LoopLag lag = new LoopLag();
     final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, lag);
     final EventLoop loop = group.next();
-    final GatewayClock clock;
+    final MonotonicClock clock;
     final HostPool pool;
     final ClientServer clients;
     private final EdgeProtocol protocol;
@@ -67,7 +67,7 @@
     /** A fixture whose clock does or does not know the lag of the event loop. */
     EdgeFixture(EdgeProtocol protocol, boolean measuresLag) {
         this.protocol = protocol;
-        clock = measuresLag ? new GatewayClock(lag::nanos) : new GatewayClock();
+        clock = measuresLag ? new MonotonicClock(lag::nanos) : new MonotonicClock();
         pool = new HostPool(
                 loop,
                 Transport.TCP,
--- a/src/test/java/tinworks/edge/EdgeWarmUpTest.java
+++ b/src/test/java/tinworks/edge/EdgeWarmUpTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import tinworks.net.ClosingEventLoopGroup;
-import tinworks.net.GatewayClock;
+import tinworks.net.MonotonicClock;
 import tinworks.node.NodeProcess;
 
 /** The warm-up of an edge: it sends requests through the edge's components, and ends when a client connects. */
@@ -28,7 +28,7 @@
     private EdgeWarmUp.Result warmUp(boolean clientPresent) {
         CompletableFuture<EdgeWarmUp.Result> result = new CompletableFuture<>();
         NodeProcess.run(
-                loop, () -> new EdgeWarmUp(loop, new GatewayClock(), () -> clientPresent, result::complete).start());
+                loop, () -> new EdgeWarmUp(loop, new MonotonicClock(), () -> clientPresent, result::complete).start());
         return result.join();
     }
 
--- a/src/test/java/tinworks/edge/GracefulShutdownTest.java
+++ b/src/test/java/tinworks/edge/GracefulShutdownTest.java
@@ -36,7 +36,7 @@
 import tinworks.edge.EdgeFixture.Message;
 import tinworks.local.FreePorts;
 import tinworks.net.ClosingEventLoopGroup;
-import tinworks.net.GatewayClock;
+import tinworks.net.MonotonicClock;
 import tinworks.net.ScriptedHost;
 import tinworks.node.BootSettings;
 import tinworks.node.NodeProcess;
@@ -117,10 +117,10 @@
 
     /** A running edge with {@link #HOSTS} hosts at one address, which serves requests. */
     private EdgeNode startServingEdge(List<Integer> ports, ScriptedHost host) throws Exception {
-        return startServingEdge(ports, host, new GatewayClock());
+        return startServingEdge(ports, host, new MonotonicClock());
     }
 
-    private EdgeNode startServingEdge(List<Integer> ports, ScriptedHost host, GatewayClock clock) throws Exception {
+    private EdgeNode startServingEdge(List<Integer> ports, ScriptedHost host, MonotonicClock clock) throws Exception {
         BootSettings settings = new BootSettings(
                 "e",
                 "z",
@@ -232,8 +232,8 @@
     void noRequestIsCutShortForAQueueingDelayItMayNotHaveHad() throws Exception {
         List<Integer> ports = FreePorts.at("127.0.0.1", 4);
         try (ScriptedHost host = new ScriptedHost(this::handle)) {
-            EdgeNode edge =
-                    startServingEdge(ports, host, new GatewayClock(() -> TimeUnit.MILLISECONDS.toNanos(TARGET_MILLIS)));
+            EdgeNode edge = startServingEdge(
+                    ports, host, new MonotonicClock(() -> TimeUnit.MILLISECONDS.toNanos(TARGET_MILLIS)));
             NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
             for (String route : List.of("i", "m")) {
                 try (Client client = new Client(ports.get(0))) {
--- a/src/test/java/tinworks/edge/PlannedMaintenanceTest.java
+++ b/src/test/java/tinworks/edge/PlannedMaintenanceTest.java
@@ -35,7 +35,7 @@
 import tinworks.edge.EdgeFixture.Client;
 import tinworks.edge.EdgeFixture.Message;
 import tinworks.local.FreePorts;
-import tinworks.net.GatewayClock;
+import tinworks.net.MonotonicClock;
 import tinworks.net.ScriptedHost;
 import tinworks.node.BootSettings;
 import tinworks.node.NodeProcess;
@@ -77,7 +77,7 @@
         List<Integer> ports = FreePorts.at("127.0.0.1", 4);
         port = ports.get(0);
         settings = settings(ports, GRACE_MILLIS);
-        edge = NodeProcess.call(loop, () -> new EdgeNode(loop, new GatewayClock(), settings, 7));
+        edge = NodeProcess.call(loop, () -> new EdgeNode(loop, new MonotonicClock(), settings, 7));
         for (ChannelFuture bound : NodeProcess.call(loop, edge::start)) {
             bound.syncUninterruptibly();
         }
--- a/src/test/java/tinworks/edge/StrayAnswersTest.java
+++ b/src/test/java/tinworks/edge/StrayAnswersTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import tinworks.net.ClosingEventLoopGroup;
-import tinworks.net.GatewayClock;
 import tinworks.net.HostPool;
+import tinworks.net.MonotonicClock;
 import tinworks.net.ScriptedHost;
 import tinworks.net.Transport;
 import tinworks.policy.LoadBalancerApi.Outcome;
@@ -40,7 +40,7 @@
     private final HostPool pool = new HostPool(
             loop,
             Transport.TCP,
-            new GatewayClock(),
+            new MonotonicClock(),
             new HostPool.Bounds(LONG_NANOS, LONG_NANOS, 8, 1 << 16),
             new EdgeProtocol(1));
 
--- a/src/test/java/tinworks/edge/UnreadableHostTest.java
+++ b/src/test/java/tinworks/edge/UnreadableHostTest.java
@@ -13,7 +13,7 @@
 import tinworks.channel.HostList.Host;
 import tinworks.channel.HostListVersion;
 import tinworks.net.ClosingEventLoopGroup;
-import tinworks.net.GatewayClock;
+import tinworks.net.MonotonicClock;
 import tinworks.node.BootSettings;
 import tinworks.node.NodeProcess;
 
@@ -28,7 +28,7 @@
         BootSettings settings = new BootSettings(
                 "edge", "z", any, any, null, any, List.of("127.0.0.1:1"), false, 1_000, null, 1, 6_000, any);
         try {
-            EdgeNode edge = NodeProcess.call(loop, () -> new EdgeNode(loop, new GatewayClock(), settings, 1));
+            EdgeNode edge = NodeProcess.call(loop, () -> new EdgeNode(loop, new MonotonicClock(), settings, 1));
             Host unreadable = new Host("h-1", "s", "starting", "z", 4, false, 0);
             Host sound = new Host("h-2", "s", "127.0.0.1:8080", "z", 4, false, 0);
             HostList list = new HostList(new HostListVersion(1, 1), List.of(unreadable, sound));
--- a/src/test/java/tinworks/edge/UnusedServicesTest.java
+++ b/src/test/java/tinworks/edge/UnusedServicesTest.java
@@ -19,7 +19,7 @@
 import tinworks.config.Configuration.Service;
 import tinworks.config.Configuration.Split;
 import tinworks.net.ClosingEventLoopGroup;
-import tinworks.net.GatewayClock;
+import tinworks.net.MonotonicClock;
 import tinworks.node.BootSettings;
 import tinworks.node.NodeProcess;
 
@@ -48,7 +48,7 @@
         BootSettings settings = new BootSettings(
                 "edge", "z", any, any, null, any, List.of("127.0.0.1:1"), false, 1_000, null, 1, 6_000, any);
         try {
-            EdgeNode edge = NodeProcess.call(loop, () -> new EdgeNode(loop, new GatewayClock(), settings, 1));
+            EdgeNode edge = NodeProcess.call(loop, () -> new EdgeNode(loop, new MonotonicClock(), settings, 1));
             NodeProcess.run(loop, edge::start);
             for (int rev = 1; rev <= VERSIONS; rev++) {
                 ConfigurationBody body = new ConfigurationBody(rev, version(rev));
--- a/src/test/java/tinworks/load/LoadClientsTest.java
+++ b/src/test/java/tinworks/load/LoadClientsTest.java
@@ -21,7 +21,7 @@
 import tinworks.net.ClientServer;
 import tinworks.net.ClientServer.Reply;
 import tinworks.net.ClosingEventLoopGroup;
-import tinworks.net.GatewayClock;
+import tinworks.net.MonotonicClock;
 import tinworks.net.Transport;
 import tinworks.node.NodeProcess;
 
@@ -47,7 +47,7 @@
                 () -> new ClientServer(
                         loop,
                         Transport.TCP,
-                        new GatewayClock(),
+                        new MonotonicClock(),
                         new ClientServer.Bounds(
                                 500, TimeUnit.SECONDS.toNanos(5), TimeUnit.SECONDS.toNanos(5), 8_192, 8_192, "/-/none"),
                         new ClientServer.Listener() {
--- a/src/test/java/tinworks/net/AnswersTest.java
+++ b/src/test/java/tinworks/net/AnswersTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static tinworks.net.GatewayFixture.LONG_MILLIS;
+import static tinworks.net.GatewayFixture.LONG_TIMEOUT_MILLIS;
 import static tinworks.net.GatewayFixture.await;
 import static tinworks.net.GatewayFixture.status;
 import static tinworks.net.GatewayFixture.submit;
@@ -47,8 +47,8 @@
             })
     void aSpoiltAnswerFailsItsAttemptAndEndsTheConnection(String bytes) throws Exception {
         try (ScriptedHost host = new ScriptedHost(sends(bytes));
-                GatewayFixture f = GatewayFixture.knowing(host)) {
-            Message answer = f.client().ask(submit("r", LONG_MILLIS, "x"));
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
+            Message answer = f.client().exchange(submit("r", LONG_TIMEOUT_MILLIS, "x"));
             assertTrue(answer.firstLine().contains(" 502 "), answer.firstLine());
             assertEquals(1, host.requests.size(), "it may have run");
             await("the close", () -> host.connections.get(0).isClosed());
@@ -71,8 +71,8 @@
                         ScriptedHost.write(socket, parts[1]);
                     }
                 });
-                GatewayFixture f = GatewayFixture.knowing(host)) {
-            Message answer = f.client().ask(submit("r", LONG_MILLIS, "x"));
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
+            Message answer = f.client().exchange(submit("r", LONG_TIMEOUT_MILLIS, "x"));
             assertTrue(answer.firstLine().contains(" 502 "), answer.firstLine());
             await("the close", () -> host.connections.get(0).isClosed());
         }
@@ -90,11 +90,15 @@
             })
     void aGoodAnswerWithMoreBehindItIsServedAndItsConnectionNotUsedAgain(String more) throws Exception {
         try (ScriptedHost host = new ScriptedHost(sends(FINE + more));
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
-            assertEquals("fine", client.ask(submit("r1", LONG_MILLIS, "x")).body());
+            assertEquals(
+                    "fine",
+                    client.exchange(submit("r1", LONG_TIMEOUT_MILLIS, "x")).body());
             host.script(ScriptedHost.reply("200 OK", "second"));
-            assertEquals("second", client.ask(submit("r2", LONG_MILLIS, "x")).body());
+            assertEquals(
+                    "second",
+                    client.exchange(submit("r2", LONG_TIMEOUT_MILLIS, "x")).body());
             assertEquals(2, host.connections.size());
         }
     }
@@ -102,13 +106,17 @@
     @Test
     void bytesOnAnIdleConnectionEndIt() throws Exception {
         try (ScriptedHost host = new ScriptedHost(sends(FINE));
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
-            assertEquals("fine", client.ask(submit("r1", LONG_MILLIS, "x")).body());
+            assertEquals(
+                    "fine",
+                    client.exchange(submit("r1", LONG_TIMEOUT_MILLIS, "x")).body());
             Socket kept = host.connections.get(0);
             ScriptedHost.write(kept, "late noise without a line's end");
             await("the close", () -> closed(kept));
-            assertEquals("fine", client.ask(submit("r2", LONG_MILLIS, "x")).body());
+            assertEquals(
+                    "fine",
+                    client.exchange(submit("r2", LONG_TIMEOUT_MILLIS, "x")).body());
             assertEquals(2, host.connections.size());
         }
     }
@@ -126,10 +134,14 @@
     void whatComesAheadOfAnAnswerIsSkippedAndTheConnectionKept() throws Exception {
         String ahead = "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n";
         try (ScriptedHost host = new ScriptedHost(sends(ahead + FINE));
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
-            assertEquals("fine", client.ask(submit("r1", LONG_MILLIS, "x")).body());
-            assertEquals("fine", client.ask(submit("r2", LONG_MILLIS, "x")).body());
+            assertEquals(
+                    "fine",
+                    client.exchange(submit("r1", LONG_TIMEOUT_MILLIS, "x")).body());
+            assertEquals(
+                    "fine",
+                    client.exchange(submit("r2", LONG_TIMEOUT_MILLIS, "x")).body());
             assertEquals(1, host.connections.size());
         }
     }
@@ -145,10 +157,12 @@
                         socket.getOutputStream().write(bytes, i, Math.min(777, bytes.length - i));
                     }
                 });
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
-            assertEquals(body, client.ask(status("r1", LONG_MILLIS)).body());
-            assertEquals(body, client.ask(status("r2", LONG_MILLIS)).body());
+            assertEquals(
+                    body, client.exchange(status("r1", LONG_TIMEOUT_MILLIS)).body());
+            assertEquals(
+                    body, client.exchange(status("r2", LONG_TIMEOUT_MILLIS)).body());
         }
     }
 
@@ -166,17 +180,19 @@
                 "tps=1,load_share"
             })
     void aReportThatCannotBeReadIsNone(String report) {
-        assertNull(LoadReports.read(List.of(report)));
+        assertNull(LoadReportParser.parse(List.of(report)));
     }
 
     @Test
     void aReportIsReadByEitherNameAndTwoAreNone() {
         assertEquals(
-                LoadReports.read(List.of("qps=140,util=0.62,eps=0.5")),
-                LoadReports.read(List.of("tps=140,load_share=0.62,err_ps=0.5")));
-        assertEquals(0.62, LoadReports.read(List.of("tps=140, load_share=0.62")).utilisation());
-        assertNotNull(LoadReports.read(List.of("other=3")));
-        assertNull(LoadReports.read(List.of("tps=1", "tps=2")));
-        assertNull(LoadReports.read(List.of()));
+                LoadReportParser.parse(List.of("qps=140,util=0.62,eps=0.5")),
+                LoadReportParser.parse(List.of("tps=140,load_share=0.62,err_ps=0.5")));
+        assertEquals(
+                0.62,
+                LoadReportParser.parse(List.of("tps=140, load_share=0.62")).utilisation());
+        assertNotNull(LoadReportParser.parse(List.of("other=3")));
+        assertNull(LoadReportParser.parse(List.of("tps=1", "tps=2")));
+        assertNull(LoadReportParser.parse(List.of()));
     }
 }
--- a/src/test/java/tinworks/net/ArrivalTest.java
+++ b/src/test/java/tinworks/net/ArrivalTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static tinworks.net.GatewayFixture.LONG_MILLIS;
-import static tinworks.net.GatewayFixture.PATIENCE_MILLIS;
+import static tinworks.net.GatewayFixture.AWAIT_TIMEOUT_MILLIS;
+import static tinworks.net.GatewayFixture.LONG_TIMEOUT_MILLIS;
 import static tinworks.net.GatewayFixture.entry;
 import static tinworks.net.GatewayFixture.list;
 import static tinworks.net.GatewayFixture.status;
@@ -39,22 +39,30 @@
                         80)) {
             Client first = f.client();
             for (int i = 0; i < 3; i++) {
-                assertNull(f.client().ask(status("r" + i, LONG_MILLIS)).header("Connection"));
+                assertNull(f.client()
+                        .exchange(status("r" + i, LONG_TIMEOUT_MILLIS))
+                        .header("Connection"));
             }
-            assertNull(first.ask(status("first", LONG_MILLIS)).header("Connection"));
+            assertNull(first.exchange(status("first", LONG_TIMEOUT_MILLIS)).header("Connection"));
             Client oneMore = f.client();
-            assertEquals("close", oneMore.ask(status("more", LONG_MILLIS)).header("Connection"));
+            assertEquals(
+                    "close",
+                    oneMore.exchange(status("more", LONG_TIMEOUT_MILLIS)).header("Connection"));
             assertNull(oneMore.read());
-            assertTrue(first.ask(status("again", LONG_MILLIS)).firstLine().contains(" 200 "), "it still has its place");
+            assertTrue(
+                    first.exchange(status("again", LONG_TIMEOUT_MILLIS))
+                            .firstLine()
+                            .contains(" 200 "),
+                    "it still has its place");
         }
     }
 
     @Test
     void aProbeOfReadinessKeepsNoPlace() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client probe = f.client();
-            assertTrue(probe.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            assertTrue(probe.exchange("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
                     .firstLine()
                     .contains(" 200 "));
             assertNull(probe.read());
@@ -64,7 +72,7 @@
     @Test
     void aSilentConnectionIsClosed() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             assertNull(f.client().read());
         }
     }
@@ -78,12 +86,12 @@
             })
     void aRequestThatGrowsByteByByteIsGivenUp(String beginning) throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
             client.socket.setSoTimeout(20);
             client.write(beginning);
             Message answer = null;
-            for (long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MILLIS); answer == null; ) {
+            for (long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_TIMEOUT_MILLIS); answer == null; ) {
                 assertTrue(System.nanoTime() < end, "each byte renews the limit");
                 try {
                     answer = client.read();
@@ -92,7 +100,7 @@
                 }
             }
             assertTrue(answer.firstLine().contains(" 408 "), answer.firstLine());
-            client.socket.setSoTimeout(PATIENCE_MILLIS);
+            client.socket.setSoTimeout(AWAIT_TIMEOUT_MILLIS);
             assertNull(client.read());
             assertEquals(0, host.requests.size());
         }
@@ -102,9 +110,10 @@
     @Test
     void aRequestThatStopsAtTheEndOfALineIsGivenUp() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
-            assertEquals("fine", client.ask(status("r", LONG_MILLIS)).body());
+            assertEquals(
+                    "fine", client.exchange(status("r", LONG_TIMEOUT_MILLIS)).body());
             client.write("GET /status/7 HTTP/1.1\r\nHost: x\r\n");
             assertTrue(client.read().firstLine().contains(" 408 "));
             assertNull(client.read());
@@ -123,10 +132,10 @@
         String[] parts = statusAndRequest.split("\\|");
         CompletableFuture<Socket> held = new CompletableFuture<>();
         try (ScriptedHost host = new ScriptedHost((socket, request) -> held.complete(socket));
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
-            client.write(submit("a", LONG_MILLIS, "x") + parts[1]);
-            SERVES.answer(held.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), null);
+            client.write(submit("a", LONG_TIMEOUT_MILLIS, "x") + parts[1]);
+            SERVES.answer(held.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), null);
             assertEquals("fine", client.read().body());
             assertTrue(client.read().firstLine().contains(" " + parts[0] + " "));
             assertNull(client.read());
@@ -149,8 +158,8 @@
             })
     void aRequestWithTwoReadingsIsRefused(String request) throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
-                GatewayFixture f = GatewayFixture.knowing(host)) {
-            Message answer = f.client().ask(request.replaceFirst("\r\n", "\r\n" + HEAD));
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
+            Message answer = f.client().exchange(request.replaceFirst("\r\n", "\r\n" + HEAD));
             assertTrue(answer.firstLine().matches("HTTP/1.1 4\\d\\d .*"), answer.firstLine());
             assertEquals(0, host.requests.size(), "it goes to no host");
         }
@@ -167,13 +176,17 @@
                         60_000_000_000L,
                         80)) {
             Client good = f.client();
-            assertEquals("fine", good.ask(status("r1", LONG_MILLIS)).body());
+            assertEquals(
+                    "fine", good.exchange(status("r1", LONG_TIMEOUT_MILLIS)).body());
             Client firstSilent = f.client();
             for (int i = 0; i < 20; i++) {
                 f.client();
             }
             assertNull(firstSilent.read());
-            assertEquals("fine", good.ask(status("r2", LONG_MILLIS)).body(), "the good client's connection is kept");
+            assertEquals(
+                    "fine",
+                    good.exchange(status("r2", LONG_TIMEOUT_MILLIS)).body(),
+                    "the good client's connection is kept");
         }
     }
 
@@ -181,7 +194,7 @@
     @Test
     void aRequestSentAheadHasItsTimeFromItsLastByte() throws Exception {
         try (ScriptedHost host = new ScriptedHost((socket, request) -> {});
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
             client.write(submit("a", 1000, "x") + submit("b", 900, "x"));
             assertTrue(client.read().firstLine().contains(" 502 "));
--- a/src/test/java/tinworks/net/BodiesTest.java
+++ b/src/test/java/tinworks/net/BodiesTest.java
@@ -66,7 +66,7 @@
                 () -> new ClientServer(
                         loop,
                         Transport.TCP,
-                        new GatewayClock(),
+                        new MonotonicClock(),
                         new ClientServer.Bounds(50, TimeUnit.SECONDS.toNanos(20), 0, 8_192, LONGEST, "/ready"),
                         budget,
                         heads,
--- a/src/test/java/tinworks/net/ClosingEventLoopGroupTest.java
+++ b/src/test/java/tinworks/net/ClosingEventLoopGroupTest.java
@@ -41,7 +41,7 @@
                     .channel());
         }
         group.next().execute(() -> group.shutdownGracefully(0, 1, TimeUnit.SECONDS));
-        assertTrue(group.terminationFuture().awaitUninterruptibly(GatewayFixture.PATIENCE_MILLIS));
+        assertTrue(group.terminationFuture().awaitUninterruptibly(GatewayFixture.AWAIT_TIMEOUT_MILLIS));
         return channels.stream().filter(Channel::isOpen).count();
     }
 
@@ -61,7 +61,7 @@
         MultiThreadIoEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
         bindAgainAndAgain(group);
         group.next().execute(() -> group.shutdownGracefully(0, 1, TimeUnit.SECONDS));
-        assertTrue(group.terminationFuture().awaitUninterruptibly(GatewayFixture.PATIENCE_MILLIS));
+        assertTrue(group.terminationFuture().awaitUninterruptibly(GatewayFixture.AWAIT_TIMEOUT_MILLIS));
         assertTrue(group.isTerminated());
     }
 
--- a/src/test/java/tinworks/net/DiscoveryTest.java
+++ b/src/test/java/tinworks/net/DiscoveryTest.java
@@ -22,7 +22,7 @@
 
     @AfterEach
     void stop() throws InterruptedException {
-        loop.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await(GatewayFixture.PATIENCE_MILLIS);
+        loop.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).await(GatewayFixture.AWAIT_TIMEOUT_MILLIS);
     }
 
     private Discovery watch(ScriptedHost server) {
@@ -42,7 +42,7 @@
     }
 
     private String next() throws InterruptedException {
-        return told.poll(GatewayFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+        return told.poll(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** A machine that vanished leaves its connections open and says nothing. */
@@ -115,9 +115,9 @@
         try (ScriptedHost server = GatewayFixture.quietDiscovery()) {
             Gateway gateway = Gateway.open(
                             watched, GatewayConfig.read(config, anywhere, server.address()), Transport.TCP, line -> {})
-                    .get(GatewayFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+                    .get(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             GatewayFixture.await("the watch", () -> server.requests.size() == 1);
-            gateway.listen().get(GatewayFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+            gateway.listen().get(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             try (Socket client = new Socket("127.0.0.1", gateway.address().getPort())) {
                 ScriptedHost.write(client, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
                 assertTrue(ScriptedHost.Message.read(client.getInputStream())
@@ -135,7 +135,7 @@
         try (ScriptedHost silent = new ScriptedHost((socket, request) -> {})) {
             Gateway gateway = Gateway.start(
                             watched, GatewayConfig.read(config, anywhere, silent.address()), Transport.TCP, line -> {})
-                    .get(GatewayFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+                    .get(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             try (Socket client = new Socket("127.0.0.1", gateway.address().getPort())) {
                 ScriptedHost.write(client, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
                 return ScriptedHost.Message.read(client.getInputStream()).firstLine();
--- a/src/test/java/tinworks/net/GatewayFixture.java
+++ b/src/test/java/tinworks/net/GatewayFixture.java
@@ -19,9 +19,9 @@
 
 /** A gateway on a free loopback port, its discovery, and clients for it. */
 final class GatewayFixture implements AutoCloseable {
-    static final int PATIENCE_MILLIS = 10_000;
+    static final int AWAIT_TIMEOUT_MILLIS = 10_000;
     /** Long enough that no time-out ends anything in a test that isn't about time-outs. */
-    static final int LONG_MILLIS = 20_000;
+    static final int LONG_TIMEOUT_MILLIS = 20_000;
 
     static final String SETTINGS = """
             {"group_size":1,"my_number":0,"zone":"a","discovery":"subscribe","resolution_ns":1000000,
@@ -39,7 +39,7 @@
     private final InetSocketAddress address;
 
     /** A gateway that knows these hosts, all up for long, and whose discovery has nothing to add. */
-    static GatewayFixture knowing(ScriptedHost... hosts) throws Exception {
+    static GatewayFixture withHosts(ScriptedHost... hosts) throws Exception {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < hosts.length; i++) {
             entries.add(entry("s-" + i, hosts[i], "up", 0));
@@ -63,7 +63,7 @@
                                 Json.read(config), new InetSocketAddress("127.0.0.1", 0), discovery.address()),
                         Transport.TCP,
                         System.out::println)
-                .get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+                .get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         address = gateway.address();
         await("ready", () -> get("/ready").firstLine().contains(" 200 "));
     }
@@ -95,7 +95,7 @@
     }
 
     static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MILLIS);
+        long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(AWAIT_TIMEOUT_MILLIS);
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < end, "not in time: " + what);
             Thread.sleep(2);
@@ -104,7 +104,7 @@
 
     Client client() throws IOException {
         Socket socket = new Socket(address.getAddress(), address.getPort());
-        socket.setSoTimeout(PATIENCE_MILLIS);
+        socket.setSoTimeout(AWAIT_TIMEOUT_MILLIS);
         clients.add(socket);
         return new Client(socket);
     }
@@ -122,7 +122,7 @@
     /** An answer on a connection of its own. */
     Message get(String path) {
         try {
-            return client().ask("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
+            return client().exchange("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n");
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -157,7 +157,7 @@
             return Message.read(in);
         }
 
-        Message ask(String request) throws IOException {
+        Message exchange(String request) throws IOException {
             write(request);
             return read();
         }
@@ -169,6 +169,6 @@
             socket.close();
         }
         ownDiscovery.close();
-        loop.loop().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).awaitUninterruptibly(PATIENCE_MILLIS);
+        loop.loop().shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).awaitUninterruptibly(AWAIT_TIMEOUT_MILLIS);
     }
 }
--- a/src/test/java/tinworks/net/GatewayTest.java
+++ b/src/test/java/tinworks/net/GatewayTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static tinworks.net.GatewayFixture.LONG_MILLIS;
-import static tinworks.net.GatewayFixture.PATIENCE_MILLIS;
+import static tinworks.net.GatewayFixture.AWAIT_TIMEOUT_MILLIS;
+import static tinworks.net.GatewayFixture.LONG_TIMEOUT_MILLIS;
 import static tinworks.net.GatewayFixture.await;
 import static tinworks.net.GatewayFixture.entry;
 import static tinworks.net.GatewayFixture.line;
@@ -34,10 +34,10 @@
     @Test
     void passesRequestAndAnswerUnchangedOnOneConnection() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
-            Message first = client.ask(submit("r1", LONG_MILLIS, "12 MWh"));
-            Message second = client.ask(status("r2", LONG_MILLIS));
+            Message first = client.exchange(submit("r1", LONG_TIMEOUT_MILLIS, "12 MWh"));
+            Message second = client.exchange(status("r2", LONG_TIMEOUT_MILLIS));
             assertTrue(first.firstLine().contains(" 200 ") && second.firstLine().contains(" 200 "));
             assertEquals("fine", first.body());
             Message sent = host.requests.get(0);
@@ -63,11 +63,14 @@
             })
     void answersMalformedInputWith4xxAndServesOthers(String bad) throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
-                GatewayFixture f = GatewayFixture.knowing(host)) {
-            String line = f.client().ask(bad).firstLine();
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
+            String line = f.client().exchange(bad).firstLine();
             assertTrue(line.startsWith("HTTP/1.1 4"), line);
             assertEquals(0, host.requests.size(), "a malformed request goes to no host");
-            assertTrue(f.client().ask(status("good", LONG_MILLIS)).firstLine().contains(" 200 "));
+            assertTrue(f.client()
+                    .exchange(status("good", LONG_TIMEOUT_MILLIS))
+                    .firstLine()
+                    .contains(" 200 "));
         }
     }
 
@@ -75,12 +78,14 @@
     void turnsAwayAnIdThatIsOpenAndServesTheFirst() throws Exception {
         CompletableFuture<Socket> asked = new CompletableFuture<>();
         try (ScriptedHost host = new ScriptedHost((socket, request) -> asked.complete(socket));
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client first = f.client();
-            first.write(submit("same", LONG_MILLIS, "x"));
-            Socket socket = asked.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-            assertTrue(
-                    f.client().ask(submit("same", LONG_MILLIS, "x")).firstLine().contains(" 409 "));
+            first.write(submit("same", LONG_TIMEOUT_MILLIS, "x"));
+            Socket socket = asked.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            assertTrue(f.client()
+                    .exchange(submit("same", LONG_TIMEOUT_MILLIS, "x"))
+                    .firstLine()
+                    .contains(" 409 "));
             SERVES.answer(socket, null);
             assertTrue(first.read().firstLine().contains(" 200 "));
             assertEquals(1, host.requests.size());
@@ -93,11 +98,11 @@
         Script echoes = (socket, request) ->
                 ScriptedHost.reply("200 OK", request.header("X-Request-ID")).answer(socket, request);
         try (ScriptedHost host = new ScriptedHost(echoes);
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
             StringBuilder ahead = new StringBuilder();
             for (int i = 0; i < 40; i++) {
-                ahead.append(status("r" + i, LONG_MILLIS));
+                ahead.append(status("r" + i, LONG_TIMEOUT_MILLIS));
             }
             client.write(ahead.toString());
             for (int i = 0; i < 40; i++) {
@@ -111,8 +116,11 @@
         Script resets = (socket, request) -> ScriptedHost.reset(socket);
         try (ScriptedHost a = new ScriptedHost(resets);
                 ScriptedHost b = new ScriptedHost(resets);
-                GatewayFixture f = GatewayFixture.knowing(a, b)) {
-            assertTrue(f.client().ask(submit("r", LONG_MILLIS, "x")).firstLine().contains(" 502 "));
+                GatewayFixture f = GatewayFixture.withHosts(a, b)) {
+            assertTrue(f.client()
+                    .exchange(submit("r", LONG_TIMEOUT_MILLIS, "x"))
+                    .firstLine()
+                    .contains(" 502 "));
             assertEquals(1, a.requests.size() + b.requests.size());
         }
     }
@@ -121,11 +129,15 @@
     @Test
     void neverReplaysOnAStaleKeptConnection() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
-            assertTrue(client.ask(submit("r1", LONG_MILLIS, "x")).firstLine().contains(" 200 "));
+            assertTrue(client.exchange(submit("r1", LONG_TIMEOUT_MILLIS, "x"))
+                    .firstLine()
+                    .contains(" 200 "));
             host.script((socket, request) -> ScriptedHost.reset(socket));
-            assertTrue(client.ask(submit("r2", LONG_MILLIS, "x")).firstLine().contains(" 502 "));
+            assertTrue(client.exchange(submit("r2", LONG_TIMEOUT_MILLIS, "x"))
+                    .firstLine()
+                    .contains(" 502 "));
             assertEquals(2, host.requests.size());
             assertEquals(1, host.connections.size());
         }
@@ -135,11 +147,11 @@
     void leavesAHostThatRefusesConnectionsForAnother() throws Exception {
         try (ScriptedHost dead = new ScriptedHost(SERVES);
                 ScriptedHost host = new ScriptedHost(SERVES)) {
-            try (GatewayFixture f = GatewayFixture.knowing(dead, host)) {
+            try (GatewayFixture f = GatewayFixture.withHosts(dead, host)) {
                 dead.stop();
                 for (int i = 0; i < 8; i++) {
                     assertTrue(f.client()
-                            .ask(submit("r" + i, LONG_MILLIS, "x"))
+                            .exchange(submit("r" + i, LONG_TIMEOUT_MILLIS, "x"))
                             .firstLine()
                             .contains(" 200 "));
                 }
@@ -153,8 +165,8 @@
         Script full = ScriptedHost.reply("503 Service Unavailable", "", "X-Not-Processed: 1");
         try (ScriptedHost a = new ScriptedHost(full);
                 ScriptedHost b = new ScriptedHost(full);
-                GatewayFixture f = GatewayFixture.knowing(a, b)) {
-            Message refused = f.client().ask(submit("r1", 2000, "x"));
+                GatewayFixture f = GatewayFixture.withHosts(a, b)) {
+            Message refused = f.client().exchange(submit("r1", 2000, "x"));
             assertTrue(refused.firstLine().contains(" 503 "), refused.firstLine());
             assertEquals(1, a.requests.size());
             assertEquals(1, b.requests.size());
@@ -162,8 +174,8 @@
         Script bare = ScriptedHost.reply("503 Service Unavailable", "");
         try (ScriptedHost a = new ScriptedHost(bare);
                 ScriptedHost b = new ScriptedHost(bare);
-                GatewayFixture f = GatewayFixture.knowing(a, b)) {
-            Message failed = f.client().ask(submit("r2", LONG_MILLIS, "x"));
+                GatewayFixture f = GatewayFixture.withHosts(a, b)) {
+            Message failed = f.client().exchange(submit("r2", LONG_TIMEOUT_MILLIS, "x"));
             assertTrue(failed.firstLine().contains(" 502 "), failed.firstLine());
             assertEquals(1, a.requests.size() + b.requests.size());
         }
@@ -175,16 +187,19 @@
                     ScriptedHost.write(socket, "HTTP/1.1 200 OK\r\n\r\nhalf of it");
                     socket.close();
                 });
-                GatewayFixture f = GatewayFixture.knowing(host)) {
-            assertTrue(f.client().ask(submit("r", LONG_MILLIS, "x")).firstLine().contains(" 502 "));
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
+            assertTrue(f.client()
+                    .exchange(submit("r", LONG_TIMEOUT_MILLIS, "x"))
+                    .firstLine()
+                    .contains(" 502 "));
         }
     }
 
     @Test
     void answersWithinTheClientsTimeAndClosesTheAttempt() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SILENT);
-                GatewayFixture f = GatewayFixture.knowing(host)) {
-            assertTrue(f.client().ask(submit("r", 1500, "x")).firstLine().contains(" 502 "));
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
+            assertTrue(f.client().exchange(submit("r", 1500, "x")).firstLine().contains(" 502 "));
             assertEquals(1, host.requests.size());
             await("the end of the attempt", () -> host.connections.get(0).isClosed());
         }
@@ -193,14 +208,19 @@
     @Test
     void callsOffTheAttemptOfAClientThatLeft() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SILENT);
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
-            client.write(status("r", LONG_MILLIS));
+            client.write(status("r", LONG_TIMEOUT_MILLIS));
             await("the attempt", () -> host.requests.size() == 1);
             client.socket.close();
             await("the end of the attempt", () -> host.connections.get(0).isClosed());
             host.script(SERVES);
-            assertTrue(f.client().ask(status("r", LONG_MILLIS)).firstLine().contains(" 200 "), "its id is free again");
+            assertTrue(
+                    f.client()
+                            .exchange(status("r", LONG_TIMEOUT_MILLIS))
+                            .firstLine()
+                            .contains(" 200 "),
+                    "its id is free again");
         }
     }
 
@@ -213,7 +233,10 @@
                         GatewayFixture.quietDiscovery(),
                         TimeUnit.MILLISECONDS.toNanos(300),
                         1024)) {
-            assertTrue(f.client().ask(status("r", LONG_MILLIS)).firstLine().contains(" 200 "));
+            assertTrue(f.client()
+                    .exchange(status("r", LONG_TIMEOUT_MILLIS))
+                    .firstLine()
+                    .contains(" 200 "));
             await("the gateway's close", () -> host.connections.get(0).isClosed());
         }
     }
@@ -232,8 +255,8 @@
                 GatewayFixture f = new GatewayFixture(
                         list(1, true, List.of(entry("s", draining, "up", 0))), discovery, 60_000_000_000L, 1024)) {
             Client first = f.client();
-            first.write(submit("r1", LONG_MILLIS, "x"));
-            Socket socket = held.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+            first.write(submit("r1", LONG_TIMEOUT_MILLIS, "x"));
+            Socket socket = held.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             await("the gateway watches", () -> !watches.isEmpty());
             line(
                     watches.get(0),
@@ -246,8 +269,8 @@
                                     entry("p", other, "up", 0))));
             for (int i = 0; other.requests.isEmpty(); i++) {
                 // A client that is told to come back does; the list is on its way to the gateway.
-                assertTrue(i < PATIENCE_MILLIS);
-                f.client().ask(status("s" + i, 200));
+                assertTrue(i < AWAIT_TIMEOUT_MILLIS);
+                f.client().exchange(status("s" + i, 200));
             }
             SERVES.answer(socket, null);
             assertTrue(first.read().firstLine().contains(" 200 "));
@@ -256,7 +279,7 @@
                     () -> draining.connections.get(0).isClosed());
             for (int i = 0; i < 4; i++) {
                 assertTrue(f.client()
-                        .ask(submit("u" + i, LONG_MILLIS, "x"))
+                        .exchange(submit("u" + i, LONG_TIMEOUT_MILLIS, "x"))
                         .firstLine()
                         .contains(" 200 "));
             }
@@ -276,7 +299,7 @@
                 GatewayFixture f = new GatewayFixture(
                         list(1, true, List.of(entry("s", host, "up", 0))), discovery, 60_000_000_000L, 1024)) {
             Client client = f.client();
-            client.write(submit("r", LONG_MILLIS, "x"));
+            client.write(submit("r", LONG_TIMEOUT_MILLIS, "x"));
             await("the attempt", () -> host.requests.size() == 1);
             long later = System.currentTimeMillis() + 1000;
             await("the gateway watches", () -> !watches.isEmpty());
@@ -289,11 +312,11 @@
     void answersAllThatItTookBeforeItEnds() throws Exception {
         CompletableFuture<Socket> held = new CompletableFuture<>();
         try (ScriptedHost host = new ScriptedHost((socket, request) -> held.complete(socket));
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client idle = f.client();
             Client open = f.client();
-            open.write(submit("r", LONG_MILLIS, "x"));
-            Socket socket = held.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+            open.write(submit("r", LONG_TIMEOUT_MILLIS, "x"));
+            Socket socket = held.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             CompletableFuture<Void> ended = f.gateway.end();
             assertNull(idle.read(), "an idle connection is closed");
             assertFalse(ended.isDone(), "a request is still held");
@@ -301,7 +324,7 @@
             Message answer = open.read();
             assertTrue(answer.firstLine().contains(" 200 "));
             assertEquals("close", answer.header("Connection"));
-            ended.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+            ended.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -309,17 +332,19 @@
     @Test
     void servesOnKeptConnectionsForATimeAfterItWasAskedToEnd() throws Exception {
         try (ScriptedHost host = new ScriptedHost(SERVES);
-                GatewayFixture f = GatewayFixture.knowing(host)) {
+                GatewayFixture f = GatewayFixture.withHosts(host)) {
             Client client = f.client();
-            client.ask(status("before", LONG_MILLIS));
+            client.exchange(status("before", LONG_TIMEOUT_MILLIS));
             CompletableFuture<Void> ended = f.gateway.end();
             await("the end's begin", () -> f.get("/ready").firstLine().contains(" 503 "));
-            Message answer = client.ask(status("after", LONG_MILLIS));
+            Message answer = client.exchange(status("after", LONG_TIMEOUT_MILLIS));
             assertTrue(answer.firstLine().contains(" 200 "));
             assertNull(answer.header("Connection"), "the client may ask again");
-            assertTrue(client.ask(status("again", LONG_MILLIS)).firstLine().contains(" 200 "));
+            assertTrue(client.exchange(status("again", LONG_TIMEOUT_MILLIS))
+                    .firstLine()
+                    .contains(" 200 "));
             assertNull(client.read(), "closed in the end");
-            ended.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+            ended.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
@@ -335,8 +360,10 @@
                         80)) {
             Client oldest = f.client();
             for (int i = 0; i < 12; i++) {
-                assertTrue(
-                        f.client().ask(status("r" + i, LONG_MILLIS)).firstLine().contains(" 200 "));
+                assertTrue(f.client()
+                        .exchange(status("r" + i, LONG_TIMEOUT_MILLIS))
+                        .firstLine()
+                        .contains(" 200 "));
             }
             assertNull(oldest.read());
         }
@@ -359,7 +386,7 @@
             await("the second watch", () -> asked.size() == 2);
             assertTrue(asked.get(0).contains("since=40"), asked.get(0));
             assertTrue(asked.get(1).contains("since=41"), asked.get(1));
-            assertNotNull(f.client().ask(status("r", LONG_MILLIS)));
+            assertNotNull(f.client().exchange(status("r", LONG_TIMEOUT_MILLIS)));
         }
     }
 
@@ -373,13 +400,15 @@
                 ScriptedHost b = new ScriptedHost(failsPosts);
                 ScriptedHost c = new ScriptedHost(failsPosts);
                 ScriptedHost sound = new ScriptedHost(SERVES);
-                GatewayFixture f = GatewayFixture.knowing(a, b, c, sound)) {
+                GatewayFixture f = GatewayFixture.withHosts(a, b, c, sound)) {
             Client client = f.client();
             int failed = 0;
             long begin = System.nanoTime();
             for (int i = 0; i < 200; i++) {
-                assertTrue(client.ask(status("s" + i, LONG_MILLIS)).firstLine().contains(" 200 "));
-                failed += client.ask(submit("p" + i, LONG_MILLIS, "x"))
+                assertTrue(client.exchange(status("s" + i, LONG_TIMEOUT_MILLIS))
+                        .firstLine()
+                        .contains(" 200 "));
+                failed += client.exchange(submit("p" + i, LONG_TIMEOUT_MILLIS, "x"))
                                 .firstLine()
                                 .contains(" 502 ")
                         ? 1
@@ -410,11 +439,11 @@
                 GatewayFixture f = new GatewayFixture(
                         list(1, true, List.of(entry("s", host, "up", 0))), discovery, 60_000_000_000L, 1024)) {
             Client client = f.client();
-            client.ask(status("before", LONG_MILLIS));
+            client.exchange(status("before", LONG_TIMEOUT_MILLIS));
             Client waits = f.client();
-            waits.write(status("lost", LONG_MILLIS));
+            waits.write(status("lost", LONG_TIMEOUT_MILLIS));
             await("the attempt", () -> host.requests.size() == 2);
-            client.ask(status("after", LONG_MILLIS));
+            client.exchange(status("after", LONG_TIMEOUT_MILLIS));
             assertEquals(3, host.requests.size(), "the host goes on answering");
             line(watches.get(0), list(2, false, List.of(entry("o", other, "up", 0))));
             assertTrue(waits.read().firstLine().contains(" 200 "));
--- a/src/test/java/tinworks/net/LongAnswersTest.java
+++ b/src/test/java/tinworks/net/LongAnswersTest.java
@@ -37,7 +37,7 @@
             () -> new HostPool(
                     loop,
                     Transport.TCP,
-                    new GatewayClock(),
+                    new MonotonicClock(),
                     new HostPool.Bounds(1_000_000_000L, 9_000_000_000L, 10, 2 * LENGTH),
                     answers,
                     BalancerProtocol.INSTANCE));
--- a/src/test/java/tinworks/net/PeersTest.java
+++ b/src/test/java/tinworks/net/PeersTest.java
@@ -25,7 +25,8 @@
 
     @AfterEach
     void end() {
-        group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).awaitUninterruptibly(GatewayFixture.PATIENCE_MILLIS);
+        group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS)
+                .awaitUninterruptibly(GatewayFixture.AWAIT_TIMEOUT_MILLIS);
     }
 
     private static InetSocketAddress local(int port) {
@@ -34,7 +35,7 @@
 
     private static DatagramSocket socket() throws Exception {
         DatagramSocket socket = new DatagramSocket(local(0));
-        socket.setSoTimeout(GatewayFixture.PATIENCE_MILLIS);
+        socket.setSoTimeout(GatewayFixture.AWAIT_TIMEOUT_MILLIS);
         return socket;
     }
 
@@ -78,8 +79,8 @@
             send(other, peers, Peers.LONGEST + 1);
             send(other, peers, 0);
             send(other, peers, 2);
-            assertEquals("1 ", said.poll(GatewayFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
-            assertEquals("1 ..", said.poll(GatewayFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS));
+            assertEquals("1 ", said.poll(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+            assertEquals("1 ..", said.poll(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
         }
     }
 
@@ -89,7 +90,7 @@
             InetSocketAddress taken = local(other.getLocalPort());
             Peers peers = new Peers(
                     group.next(), new Peers.Addresses(taken, List.of(), taken), 0, (gateway, body) -> {}, said::add);
-            String line = said.poll(GatewayFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+            String line = said.poll(GatewayFixture.AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             assertEquals("no messages between gateways", line.substring(0, line.indexOf(':')));
             peers.tellAll(new byte[] {1});
         }
--- a/src/test/java/tinworks/net/ReloadTest.java
+++ b/src/test/java/tinworks/net/ReloadTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static tinworks.net.GatewayFixture.LONG_MILLIS;
-import static tinworks.net.GatewayFixture.PATIENCE_MILLIS;
+import static tinworks.net.GatewayFixture.AWAIT_TIMEOUT_MILLIS;
+import static tinworks.net.GatewayFixture.LONG_TIMEOUT_MILLIS;
 import static tinworks.net.GatewayFixture.await;
 import static tinworks.net.GatewayFixture.entry;
 import static tinworks.net.GatewayFixture.line;
@@ -57,9 +57,9 @@
                 GatewayFixture f = new GatewayFixture(
                         list(40, true, List.of(entry("s", host, "up", 0))), old, 60_000_000_000L, 1024)) {
             Client open = f.client();
-            open.write(submit("r1", LONG_MILLIS, "x"));
-            Socket asked = held.get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-            Server.reload(f.gateway, environment(next.addressText()));
+            open.write(submit("r1", LONG_TIMEOUT_MILLIS, "x"));
+            Socket asked = held.get(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            GatewayProcess.reload(f.gateway, environment(next.addressText()));
             await("the watch at the new address", () -> after.size() == 1);
             await("the end of the old watch", () -> old.connections.get(0).isClosed());
             ScriptedHost.reply("200 OK", "old").answer(asked, null);
@@ -72,7 +72,10 @@
 
     private static boolean served(GatewayFixture f, String body) {
         try {
-            return f.client().ask(status("r" + System.nanoTime(), 200)).body().equals(body);
+            return f.client()
+                    .exchange(status("r" + System.nanoTime(), 200))
+                    .body()
+                    .equals(body);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -85,13 +88,13 @@
         try (ScriptedHost host = new ScriptedHost(ScriptedHost.reply("200 OK", "fine"));
                 GatewayFixture f = new GatewayFixture(list(1, true, List.of()), discovery, 60_000_000_000L, 1024)) {
             Map<String, String> environment = environment("nowhere");
-            Server.reload(f.gateway, environment);
+            GatewayProcess.reload(f.gateway, environment);
             for (String text : List.of("", "{", "[]", "{\"discovery\":17}")) {
                 Files.writeString(folder.resolve("config.json"), text);
-                Server.reload(f.gateway, environment);
+                GatewayProcess.reload(f.gateway, environment);
             }
             Files.delete(folder.resolve("config.json"));
-            Server.reload(f.gateway, environment);
+            GatewayProcess.reload(f.gateway, environment);
             line(watches.get(0), list(2, false, List.of(entry("s", host, "up", 0))));
             await("what the old watch tells", () -> served(f, "fine"));
             assertEquals(1, discovery.connections.size(), "the old watch was never replaced");
@@ -131,7 +134,7 @@
                 assertTrue(process.isAlive());
             } finally {
                 process.destroy();
-                assertTrue(process.waitFor(PATIENCE_MILLIS, TimeUnit.MILLISECONDS), "ends when asked");
+                assertTrue(process.waitFor(AWAIT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), "ends when asked");
             }
         }
     }
--- a/src/test/java/tinworks/net/StallTest.java
+++ b/src/test/java/tinworks/net/StallTest.java
@@ -72,7 +72,7 @@
 
     private void ask(List<Client> clients) throws IOException {
         for (Client client : clients) {
-            client.write(GatewayFixture.status("request-" + asked++, GatewayFixture.LONG_MILLIS));
+            client.write(GatewayFixture.status("request-" + asked++, GatewayFixture.LONG_TIMEOUT_MILLIS));
         }
     }
 
--- a/src/test/java/tinworks/net/UnreadAnswersTest.java
+++ b/src/test/java/tinworks/net/UnreadAnswersTest.java
@@ -42,7 +42,7 @@
             () -> new ClientServer(
                     loop,
                     Transport.TCP,
-                    new GatewayClock(),
+                    new MonotonicClock(),
                     new ClientServer.Bounds(PLACES, TimeUnit.SECONDS.toNanos(20), 0, 8_192, 1_024, null),
                     new ClientServer.Listener() {
                         @Override
--- a/src/test/java/tinworks/net/RehearsalTest.java
+++ b/src/test/java/tinworks/net/WarmUpTest.java
@@ -13,7 +13,7 @@
 import tinworks.json.Json;
 
 /** The rehearsal before a gateway listens: it comes to an end, and leaves nothing behind. */
-class RehearsalTest {
+class WarmUpTest {
     private static GatewayConfig config() throws IOException {
         String settings = GatewayFixture.SETTINGS.replace("IDLE", "15000000000");
         InetSocketAddress nowhere = new InetSocketAddress("127.0.0.1", 1);
@@ -31,19 +31,19 @@
     @Test
     void isPlayedToItsEndAndLeavesNothing() throws Exception {
         List<Path> before = folders();
-        assertTrue(Rehearsal.run(config(), GatewayFixture.PATIENCE_MILLIS * 6));
+        assertTrue(WarmUp.run(config(), GatewayFixture.AWAIT_TIMEOUT_MILLIS * 6));
         assertEquals(before, folders());
     }
 
     @Test
     void isPlayedInMemoryWhereAProcessHasNoFileSockets() throws Exception {
-        assertTrue(Rehearsal.inMemory(config(), GatewayFixture.PATIENCE_MILLIS * 6));
+        assertTrue(WarmUp.inMemory(config(), GatewayFixture.AWAIT_TIMEOUT_MILLIS * 6));
     }
 
     @Test
     void isCutShortWhereItTakesTooLong() throws Exception {
         List<Path> before = folders();
-        assertFalse(Rehearsal.run(config(), 1));
+        assertFalse(WarmUp.run(config(), 1));
         assertEquals(before, folders());
     }
 }
--- a/src/test/java/tinworks/system/WholeSystemTest.java
+++ b/src/test/java/tinworks/system/WholeSystemTest.java
@@ -24,7 +24,7 @@
 import tinworks.edge.EdgeNode;
 import tinworks.local.FreePorts;
 import tinworks.net.ClosingEventLoopGroup;
-import tinworks.net.GatewayClock;
+import tinworks.net.MonotonicClock;
 import tinworks.node.BootSettings;
 import tinworks.node.NodeProcess;
 import tinworks.raft.HardState;
@@ -93,7 +93,7 @@
                     .forEach(bound ->
                             assertTrue(bound.awaitUninterruptibly().isSuccess(), String.valueOf(bound.cause())));
         }
-        edge = on(() -> new EdgeNode(loop, new GatewayClock(), settings("edge-1", "127.0.0.9"), 77));
+        edge = on(() -> new EdgeNode(loop, new MonotonicClock(), settings("edge-1", "127.0.0.9"), 77));
         on(edge::start)
                 .forEach(bound -> assertTrue(bound.awaitUninterruptibly().isSuccess(), String.valueOf(bound.cause())));
     }
