--- a/src/test/java/tinworks/net/AnswersTest.java
+++ b/src/test/java/tinworks/net/HostResponseTest.java
@@ -21,7 +21,7 @@
 import tinworks.net.ScriptedHost.Script;
 
 /** What a gateway makes of answers that are spoilt, and of good ones that bring more than belongs to them. */
-class AnswersTest {
+class HostResponseTest {
     private static final String FINE = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine";
 
     private static Script sends(String bytes) {
--- a/src/test/java/tinworks/net/LongAnswersTest.java
+++ b/src/test/java/tinworks/net/LargeResponseTest.java
@@ -26,7 +26,7 @@
 
 /** Long answers of hosts together: one that there is no room for waits at its host until there is. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
-class LongAnswersTest {
+class LargeResponseTest {
     private static final int LENGTH = 3 << 20;
 
     private final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
--- a/src/test/java/tinworks/net/BodiesTest.java
+++ b/src/test/java/tinworks/net/RequestMemoryTest.java
@@ -22,7 +22,7 @@
 
 /** Bodies of several clients together: what there is no room for is told to come back, and the room is had again. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
-class BodiesTest {
+class RequestMemoryTest {
     private static final int LONGEST = 1 << 20;
     private static final int HEADS = 400_000;
 
--- a/src/test/java/tinworks/net/ArrivalTest.java
+++ b/src/test/java/tinworks/net/RequestReceptionTest.java
@@ -22,7 +22,7 @@
 import tinworks.net.ScriptedHost.Message;
 
 /** What a gateway makes of requests that don't come whole, in time or in one reading, and of who sends them. */
-class ArrivalTest {
+class RequestReceptionTest {
     private static final ScriptedHost.Script SERVES = ScriptedHost.reply("200 OK", "fine");
     private static final String HEAD = "Host: x\r\nX-Timeout: 20000m\r\n";
 
--- a/src/test/java/tinworks/net/AnswerFuzzTest.java
+++ b/src/test/java/tinworks/net/ResponseFuzzTest.java
@@ -20,7 +20,7 @@
 import net.jqwik.api.constraints.IntRange;
 
 /** Answers spoilt and cut into reads at any place. */
-class AnswerFuzzTest {
+class ResponseFuzzTest {
     private static final String SEED = "20261202";
     private static final int LARGEST = 64;
     private static final List<String> ANSWERS = List.of(
--- a/src/test/java/tinworks/net/UnreadAnswersTest.java
+++ b/src/test/java/tinworks/net/UnreadResponseTest.java
@@ -29,7 +29,7 @@
  * answer, beside connections on which nothing was left to read.
  */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
-class UnreadAnswersTest {
+class UnreadResponseTest {
     private static final int PLACES = 8;
     private static final int LENGTH = 16 << 20;
 
