--- a/src/main/java/tinworks/channel/ByteReader.java
+++ b/src/main/java/tinworks/channel/ByteReader.java
@@ -11,10 +11,10 @@
         return buffer.get();
     }
 
-    boolean flag() throws Malformed {
+    boolean flag() throws MalformedDataException {
         byte value = buffer.get();
         if (value != 0 && value != 1) {
-            throw new Malformed("a flag of " + value);
+            throw new MalformedDataException("a flag of " + value);
         }
         return value == 1;
     }
@@ -31,33 +31,33 @@
         return buffer.getLong();
     }
 
-    <T> T among(T[] values) throws Malformed {
+    <T> T among(T[] values) throws MalformedDataException {
         int at = buffer.get();
         if (at < 0 || at >= values.length) {
-            throw new Malformed("no value of number " + at);
+            throw new MalformedDataException("no value of number " + at);
         }
         return values[at];
     }
 
     /** A count of things that take so many bytes each at least. */
-    int count(int leastBytes) throws Malformed {
+    int count(int leastBytes) throws MalformedDataException {
         int count = buffer.getInt();
         if (count < 0 || count > buffer.remaining() / leastBytes) {
-            throw new Malformed("a count of " + count);
+            throw new MalformedDataException("a count of " + count);
         }
         return count;
     }
 
-    byte[] bytes() throws Malformed {
+    byte[] bytes() throws MalformedDataException {
         byte[] value = new byte[count(1)];
         buffer.get(value);
         return value;
     }
 
-    String text() throws Malformed {
+    String text() throws MalformedDataException {
         byte[] value = bytes();
         if (value.length > LONGEST_TEXT) {
-            throw new Malformed("a text of " + value.length + " bytes");
+            throw new MalformedDataException("a text of " + value.length + " bytes");
         }
         return new String(value, StandardCharsets.UTF_8);
     }
--- a/src/main/java/tinworks/channel/ConfigurationCodec.java
+++ b/src/main/java/tinworks/channel/ConfigurationCodec.java
@@ -20,7 +20,7 @@
 /**
  * The bytes of a configuration and of a change of one, between a core machine that has read the operator's JSON and
  * checked it, and edges, which are spared both. Fields in the order of the records, a service's before the routes';
- * numbers, texts and lists as in {@link SignalCodec}, a weight as the 8 bytes of a double.
+ * numbers, texts and lists as in {@link PeerMessageCodec}, a weight as the 8 bytes of a double.
  */
 public final class ConfigurationCodec {
     private static final Configuration.Type[] TYPES = Configuration.Type.values();
@@ -32,7 +32,7 @@
 
     /** Reads a part. */
     private interface Part<T> {
-        T read(ByteReader in) throws Malformed;
+        T read(ByteReader in) throws MalformedDataException;
     }
 
     /** A whole configuration as bytes. */
@@ -58,7 +58,7 @@
     }
 
     /** The configuration that the bytes are, no more and no less. */
-    public static Configuration read(byte[] bytes) throws Malformed {
+    public static Configuration read(byte[] bytes) throws MalformedDataException {
         return whole(bytes, in -> {
             long rev = in.eight();
             Limits limits = readLimits(in);
@@ -71,7 +71,7 @@
     }
 
     /** The change that the bytes are, no more and no less. */
-    public static ConfigurationChange readChange(byte[] bytes) throws Malformed {
+    public static ConfigurationChange readChange(byte[] bytes) throws MalformedDataException {
         return whole(bytes, in -> {
             long base = in.eight();
             long rev = in.eight();
@@ -84,16 +84,16 @@
         });
     }
 
-    private static <T> T whole(byte[] bytes, Part<T> part) throws Malformed {
+    private static <T> T whole(byte[] bytes, Part<T> part) throws MalformedDataException {
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         try {
             T read = part.read(new ByteReader(buffer));
             if (buffer.hasRemaining()) {
-                throw new Malformed(buffer.remaining() + " bytes left over");
+                throw new MalformedDataException(buffer.remaining() + " bytes left over");
             }
             return read;
         } catch (BufferUnderflowException e) {
-            throw new Malformed("cut short");
+            throw new MalformedDataException("cut short");
         }
     }
 
@@ -104,7 +104,7 @@
         return bytes;
     }
 
-    private static <T> List<T> list(ByteReader in, int leastBytes, Part<T> part) throws Malformed {
+    private static <T> List<T> list(ByteReader in, int leastBytes, Part<T> part) throws MalformedDataException {
         List<T> list = new ArrayList<>();
         for (int i = in.count(leastBytes); i > 0; i--) {
             list.add(part.read(in));
@@ -113,7 +113,7 @@
     }
 
     /** A text of any length: the operator's names are the operator's. */
-    private static String text(ByteReader in) throws Malformed {
+    private static String text(ByteReader in) throws MalformedDataException {
         return new String(in.bytes(), StandardCharsets.UTF_8);
     }
 
@@ -134,7 +134,7 @@
                 service -> out.text(service.name()).text(service.check()).four(service.maxconn()));
     }
 
-    private static List<Service> readServices(ByteReader in) throws Malformed {
+    private static List<Service> readServices(ByteReader in) throws MalformedDataException {
         return list(in, LEAST_SERVICE, service -> new Service(text(service), text(service), service.four()));
     }
 
@@ -154,7 +154,7 @@
         }
     }
 
-    private static List<Route> readRoutes(ByteReader in) throws Malformed {
+    private static List<Route> readRoutes(ByteReader in) throws MalformedDataException {
         SharedValues shared = new SharedValues();
         return list(
                 in,
@@ -171,7 +171,7 @@
                         route.four()));
     }
 
-    private static List<Split> readSplit(ByteReader in, SharedValues shared) throws Malformed {
+    private static List<Split> readSplit(ByteReader in, SharedValues shared) throws MalformedDataException {
         return shared.list(list(
                 in, LEAST_SPLIT, part -> new Split(shared.text(text(part)), Double.longBitsToDouble(part.eight()))));
     }
--- a/src/main/java/tinworks/channel/HostList.java
+++ b/src/main/java/tinworks/channel/HostList.java
@@ -28,7 +28,7 @@
         }
 
         /** The same but for the time that passes by itself. */
-        public boolean sameAs(Host other) {
+        public boolean equalsIgnoringWarmup(Host other) {
             return id.equals(other.id)
                     && service.equals(other.service)
                     && address.equals(other.address)
@@ -39,12 +39,12 @@
     }
 
     /** Whether another list says the same. */
-    public boolean sameAs(List<Host> others) {
+    public boolean hasSameHosts(List<Host> others) {
         if (hosts.size() != others.size()) {
             return false;
         }
         for (int i = 0; i < hosts.size(); i++) {
-            if (!hosts.get(i).sameAs(others.get(i))) {
+            if (!hosts.get(i).equalsIgnoringWarmup(others.get(i))) {
                 return false;
             }
         }
--- a/src/main/java/tinworks/channel/HostChange.java
+++ b/src/main/java/tinworks/channel/HostListChange.java
@@ -11,51 +11,52 @@
  *
  * @param base the version that it builds on
  * @param version the version that it leads to
- * @param set hosts that are new, or not as they were
- * @param gone ids of hosts that are there no more
+ * @param updated hosts that are new, or not as they were
+ * @param removedIds ids of hosts that are there no more
  */
-public record HostChange(HostListVersion base, HostListVersion version, List<Host> set, List<String> gone) {
+public record HostListChange(
+        HostListVersion base, HostListVersion version, List<Host> updated, List<String> removedIds) {
     /** Keeps its own lists. */
-    public HostChange {
-        set = List.copyOf(set);
-        gone = List.copyOf(gone);
+    public HostListChange {
+        updated = List.copyOf(updated);
+        removedIds = List.copyOf(removedIds);
     }
 
     /** What leads from one list to another; both hold each id once. */
-    public static HostChange between(HostList from, HostList to) {
+    public static HostListChange between(HostList from, HostList to) {
         Map<String, Host> before = byId(from.hosts());
         List<Host> set = new ArrayList<>();
         for (Host host : to.hosts()) {
             Host old = before.remove(host.id());
-            if (old == null || !old.sameAs(host)) {
+            if (old == null || !old.equalsIgnoringWarmup(host)) {
                 set.add(host);
             }
         }
-        return new HostChange(from.version(), to.version(), set, List.copyOf(before.keySet()));
+        return new HostListChange(from.version(), to.version(), set, List.copyOf(before.keySet()));
     }
 
     /** The later list. One that isn't of the version that this builds on is an {@link IllegalArgumentException}. */
-    public HostList appliedTo(HostList list) {
-        if (!list.version().is(base)) {
+    public HostList applyTo(HostList list) {
+        if (!list.version().isSameAs(base)) {
             throw new IllegalArgumentException("builds on " + base + ", not on " + list.version());
         }
         Map<String, Host> hosts = byId(list.hosts());
-        gone.forEach(hosts::remove);
-        set.forEach(host -> hosts.put(host.id(), host));
+        removedIds.forEach(hosts::remove);
+        updated.forEach(host -> hosts.put(host.id(), host));
         return new HostList(version, List.copyOf(hosts.values()));
     }
 
     /** This change and, after it, the next one as one. */
-    HostChange then(HostChange next) {
-        Map<String, Host> both = byId(set);
-        List<String> noMore = new ArrayList<>(gone);
-        next.gone.forEach(id -> {
+    HostListChange mergedWith(HostListChange next) {
+        Map<String, Host> both = byId(updated);
+        List<String> noMore = new ArrayList<>(removedIds);
+        next.removedIds.forEach(id -> {
             both.remove(id);
             noMore.add(id);
         });
-        next.set.forEach(host -> both.put(host.id(), host));
+        next.updated.forEach(host -> both.put(host.id(), host));
         noMore.removeAll(both.keySet());
-        return new HostChange(base, next.version, List.copyOf(both.values()), noMore);
+        return new HostListChange(base, next.version, List.copyOf(both.values()), noMore);
     }
 
     private static Map<String, Host> byId(List<Host> hosts) {
--- a/src/main/java/tinworks/channel/HostHistory.java
+++ b/src/main/java/tinworks/channel/HostListHistory.java
@@ -3,11 +3,11 @@
 import java.util.ArrayDeque;
 
 /** The newest list of hosts and its last changes, for those who hold one that is a little older. */
-public final class HostHistory {
+public final class HostListHistory {
     /** At one change a second, the longest that an edge may have been away and still be told changes alone. */
     private static final int MOST_CHANGES = 64;
 
-    private final ArrayDeque<HostChange> changes = new ArrayDeque<>();
+    private final ArrayDeque<HostListChange> changes = new ArrayDeque<>();
     private HostList newest = HostList.NONE;
 
     /** The newest list. */
@@ -17,7 +17,7 @@
 
     /** Takes a newer list. */
     public void advance(HostList next) {
-        changes.addLast(HostChange.between(newest, next));
+        changes.addLast(HostListChange.between(newest, next));
         newest = next;
         if (changes.size() > MOST_CHANGES) {
             changes.removeFirst();
@@ -25,15 +25,15 @@
     }
 
     /** What to tell one who holds this version: the changes since, or the whole list where they aren't known. */
-    public Signal since(HostListVersion held) {
-        HostChange all = null;
-        for (HostChange change : changes) {
+    public PeerMessage since(HostListVersion held) {
+        HostListChange all = null;
+        for (HostListChange change : changes) {
             if (all != null) {
-                all = all.then(change);
-            } else if (change.base().is(held) && held.compareTo(HostListVersion.NONE) > 0) {
+                all = all.mergedWith(change);
+            } else if (change.base().isSameAs(held) && held.compareTo(HostListVersion.NONE) > 0) {
                 all = change;
             }
         }
-        return all == null ? new Signal.Hosts(newest) : new Signal.HostsChanged(all);
+        return all == null ? new PeerMessage.Hosts(newest) : new PeerMessage.HostsChanged(all);
     }
 }
--- a/src/main/java/tinworks/channel/HostListVersion.java
+++ b/src/main/java/tinworks/channel/HostListVersion.java
@@ -9,7 +9,7 @@
      * Whether it is the same. By hand: the comparison that the runtime makes for a record costs a cold start ten
      * milliseconds.
      */
-    public boolean is(HostListVersion other) {
+    public boolean isSameAs(HostListVersion other) {
         return term == other.term && count == other.count;
     }
 
--- a/src/main/java/tinworks/channel/Malformed.java
+++ b/src/main/java/tinworks/channel/MalformedDataException.java
@@ -1,10 +1,10 @@
 package tinworks.channel;
 
 /** Bytes that are not what they should be. */
-public final class Malformed extends Exception {
+public final class MalformedDataException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Malformed(String what) {
+    MalformedDataException(String what) {
         super(what);
     }
 }
--- a/src/main/java/tinworks/channel/SignalCodec.java
+++ b/src/main/java/tinworks/channel/PeerMessageCodec.java
@@ -4,21 +4,21 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import tinworks.channel.Signal.Agreement;
-import tinworks.channel.Signal.Announce;
-import tinworks.channel.Signal.Call;
-import tinworks.channel.Signal.CallAnswer;
-import tinworks.channel.Signal.ConfigurationBody;
-import tinworks.channel.Signal.ConfigurationChanged;
-import tinworks.channel.Signal.Hello;
-import tinworks.channel.Signal.Hosts;
-import tinworks.channel.Signal.HostsChanged;
-import tinworks.channel.Signal.Join;
-import tinworks.channel.Signal.Leave;
-import tinworks.channel.Signal.Part;
-import tinworks.channel.Signal.Ping;
-import tinworks.channel.Signal.PullConfiguration;
-import tinworks.channel.Signal.PullHosts;
+import tinworks.channel.PeerMessage.Announce;
+import tinworks.channel.PeerMessage.Call;
+import tinworks.channel.PeerMessage.CallResponse;
+import tinworks.channel.PeerMessage.ConfigurationBody;
+import tinworks.channel.PeerMessage.ConfigurationChanged;
+import tinworks.channel.PeerMessage.Hello;
+import tinworks.channel.PeerMessage.Hosts;
+import tinworks.channel.PeerMessage.HostsChanged;
+import tinworks.channel.PeerMessage.Join;
+import tinworks.channel.PeerMessage.Leave;
+import tinworks.channel.PeerMessage.NodeRole;
+import tinworks.channel.PeerMessage.Ping;
+import tinworks.channel.PeerMessage.PullConfiguration;
+import tinworks.channel.PeerMessage.PullHosts;
+import tinworks.channel.PeerMessage.RaftMessage;
 import tinworks.raft.Entry;
 import tinworks.raft.Member;
 import tinworks.raft.MemberListCodec;
@@ -35,11 +35,11 @@
 import tinworks.raft.Snapshot;
 
 /**
- * The bytes of a {@link Signal}: one byte for its kind, then its fields in order, big-endian. A text or a run of bytes
- * stands behind its length (4 bytes), a list behind its count (4 bytes), a flag is one byte. A {@link Hello} begins
- * with {@link #MAGIC} and {@link #VERSION}.
+ * The bytes of a {@link PeerMessage}: one byte for its kind, then its fields in order, big-endian. A text or a run of
+ * bytes stands behind its length (4 bytes), a list behind its count (4 bytes), a flag is one byte. A {@link Hello}
+ * begins with {@link #MAGIC} and {@link #VERSION}.
  */
-public final class SignalCodec {
+public final class PeerMessageCodec {
     /** The first four bytes of a Hello: {@code TWCH}. */
     static final int MAGIC = 0x54574348;
     /** Raised whenever the bytes change; a connection between two versions is closed at its Hello. */
@@ -71,25 +71,25 @@
     private static final byte LEASE_QUERY = 8;
     private static final byte LEASE_ENDED = 9;
     private static final Entry.Kind[] KINDS = Entry.Kind.values();
-    private static final Part[] PARTS = Part.values();
+    private static final NodeRole[] PARTS = NodeRole.values();
 
-    private SignalCodec() {}
+    private PeerMessageCodec() {}
 
     /** A signal as bytes, ready to be read. */
-    public static ByteBuffer write(Signal signal) {
+    public static ByteBuffer write(PeerMessage signal) {
         ByteWriter out = new ByteWriter();
         if (signal instanceof Hello s) {
             out.one(HELLO)
                     .four(MAGIC)
                     .two(VERSION)
-                    .one((byte) s.part().ordinal())
+                    .one((byte) s.role().ordinal())
                     .eight(s.id())
                     .text(s.address())
                     .text(s.node())
                     .text(s.zone());
         } else if (signal instanceof Ping) {
             out.one(PING);
-        } else if (signal instanceof Agreement s) {
+        } else if (signal instanceof RaftMessage s) {
             out.one(AGREEMENT).eight(s.from()).eight(s.to());
             writeMessage(out, s.message());
         } else if (signal instanceof Join s) {
@@ -99,14 +99,14 @@
         } else if (signal instanceof Announce s) {
             writeAnnounce(out, s);
         } else if (signal instanceof PullConfiguration s) {
-            out.one(PULL_CONFIGURATION).eight(s.held());
+            out.one(PULL_CONFIGURATION).eight(s.heldRev());
         } else if (signal instanceof ConfigurationBody s) {
-            out.one(CONFIGURATION).eight(s.rev()).bytes(s.packed());
+            out.one(CONFIGURATION).eight(s.rev()).bytes(s.compressed());
         } else if (signal instanceof ConfigurationChanged s) {
-            out.one(CONFIGURATION_CHANGED).eight(s.base()).eight(s.rev()).bytes(s.packed());
+            out.one(CONFIGURATION_CHANGED).eight(s.base()).eight(s.rev()).bytes(s.compressed());
         } else if (signal instanceof PullHosts s) {
             out.one(PULL_HOSTS);
-            writeVersion(out, s.held());
+            writeVersion(out, s.heldVersion());
         } else if (signal instanceof Hosts s) {
             out.one(HOSTS);
             writeVersion(out, s.list().version());
@@ -115,39 +115,39 @@
             out.one(HOSTS_CHANGED);
             writeVersion(out, s.change().base());
             writeVersion(out, s.change().version());
-            writeHosts(out, s.change().set());
-            out.four(s.change().gone().size());
-            s.change().gone().forEach(out::text);
+            writeHosts(out, s.change().updated());
+            out.four(s.change().removedIds().size());
+            s.change().removedIds().forEach(out::text);
         } else if (signal instanceof Call s) {
             out.one(CALL).eight(s.number()).flag(s.read()).bytes(s.body());
-        } else if (signal instanceof CallAnswer s) {
+        } else if (signal instanceof CallResponse s) {
             out.one(CALL_ANSWER).eight(s.number()).four(s.status()).bytes(s.body());
         }
         return out.done();
     }
 
     /** The signal that the rest of a buffer holds, no more and no less. */
-    public static Signal read(ByteBuffer bytes) throws Malformed {
+    public static PeerMessage read(ByteBuffer bytes) throws MalformedDataException {
         ByteReader in = new ByteReader(bytes);
         try {
-            Signal signal = read(in);
+            PeerMessage signal = read(in);
             if (bytes.hasRemaining()) {
-                throw new Malformed(bytes.remaining() + " bytes left over");
+                throw new MalformedDataException(bytes.remaining() + " bytes left over");
             }
             return signal;
         } catch (BufferUnderflowException e) {
-            throw new Malformed("cut short");
+            throw new MalformedDataException("cut short");
         } catch (IllegalArgumentException e) {
-            throw new Malformed(e.getMessage());
+            throw new MalformedDataException(e.getMessage());
         }
     }
 
-    private static Signal read(ByteReader in) throws Malformed {
+    private static PeerMessage read(ByteReader in) throws MalformedDataException {
         byte kind = in.one();
         return switch (kind) {
             case HELLO -> readHello(in);
             case PING -> new Ping();
-            case AGREEMENT -> new Agreement(in.eight(), in.eight(), readMessage(in));
+            case AGREEMENT -> new RaftMessage(in.eight(), in.eight(), readMessage(in));
             case JOIN -> new Join(new Member(in.eight(), in.text()));
             case LEAVE -> new Leave(in.eight());
             case ANNOUNCE -> readAnnounce(in);
@@ -157,37 +157,37 @@
             case PULL_HOSTS -> new PullHosts(readVersion(in));
             case HOSTS -> new Hosts(new HostList(readVersion(in), readHosts(in)));
             case HOSTS_CHANGED ->
-                new HostsChanged(new HostChange(readVersion(in), readVersion(in), readHosts(in), readTexts(in)));
+                new HostsChanged(new HostListChange(readVersion(in), readVersion(in), readHosts(in), readTexts(in)));
             case CALL -> new Call(in.eight(), in.flag(), in.bytes());
-            case CALL_ANSWER -> new CallAnswer(in.eight(), in.four(), in.bytes());
-            default -> throw new Malformed("no signal of kind " + kind);
+            case CALL_ANSWER -> new CallResponse(in.eight(), in.four(), in.bytes());
+            default -> throw new MalformedDataException("no signal of kind " + kind);
         };
     }
 
-    private static Hello readHello(ByteReader in) throws Malformed {
+    private static Hello readHello(ByteReader in) throws MalformedDataException {
         if (in.four() != MAGIC) {
-            throw new Malformed("not a Hello of this system");
+            throw new MalformedDataException("not a Hello of this system");
         }
         short version = in.two();
         if (version != VERSION) {
-            throw new Malformed("version " + version + ", spoken here is " + VERSION);
+            throw new MalformedDataException("version " + version + ", spoken here is " + VERSION);
         }
         return new Hello(in.among(PARTS), in.eight(), in.text(), in.text(), in.text());
     }
 
     private static void writeAnnounce(ByteWriter out, Announce s) {
         out.one(ANNOUNCE).eight(s.term()).eight(s.rev());
-        writeVersion(out, s.hosts());
-        out.flag(s.fresh()).flag(s.leads()).four(s.cores().size());
-        s.cores().forEach(out::text);
-        out.four(s.edges());
+        writeVersion(out, s.hostListVersion());
+        out.flag(s.fresh()).flag(s.leader()).four(s.coreAddresses().size());
+        s.coreAddresses().forEach(out::text);
+        out.four(s.edgeCount());
     }
 
-    private static Announce readAnnounce(ByteReader in) throws Malformed {
+    private static Announce readAnnounce(ByteReader in) throws MalformedDataException {
         return new Announce(in.eight(), in.eight(), readVersion(in), in.flag(), in.flag(), readTexts(in), in.four());
     }
 
-    private static List<String> readTexts(ByteReader in) throws Malformed {
+    private static List<String> readTexts(ByteReader in) throws MalformedDataException {
         List<String> texts = new ArrayList<>();
         for (int i = in.count(Integer.BYTES); i > 0; i--) {
             texts.add(in.text());
@@ -216,7 +216,7 @@
         }
     }
 
-    private static List<HostList.Host> readHosts(ByteReader in) throws Malformed {
+    private static List<HostList.Host> readHosts(ByteReader in) throws MalformedDataException {
         List<HostList.Host> hosts = new ArrayList<>();
         for (int i = in.count(5 * Integer.BYTES + 1 + Long.BYTES); i > 0; i--) {
             hosts.add(new HostList.Host(in.text(), in.text(), in.text(), in.text(), in.four(), in.flag(), in.eight()));
@@ -285,7 +285,7 @@
         }
     }
 
-    private static Message readMessage(ByteReader in) throws Malformed {
+    private static Message readMessage(ByteReader in) throws MalformedDataException {
         byte kind = in.one();
         long term = in.eight();
         return switch (kind) {
@@ -298,11 +298,11 @@
             case HAND_OVER -> new TimeoutNow(term);
             case LEASE_QUERY -> new LeaseQuery(term, in.eight());
             case LEASE_ENDED -> new LeaseEnded(term, in.eight());
-            default -> throw new Malformed("no message of kind " + kind);
+            default -> throw new MalformedDataException("no message of kind " + kind);
         };
     }
 
-    private static Append readAppend(ByteReader in, long term) throws Malformed {
+    private static Append readAppend(ByteReader in, long term) throws MalformedDataException {
         long previousIndex = in.eight();
         long previousTerm = in.eight();
         long commit = in.eight();
@@ -312,7 +312,7 @@
         return new Append(term, previousIndex, previousTerm, commit, round, readEntries(in), echo, leaseMillis);
     }
 
-    private static List<Entry> readEntries(ByteReader in) throws Malformed {
+    private static List<Entry> readEntries(ByteReader in) throws MalformedDataException {
         List<Entry> entries = new ArrayList<>();
         for (int i = in.count(2 * Long.BYTES + 1 + Integer.BYTES); i > 0; i--) {
             entries.add(new Entry(in.eight(), in.eight(), in.among(KINDS), in.bytes()));
@@ -320,7 +320,7 @@
         return entries;
     }
 
-    private static InstallSnapshot readInstall(ByteReader in, long term) throws Malformed {
+    private static InstallSnapshot readInstall(ByteReader in, long term) throws MalformedDataException {
         long round = in.eight();
         long index = in.eight();
         long itsTerm = in.eight();
--- a/src/main/java/tinworks/channel/TcpLinks.java
+++ b/src/main/java/tinworks/channel/TcpConnectionManager.java
@@ -19,14 +19,14 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import tinworks.channel.Signal.Hello;
+import tinworks.channel.PeerMessage.Hello;
 import tinworks.json.Address;
 
 /**
  * Connections to the core machines whose addresses it is given: each is dialled, and dialled again after a pause that
  * grows and is drawn by chance, for as long as it is wanted. Can also take connections. All on one event loop.
  */
-public final class TcpLinks implements Links {
+public final class TcpConnectionManager implements ConnectionManager {
     static final int DIAL_MILLIS = 1_000;
     private static final int BACKLOG = 128;
     static final long FIRST_PAUSE_MILLIS = 100;
@@ -34,7 +34,7 @@
 
     private final EventLoop loop;
     private final Hello own;
-    private final Conversation.Listener listener;
+    private final PeerConnection.Listener listener;
     private final SplittableRandom random;
     private final Map<String, Link> links = new HashMap<>();
     private Channel acceptor;
@@ -42,7 +42,7 @@
     private boolean closed;
 
     /** Nothing is dialled yet. */
-    public TcpLinks(EventLoop loop, Hello own, Conversation.Listener listener) {
+    public TcpConnectionManager(EventLoop loop, Hello own, PeerConnection.Listener listener) {
         this.loop = loop;
         this.own = own;
         this.listener = listener;
@@ -68,7 +68,7 @@
                         }
                         accepted++;
                         channel.closeFuture().addListener(done -> accepted--);
-                        channel.pipeline().addLast(new TcpConversation(own, false, listener));
+                        channel.pipeline().addLast(new TcpPeerConnection(own, false, listener));
                     }
                 })
                 .bind(address);
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public void want(Collection<String> addresses) {
+    public void setAddresses(Collection<String> addresses) {
         Set<String> wanted = new HashSet<>(addresses);
         wanted.remove(own.address());
         for (String old : List.copyOf(links.keySet())) {
@@ -91,8 +91,8 @@
     }
 
     @Override
-    public List<Conversation> open() {
-        List<Conversation> open = new ArrayList<>();
+    public List<PeerConnection> openConnections() {
+        List<PeerConnection> open = new ArrayList<>();
         links.values().stream().filter(Link::isOpen).forEach(link -> open.add(link.conversation));
         return open;
     }
@@ -100,7 +100,7 @@
     /** Ends all. */
     public void close() {
         closed = true;
-        want(List.of());
+        setAddresses(List.of());
         if (acceptor != null) {
             acceptor.close();
         }
@@ -108,7 +108,7 @@
 
     private final class Link {
         private final String address;
-        private TcpConversation conversation;
+        private TcpPeerConnection conversation;
         private Channel channel;
         private long pause = FIRST_PAUSE_MILLIS;
         private boolean started;
@@ -140,7 +140,7 @@
                 listener.log("can't dial: " + e.getMessage());
                 return;
             }
-            conversation = new TcpConversation(own, true, listener);
+            conversation = new TcpPeerConnection(own, true, listener);
             channel = new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
--- a/src/main/java/tinworks/channel/TcpConversation.java
+++ b/src/main/java/tinworks/channel/TcpPeerConnection.java
@@ -8,18 +8,18 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import tinworks.channel.Signal.Hello;
-import tinworks.channel.Signal.Part;
-import tinworks.channel.Signal.Ping;
+import tinworks.channel.PeerMessage.Hello;
+import tinworks.channel.PeerMessage.NodeRole;
+import tinworks.channel.PeerMessage.Ping;
 import tinworks.logging.Fatal;
 
 /**
- * A conversation over TCP. A frame is a length (4 bytes) and as many bytes of a {@link Signal}; a frame that can't be
- * read closes the connection and harms nothing else. Each side says something once a {@link #PING_MILLIS}, and closes
- * when it has heard nothing for {@link #SILENCE_MILLIS}: a machine without power sends no end of a connection. All on
- * one event loop.
+ * A conversation over TCP. A frame is a length (4 bytes) and as many bytes of a {@link PeerMessage}; a frame that can't
+ * be read closes the connection and harms nothing else. Each side says something once a {@link #PING_MILLIS}, and
+ * closes when it has heard nothing for {@link #SILENCE_MILLIS}: a machine without power sends no end of a connection.
+ * All on one event loop.
  */
-public final class TcpConversation extends ByteToMessageDecoder implements Conversation {
+public final class TcpPeerConnection extends ByteToMessageDecoder implements PeerConnection {
     static final long PING_MILLIS = 1_000;
     static final long SILENCE_MILLIS = 2_600;
     /**
@@ -42,7 +42,7 @@
     private long saidAt;
     private boolean closed;
 
-    TcpConversation(Hello own, boolean dialled, Listener listener) {
+    TcpPeerConnection(Hello own, boolean dialled, Listener listener) {
         this.own = own;
         this.dialled = dialled;
         this.listener = listener;
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public boolean dialled() {
+    public boolean isOutbound() {
         return dialled;
     }
 
@@ -64,7 +64,7 @@
     }
 
     @Override
-    public void send(Signal signal) {
+    public void send(PeerMessage signal) {
         if (channel == null || !channel.isActive()) {
             return;
         }
@@ -73,9 +73,9 @@
             close("the far side doesn't read");
             return;
         }
-        ByteBuffer bytes = SignalCodec.write(signal);
+        ByteBuffer bytes = PeerMessageCodec.write(signal);
         ByteBuf frame = Unpooled.wrappedBuffer(Unpooled.copyInt(bytes.remaining()), Unpooled.wrappedBuffer(bytes));
-        saidAt = SteadyClock.millis();
+        saidAt = MonotonicTime.millis();
         channel.writeAndFlush(frame, channel.voidPromise());
     }
 
@@ -96,7 +96,7 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        openedAt = SteadyClock.millis();
+        openedAt = MonotonicTime.millis();
         heardAt = openedAt;
         send(own);
         channel.eventLoop().schedule(this::watch, PING_MILLIS, TimeUnit.MILLISECONDS);
@@ -106,7 +106,7 @@
         if (!channel.isActive()) {
             return;
         }
-        long now = SteadyClock.millis();
+        long now = MonotonicTime.millis();
         if (now - heardAt > SILENCE_MILLIS) {
             close("silent for " + (now - heardAt) + " ms");
             return;
@@ -123,7 +123,7 @@
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        heardAt = SteadyClock.millis();
+        heardAt = MonotonicTime.millis();
         while (in.readableBytes() >= Integer.BYTES && channel.isActive()) {
             int length = in.getInt(in.readerIndex());
             if (length <= 0 || length > longest()) {
@@ -146,25 +146,25 @@
         if (peer == null) {
             return LONGEST_HELLO;
         }
-        return peer.part() == Part.EDGE ? LONGEST_OF_EDGE : SignalCodec.LONGEST;
+        return peer.role() == NodeRole.EDGE ? LONGEST_OF_EDGE : PeerMessageCodec.LONGEST;
     }
 
     private void take(ByteBuffer bytes) {
         try {
-            Signal signal = SignalCodec.read(bytes);
+            PeerMessage signal = PeerMessageCodec.read(bytes);
             if (peer == null) {
                 greeted(signal);
             } else if (!(signal instanceof Ping)) {
                 listener.received(this, signal);
             }
-        } catch (Malformed e) {
+        } catch (MalformedDataException e) {
             close("can't read a frame: " + e.getMessage());
         }
     }
 
-    private void greeted(Signal signal) throws Malformed {
+    private void greeted(PeerMessage signal) throws MalformedDataException {
         if (!(signal instanceof Hello hello)) {
-            throw new Malformed("no Hello at the start");
+            throw new MalformedDataException("no Hello at the start");
         }
         peer = hello;
         listener.opened(this);
--- a/src/main/java/tinworks/control/ConfigurationFeed.java
+++ b/src/main/java/tinworks/control/ConfigurationFeed.java
@@ -4,7 +4,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import tinworks.channel.ConfigurationCodec;
-import tinworks.channel.Signal;
+import tinworks.channel.PeerMessage;
 import tinworks.config.CompressedBytes;
 import tinworks.config.Configuration;
 import tinworks.config.ConfigurationChange;
@@ -32,8 +32,8 @@
     /** The last version that was looked at, whether or not it could be read. */
     private long followed;
 
-    private Signal whole;
-    private Signal.ConfigurationChanged lastAsked;
+    private PeerMessage whole;
+    private PeerMessage.ConfigurationChanged lastAsked;
 
     /**
      * Follows the history. Its versions were checked before they were taken; one that this program can't read all the
@@ -75,7 +75,7 @@
     }
 
     /** What to tell an edge that holds this version, 0 for none; null while there is nothing to tell. */
-    Signal since(long held) {
+    PeerMessage since(long held) {
         if (newest == null || held >= newest.rev()) {
             return null;
         }
@@ -92,12 +92,13 @@
             }
         }
         if (all != null) {
-            lastAsked = new Signal.ConfigurationChanged(
+            lastAsked = new PeerMessage.ConfigurationChanged(
                     held, newest.rev(), CompressedBytes.pack(ConfigurationCodec.write(all)));
             return lastAsked;
         }
         if (whole == null) {
-            whole = new Signal.ConfigurationBody(newest.rev(), CompressedBytes.pack(ConfigurationCodec.write(newest)));
+            whole = new PeerMessage.ConfigurationBody(
+                    newest.rev(), CompressedBytes.pack(ConfigurationCodec.write(newest)));
         }
         return whole;
     }
--- a/src/main/java/tinworks/control/CoreMachine.java
+++ b/src/main/java/tinworks/control/CoreMachine.java
@@ -10,22 +10,22 @@
 import java.util.TreeSet;
 import java.util.function.BiFunction;
 import java.util.function.LongSupplier;
-import tinworks.channel.Conversation;
-import tinworks.channel.HostHistory;
+import tinworks.channel.ConnectionManager;
 import tinworks.channel.HostList;
+import tinworks.channel.HostListHistory;
 import tinworks.channel.HostListVersion;
-import tinworks.channel.Links;
-import tinworks.channel.Signal;
-import tinworks.channel.Signal.Announce;
-import tinworks.channel.Signal.Call;
-import tinworks.channel.Signal.CallAnswer;
-import tinworks.channel.Signal.Hosts;
-import tinworks.channel.Signal.HostsChanged;
-import tinworks.channel.Signal.Join;
-import tinworks.channel.Signal.Leave;
-import tinworks.channel.Signal.Part;
-import tinworks.channel.Signal.PullConfiguration;
-import tinworks.channel.Signal.PullHosts;
+import tinworks.channel.PeerConnection;
+import tinworks.channel.PeerMessage;
+import tinworks.channel.PeerMessage.Announce;
+import tinworks.channel.PeerMessage.Call;
+import tinworks.channel.PeerMessage.CallResponse;
+import tinworks.channel.PeerMessage.Hosts;
+import tinworks.channel.PeerMessage.HostsChanged;
+import tinworks.channel.PeerMessage.Join;
+import tinworks.channel.PeerMessage.Leave;
+import tinworks.channel.PeerMessage.NodeRole;
+import tinworks.channel.PeerMessage.PullConfiguration;
+import tinworks.channel.PeerMessage.PullHosts;
 import tinworks.raft.Member;
 import tinworks.raft.Message;
 import tinworks.raft.PersistentState;
@@ -38,14 +38,14 @@
  * others, and what it tells the edges. The leader alone has the platform's list fetched; the others pull it from there
  * and pass it on. All methods belong to one thread.
  */
-class CoreMachine implements Conversation.Listener, Agreement.Owner {
+class CoreMachine implements PeerConnection.Listener, Agreement.Owner {
     /** The process round a core machine. */
     interface Environment {
         /** A steady clock's milliseconds. */
         long millis();
 
         /** The connections to other core machines. */
-        Links links();
+        ConnectionManager links();
 
         /** The addresses of core machines that the settings name at present. */
         List<String> seeds();
@@ -86,7 +86,7 @@
     private final Raft raft;
     private final VoterPlan plan;
     private final OperatorCalls calls;
-    private final Set<Conversation> conversations = new LinkedHashSet<>();
+    private final Set<PeerConnection> conversations = new LinkedHashSet<>();
     private final Map<Long, Long> joins = new HashMap<>();
     /** When each that is about to end said so. */
     private final Map<Long, Long> leaves = new HashMap<>();
@@ -99,7 +99,7 @@
     /** The term of the leader that told of {@link #announced}. */
     private long announcedTerm;
 
-    private final HostHistory hosts = new HostHistory();
+    private final HostListHistory hosts = new HostListHistory();
     private final ConfigurationFeed configurations = new ConfigurationFeed();
     private long announcedRev = -1;
     private boolean announcedLead;
@@ -148,9 +148,9 @@
     boolean retire() {
         around.fetchList(false);
         // To all: whoever leads next has to know it too.
-        Signal leave = new Leave(id);
+        PeerMessage leave = new Leave(id);
         conversations.stream()
-                .filter(c -> c.isOpen() && c.peer().part() == Part.CORE)
+                .filter(c -> c.isOpen() && c.peer().role() == NodeRole.CORE)
                 .toList()
                 .forEach(c -> c.send(leave));
         if (raft.role() == Raft.Role.LEADER) {
@@ -194,21 +194,21 @@
     /** How many edges are linked here. */
     int edges() {
         int edges = 0;
-        for (Conversation c : conversations) {
-            edges += c.isOpen() && c.peer().part() == Part.EDGE ? 1 : 0;
+        for (PeerConnection c : conversations) {
+            edges += c.isOpen() && c.peer().role() == NodeRole.EDGE ? 1 : 0;
         }
         return edges;
     }
 
     /** An open conversation with the leader, or null where none is known or this machine leads. */
-    Conversation leader() {
+    PeerConnection leader() {
         return raft.leader() == 0 || raft.leader() == id ? null : conversation(raft.leader());
     }
 
     /** The newest open one: an older one may lead to an earlier life of that machine, which ended without a word. */
-    private Conversation conversation(long peer) {
-        Conversation newest = null;
-        for (Conversation c : conversations) {
+    private PeerConnection conversation(long peer) {
+        PeerConnection newest = null;
+        for (PeerConnection c : conversations) {
             if (c.peer().id() == peer && c.isOpen()) {
                 newest = c;
             }
@@ -232,13 +232,13 @@
         // One that was voted out while it was away doesn't know it, and nobody sends it the log.
         if (raft.shouldRequestJoin() && now >= joinAt) {
             joinAt = now + JOIN_MILLIS;
-            Signal join = new Join(new Member(id, self.address()));
-            around.links().open().forEach(c -> c.send(join));
+            PeerMessage join = new Join(new Member(id, self.address()));
+            around.links().openConnections().forEach(c -> c.send(join));
         }
         if (now >= planAt) {
             planAt = now + PLAN_MILLIS;
             planVoters(now);
-            around.links().want(wantedCores(now));
+            around.links().setAddresses(wantedCores(now));
         }
         if (now >= announceAt || (leads() && !announcedLead)) {
             announce();
@@ -333,7 +333,7 @@
             fetched = null;
         } else if (fetched != null && mayNumber()) {
             HostListVersion old = hosts().version();
-            if (old.term() != raft.term() || !hosts().sameAs(fetched)) {
+            if (old.term() != raft.term() || !hosts().hasSameHosts(fetched)) {
                 hosts.advance(new HostList(
                         new HostListVersion(raft.term(), old.term() == raft.term() ? old.count() + 1 : 1), fetched));
                 announce();
@@ -355,8 +355,8 @@
         announceAt = around.millis() + ANNOUNCE_MILLIS;
         announcedRev = agreement.history().rev();
         Announce said = said();
-        announcedLead = said.leads();
-        conversations.stream().filter(c -> !c.dialled()).toList().forEach(c -> c.send(said));
+        announcedLead = said.leader();
+        conversations.stream().filter(c -> !c.isOutbound()).toList().forEach(c -> c.send(said));
     }
 
     private Announce said() {
@@ -375,24 +375,24 @@
     // ---- what it hears
 
     @Override
-    public void opened(Conversation conversation) {
+    public void opened(PeerConnection conversation) {
         conversations.add(conversation);
-        if (!conversation.dialled()) {
+        if (!conversation.isOutbound()) {
             conversation.send(said());
         }
     }
 
     @Override
-    public void closed(Conversation conversation) {
+    public void closed(PeerConnection conversation) {
         conversations.remove(conversation);
     }
 
     @Override
-    public void received(Conversation from, Signal signal) {
-        if (from.peer().part() == Part.CORE) {
+    public void received(PeerConnection from, PeerMessage signal) {
+        if (from.peer().role() == NodeRole.CORE) {
             heardAt.put(from.peer().id(), around.millis());
         }
-        if (signal instanceof Signal.Agreement s) {
+        if (signal instanceof PeerMessage.RaftMessage s) {
             if (s.to() == id) {
                 agreement.receive(s.from(), s.message());
             }
@@ -407,23 +407,23 @@
             planAt = around.millis();
         } else if (signal instanceof PullConfiguration s) {
             configurations.follow(agreement.history());
-            Signal newer = configurations.since(s.held());
+            PeerMessage newer = configurations.since(s.heldRev());
             if (newer != null) {
                 from.send(newer);
             }
         } else if (signal instanceof PullHosts s) {
-            from.send(hosts.since(s.held()));
+            from.send(hosts.since(s.heldVersion()));
         } else if (signal instanceof Announce s) {
             heard(from, s);
         } else if (signal instanceof Hosts s) {
             took(s.list());
         } else if (signal instanceof HostsChanged s) {
-            if (s.change().base().is(hosts().version())) {
-                took(s.change().appliedTo(hosts()));
+            if (s.change().base().isSameAs(hosts().version())) {
+                took(s.change().applyTo(hosts()));
             }
         } else if (signal instanceof Call s) {
             calls.called(s, answer -> from.send(answer));
-        } else if (signal instanceof CallAnswer s) {
+        } else if (signal instanceof CallResponse s) {
             calls.answered(from, s);
         }
     }
@@ -436,18 +436,18 @@
         }
     }
 
-    private void heard(Conversation from, Announce s) {
+    private void heard(PeerConnection from, Announce s) {
         // Guards against what an old leader said before it knew of a later one.
-        if (s.leads() && raft.role() != Raft.Role.LEADER && s.term() >= announcedTerm) {
+        if (s.leader() && raft.role() != Raft.Role.LEADER && s.term() >= announcedTerm) {
             announcedTerm = s.term();
             announced.clear();
-            announced.addAll(s.cores());
+            announced.addAll(s.coreAddresses());
         } else if (s.fresh() && !fresh() && s.term() >= announcedTerm) {
             // The way to the leader leads through those who hear it.
-            announced.addAll(s.cores());
+            announced.addAll(s.coreAddresses());
         }
         long now = around.millis();
-        if (s.hosts().compareTo(hosts().version()) > 0 && now - pulledAt > PULL_AGAIN_MILLIS) {
+        if (s.hostListVersion().compareTo(hosts().version()) > 0 && now - pulledAt > PULL_AGAIN_MILLIS) {
             pulledAt = now;
             from.send(new PullHosts(hosts().version()));
         }
@@ -455,9 +455,9 @@
 
     @Override
     public void send(long to, Message message) {
-        Conversation conversation = conversation(to);
+        PeerConnection conversation = conversation(to);
         if (conversation != null) {
-            conversation.send(new Signal.Agreement(id, to, message));
+            conversation.send(new PeerMessage.RaftMessage(id, to, message));
         }
     }
 
--- a/src/main/java/tinworks/control/CoreNode.java
+++ b/src/main/java/tinworks/control/CoreNode.java
@@ -6,11 +6,11 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tinworks.channel.Links;
-import tinworks.channel.Signal.Hello;
-import tinworks.channel.Signal.Part;
-import tinworks.channel.SteadyClock;
-import tinworks.channel.TcpLinks;
+import tinworks.channel.ConnectionManager;
+import tinworks.channel.MonotonicTime;
+import tinworks.channel.PeerMessage.Hello;
+import tinworks.channel.PeerMessage.NodeRole;
+import tinworks.channel.TcpConnectionManager;
 import tinworks.logging.Fatal;
 import tinworks.net.MonotonicClock;
 import tinworks.node.BootSettings;
@@ -29,7 +29,7 @@
     private final BootSettings settings;
     private final DiskThread disk;
     private final CoreMachine machine;
-    private final TcpLinks links;
+    private final TcpConnectionManager links;
     private final HostPoller poller;
     private final OperatorServer operator;
     private final StallWatch stalls = new StallWatch(CoreMachine.TICK_MILLIS);
@@ -44,8 +44,8 @@
         disk = new DiskThread(work -> loop.execute(() -> orEnd(work)), store, this::log);
         machine = new CoreMachine(
                 new CoreMachine.Identity(id, settings.innerAddress(), settings.losses()), stored, disk, this);
-        links = new TcpLinks(
-                loop, new Hello(Part.CORE, id, settings.innerAddress(), settings.node(), settings.zone()), machine);
+        links = new TcpConnectionManager(
+                loop, new Hello(NodeRole.CORE, id, settings.innerAddress(), settings.node(), settings.zone()), machine);
         poller = new HostPoller(loop, clock, settings.provider(), id, machine::listed, this::log);
         operator = new OperatorServer(loop, clock, settings.node(), machine, stalls);
         LOG.info(
@@ -117,11 +117,11 @@
 
     @Override
     public long millis() {
-        return SteadyClock.millis();
+        return MonotonicTime.millis();
     }
 
     @Override
-    public Links links() {
+    public ConnectionManager links() {
         return links;
     }
 
--- a/src/main/java/tinworks/control/OperatorCalls.java
+++ b/src/main/java/tinworks/control/OperatorCalls.java
@@ -11,9 +11,9 @@
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tinworks.channel.Conversation;
-import tinworks.channel.Signal.Call;
-import tinworks.channel.Signal.CallAnswer;
+import tinworks.channel.PeerConnection;
+import tinworks.channel.PeerMessage.Call;
+import tinworks.channel.PeerMessage.CallResponse;
 import tinworks.config.CompressedBytes;
 import tinworks.config.ConfigurationHistory;
 import tinworks.config.ConfigurationHistory.Verdict;
@@ -63,12 +63,12 @@
     private static final class Waiting {
         final boolean read;
         final byte[] command;
-        final Consumer<CallAnswer> told;
+        final Consumer<CallResponse> told;
         final long until;
-        Conversation passedTo;
+        PeerConnection passedTo;
         boolean atWork;
 
-        Waiting(boolean read, byte[] command, Consumer<CallAnswer> told, long until) {
+        Waiting(boolean read, byte[] command, Consumer<CallResponse> told, long until) {
             this.read = read;
             this.command = command;
             this.told = told;
@@ -87,7 +87,7 @@
     }
 
     /** A call that was checked: the command that it comes to, or else the answer why there is none. */
-    record Checked(byte[] command, CallAnswer refusal) {
+    record Checked(byte[] command, CallResponse refusal) {
         @Override
         public String toString() {
             return command == null
@@ -110,17 +110,17 @@
                     ? new Checked(command, null)
                     : new Checked(
                             null,
-                            new CallAnswer(
+                            new CallResponse(
                                     0, TOO_LONG, error("", "over " + LONGEST_COMMAND + " bytes when it is packed")));
         } catch (InvalidConfiguration e) {
             LOG.info("refused a configuration: {}", e.getMessage());
             int status = e.isTooLarge() ? TOO_LONG : INVALID;
-            return new Checked(null, new CallAnswer(0, status, error(e.where(), e.getMessage())));
+            return new Checked(null, new CallResponse(0, status, error(e.where(), e.getMessage())));
         }
     }
 
     /** A whole configuration that was checked; the answer's number means nothing. */
-    void replace(Checked call, Consumer<CallAnswer> told) {
+    void replace(Checked call, Consumer<CallResponse> told) {
         if (call.refusal() != null) {
             told.accept(call.refusal());
         } else {
@@ -129,12 +129,12 @@
     }
 
     /** A whole configuration, with what the header says that it builds on; the answer's number means nothing. */
-    void replace(List<String> bases, byte[] body, Consumer<CallAnswer> told) {
+    void replace(List<String> bases, byte[] body, Consumer<CallResponse> told) {
         replace(check(bases, new ByteArrayInputStream(body), ByteBuffer.wrap(body)), told);
     }
 
     /** The newest configuration, {@link CompressedBytes} where the status is {@link #OK}. */
-    void show(Consumer<CallAnswer> told) {
+    void show(Consumer<CallResponse> told) {
         submit(true, new byte[0], told);
     }
 
@@ -153,16 +153,16 @@
     // ---- calls, from the operator or passed on by another machine
 
     /** A call that another machine has passed on. */
-    void called(Call call, Consumer<CallAnswer> told) {
+    void called(Call call, Consumer<CallResponse> told) {
         if (machine.agreement().raft().role() == Raft.Role.LEADER) {
-            submit(call.read(), call.body(), a -> told.accept(new CallAnswer(call.number(), a.status(), a.body())));
+            submit(call.read(), call.body(), a -> told.accept(new CallResponse(call.number(), a.status(), a.body())));
         } else {
-            told.accept(new CallAnswer(call.number(), UNCLEAR, error("", "not the leader")));
+            told.accept(new CallResponse(call.number(), UNCLEAR, error("", "not the leader")));
         }
     }
 
     /** The leader's answer to a call that was passed on. */
-    void answered(Conversation from, CallAnswer answer) {
+    void answered(PeerConnection from, CallResponse answer) {
         Waiting call = waiting.get(answer.number());
         if (call != null && !isAsked(call.passedTo, from)) {
             return;
@@ -178,16 +178,16 @@
     }
 
     /** Guards against an answer to another call of the same number: numbers begin anew with each life of a process. */
-    boolean isAsked(Conversation passedTo, Conversation from) {
+    boolean isAsked(PeerConnection passedTo, PeerConnection from) {
         return passedTo == from;
     }
 
     /**
      * Guards against calls that together are more than the memory; each is told to come back, and nothing became of it.
      */
-    private void submit(boolean read, byte[] command, Consumer<CallAnswer> told) {
+    private void submit(boolean read, byte[] command, Consumer<CallResponse> told) {
         if (!waiting.isEmpty() && held + command.length > MOST_HELD) {
-            told.accept(new CallAnswer(0, UNCLEAR, error("", "too many calls at once")));
+            told.accept(new CallResponse(0, UNCLEAR, error("", "too many calls at once")));
             return;
         }
         held += command.length;
@@ -207,7 +207,8 @@
             Waiting call = entry.getValue();
             if (now >= call.until) {
                 remove(entry.getKey());
-                call.told.accept(new CallAnswer(entry.getKey(), UNCLEAR, error("", "no answer from a leader in time")));
+                call.told.accept(
+                        new CallResponse(entry.getKey(), UNCLEAR, error("", "no answer from a leader in time")));
             } else {
                 call.atWork &= call.passedTo == null || call.passedTo.isOpen();
                 work(entry.getKey(), call);
@@ -283,7 +284,7 @@
     }
 
     /** Null where it is open: the call goes on until its time is over. */
-    private void done(long number, CallAnswer answer) {
+    private void done(long number, CallResponse answer) {
         Waiting call = waiting.get(number);
         if (call == null) {
             return;
@@ -297,28 +298,28 @@
     }
 
     /** Null where it is open. A repeat is confirmed under its own number, whatever has come on top of it since. */
-    private CallAnswer verdict(Verdict verdict, long rev) {
+    private CallResponse verdict(Verdict verdict, long rev) {
         long current = machine.agreement().history().rev();
         if (verdict == Verdict.TAKEN) {
             Invariant.ACKNOWLEDGED_IS_APPLIED.check(rev <= current, () -> rev + " where " + current + " is applied");
             newestTold = Math.max(newestTold, rev);
         }
         return switch (verdict) {
-            case TAKEN -> new CallAnswer(0, OK, ("{\"rev\":" + rev + "}\n").getBytes(StandardCharsets.UTF_8));
-            case CONFLICT -> new CallAnswer(0, CONFLICT, error(BASE, "the current version is " + current));
-            case NOT_ABOVE -> new CallAnswer(0, INVALID, error("rev", "not above the version that it builds on"));
+            case TAKEN -> new CallResponse(0, OK, ("{\"rev\":" + rev + "}\n").getBytes(StandardCharsets.UTF_8));
+            case CONFLICT -> new CallResponse(0, CONFLICT, error(BASE, "the current version is " + current));
+            case NOT_ABOVE -> new CallResponse(0, INVALID, error("rev", "not above the version that it builds on"));
             case FORGOTTEN -> null;
         };
     }
 
-    private CallAnswer show() {
+    private CallResponse show() {
         ConfigurationHistory history = machine.agreement().history();
         Invariant.SHOWN_IS_NEWEST.check(
                 history.rev() >= newestTold, () -> history.rev() + " is shown after " + newestTold);
         newestTold = Math.max(newestTold, history.rev());
         return history.rev() == 0
-                ? new CallAnswer(0, NOT_FOUND, error("", "no configuration yet"))
-                : new CallAnswer(0, OK, history.packed());
+                ? new CallResponse(0, NOT_FOUND, error("", "no configuration yet"))
+                : new CallResponse(0, OK, history.packed());
     }
 
     private static byte[] error(String where, String what) {
--- a/src/main/java/tinworks/control/OperatorServer.java
+++ b/src/main/java/tinworks/control/OperatorServer.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tinworks.channel.Signal.CallAnswer;
-import tinworks.channel.SteadyClock;
+import tinworks.channel.MonotonicTime;
+import tinworks.channel.PeerMessage.CallResponse;
 import tinworks.config.CompressedBytes;
 import tinworks.config.ConfigurationHistory;
 import tinworks.metrics.MetricsPage;
@@ -107,7 +107,7 @@
             machine.calls().show(answer -> show(reply, answer));
         } else if (path.equals(STATUS)) {
             need(request, HttpMethod.GET);
-            write(reply, new CallAnswer(0, OperatorCalls.OK, status().getBytes(StandardCharsets.UTF_8)));
+            write(reply, new CallResponse(0, OperatorCalls.OK, status().getBytes(StandardCharsets.UTF_8)));
         } else if (path.equals(METRICS)) {
             need(request, HttpMethod.GET);
             reply.write(
@@ -132,11 +132,11 @@
      */
     private void replace(FullHttpRequest request, Reply reply) {
         if (checks.isShutdown()) {
-            write(reply, new CallAnswer(0, OperatorCalls.UNCLEAR, ENDING));
+            write(reply, new CallResponse(0, OperatorCalls.UNCLEAR, ENDING));
             return;
         }
         reply.retainRequest(request);
-        long arrivedAt = SteadyClock.millis();
+        long arrivedAt = MonotonicTime.millis();
         checks.execute(() -> {
             OperatorCalls.Checked checked = checked(request);
             loop.execute(() -> {
@@ -146,7 +146,7 @@
                             "replace {}: {} after {} ms, {} leads",
                             checked,
                             answer.status(),
-                            SteadyClock.millis() - arrivedAt,
+                            MonotonicTime.millis() - arrivedAt,
                             machine.leads() ? "this machine" : machine.leader() == null ? "nobody" : "another");
                     write(reply, answer);
                 });
@@ -162,29 +162,29 @@
                     request.content().nioBuffers());
         } catch (IllegalArgumentException | IllegalStateException e) {
             LOG.error("a configuration could not be checked", e);
-            return new OperatorCalls.Checked(null, new CallAnswer(0, OperatorCalls.UNCLEAR, UNCHECKED));
+            return new OperatorCalls.Checked(null, new CallResponse(0, OperatorCalls.UNCLEAR, UNCHECKED));
         }
     }
 
     /** The configuration as it was sent, while there is room for it; a client may be slow to take it. */
-    private void show(Reply reply, CallAnswer answer) {
+    private void show(Reply reply, CallResponse answer) {
         int length = answer.status() == OperatorCalls.OK ? CompressedBytes.length(answer.body()) : 0;
         if (length == 0) {
             write(reply, answer);
         } else if (!bodies.tryReserve(length)) {
-            write(reply, new CallAnswer(0, OperatorCalls.UNCLEAR, NO_ROOM));
+            write(reply, new CallResponse(0, OperatorCalls.UNCLEAR, NO_ROOM));
         } else {
             reply.onWritten(() -> bodies.release(length));
             write(
                     reply,
-                    new CallAnswer(
+                    new CallResponse(
                             0,
                             OperatorCalls.OK,
                             CompressedBytes.unpack(answer.body(), ConfigurationHistory.LONGEST_BODY)));
         }
     }
 
-    private static void write(Reply reply, CallAnswer answer) {
+    private static void write(Reply reply, CallResponse answer) {
         HttpHeaders headers = new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
         reply.write(
                 HttpResponseStatus.valueOf(answer.status()),
--- a/src/main/java/tinworks/demo/HollowEdges.java
+++ b/src/main/java/tinworks/demo/HollowEdges.java
@@ -13,18 +13,18 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.LongAdder;
 import java.util.function.Supplier;
-import tinworks.channel.Conversation;
 import tinworks.channel.HostList;
 import tinworks.channel.HostListVersion;
-import tinworks.channel.Signal;
-import tinworks.channel.Signal.Announce;
-import tinworks.channel.Signal.Hello;
-import tinworks.channel.Signal.Hosts;
-import tinworks.channel.Signal.HostsChanged;
-import tinworks.channel.Signal.Part;
-import tinworks.channel.SignalCodec;
-import tinworks.channel.SteadyClock;
-import tinworks.channel.TcpLinks;
+import tinworks.channel.MonotonicTime;
+import tinworks.channel.PeerConnection;
+import tinworks.channel.PeerMessage;
+import tinworks.channel.PeerMessage.Announce;
+import tinworks.channel.PeerMessage.Hello;
+import tinworks.channel.PeerMessage.Hosts;
+import tinworks.channel.PeerMessage.HostsChanged;
+import tinworks.channel.PeerMessage.NodeRole;
+import tinworks.channel.PeerMessageCodec;
+import tinworks.channel.TcpConnectionManager;
 import tinworks.config.Configuration;
 import tinworks.edge.CoreFollower;
 import tinworks.net.ClosingEventLoopGroup;
@@ -116,24 +116,24 @@
         group.shutdownGracefully(0, 100, TimeUnit.MILLISECONDS).awaitUninterruptibly(TimeUnit.SECONDS.toMillis(5));
     }
 
-    private final class HollowEdge implements CoreFollower.Callbacks, Conversation.Listener {
+    private final class HollowEdge implements CoreFollower.Callbacks, PeerConnection.Listener {
         private final EventLoop loop;
         private final int number;
-        private final TcpLinks links;
+        private final TcpConnectionManager links;
         private final CoreFollower follower;
         private boolean ended;
 
         HollowEdge(EventLoop loop, int number) {
             this.loop = loop;
             this.number = number;
-            links = new TcpLinks(
-                    loop, new Hello(Part.EDGE, number + 1, "", "hollow-" + number, "zone-" + number % ZONES), this);
+            links = new TcpConnectionManager(
+                    loop, new Hello(NodeRole.EDGE, number + 1, "", "hollow-" + number, "zone-" + number % ZONES), this);
             follower = new CoreFollower(this);
         }
 
         void tick() {
             if (!ended) {
-                links.want(follower.addressesToDial(seeds));
+                links.setAddresses(follower.addressesToDial(seeds));
                 loop.schedule(this::tick, TICK_MILLIS, TimeUnit.MILLISECONDS);
             }
         }
@@ -150,20 +150,20 @@
         // ---- Conversation.Listener
 
         @Override
-        public void opened(Conversation conversation) {
+        public void opened(PeerConnection conversation) {
             open.incrementAndGet();
             saw(Event.LINKED, 0, null);
             follower.opened(conversation);
         }
 
         @Override
-        public void closed(Conversation conversation) {
+        public void closed(PeerConnection conversation) {
             open.decrementAndGet();
             follower.closed(conversation);
         }
 
         @Override
-        public void received(Conversation from, Signal signal) {
+        public void received(PeerConnection from, PeerMessage signal) {
             (signal instanceof Announce ? announcements : answers).increment();
             if (signal instanceof Hosts s) {
                 HostList list = shared(s.list().version(), s::list);
@@ -173,10 +173,10 @@
             }
             bytes.add(size(signal));
             if (signal instanceof HostsChanged s
-                    && s.change().base().is(follower.hostList().version())) {
+                    && s.change().base().isSameAs(follower.hostList().version())) {
                 follower.received(
                         from,
-                        new Hosts(shared(s.change().version(), () -> s.change().appliedTo(follower.hostList()))));
+                        new Hosts(shared(s.change().version(), () -> s.change().applyTo(follower.hostList()))));
             } else {
                 follower.received(from, signal);
             }
@@ -188,8 +188,8 @@
             return lists.computeIfAbsent(version, any -> read.get());
         }
 
-        private static long size(Signal signal) {
-            return (long) Integer.BYTES + SignalCodec.write(signal).remaining();
+        private static long size(PeerMessage signal) {
+            return (long) Integer.BYTES + PeerMessageCodec.write(signal).remaining();
         }
 
         @Override
@@ -201,7 +201,7 @@
 
         @Override
         public long millis() {
-            return SteadyClock.millis();
+            return MonotonicTime.millis();
         }
 
         @Override
--- a/src/main/java/tinworks/edge/CoreFollower.java
+++ b/src/main/java/tinworks/edge/CoreFollower.java
@@ -5,16 +5,16 @@
 import java.util.TreeSet;
 import java.util.concurrent.Callable;
 import tinworks.channel.ConfigurationCodec;
-import tinworks.channel.Conversation;
 import tinworks.channel.HostList;
-import tinworks.channel.Signal;
-import tinworks.channel.Signal.Announce;
-import tinworks.channel.Signal.ConfigurationBody;
-import tinworks.channel.Signal.ConfigurationChanged;
-import tinworks.channel.Signal.Hosts;
-import tinworks.channel.Signal.HostsChanged;
-import tinworks.channel.Signal.PullConfiguration;
-import tinworks.channel.Signal.PullHosts;
+import tinworks.channel.PeerConnection;
+import tinworks.channel.PeerMessage;
+import tinworks.channel.PeerMessage.Announce;
+import tinworks.channel.PeerMessage.ConfigurationBody;
+import tinworks.channel.PeerMessage.ConfigurationChanged;
+import tinworks.channel.PeerMessage.Hosts;
+import tinworks.channel.PeerMessage.HostsChanged;
+import tinworks.channel.PeerMessage.PullConfiguration;
+import tinworks.channel.PeerMessage.PullHosts;
 import tinworks.config.CompressedBytes;
 import tinworks.config.Configuration;
 
@@ -23,7 +23,7 @@
  * pulls from any core node that announces a newer version, and versions never decrease. It owns no sockets, threads or
  * clock; all methods must be called from one thread.
  */
-public class CoreFollower implements Conversation.Listener {
+public class CoreFollower implements PeerConnection.Listener {
     /** What the enclosing edge provides, and the changes that it is notified of. */
     public interface Callbacks {
         /** The time of a monotonic clock, in milliseconds. */
@@ -141,30 +141,30 @@
     // ---- messages received
 
     @Override
-    public void opened(Conversation conversation) {
+    public void opened(PeerConnection conversation) {
         // The core node announces itself.
     }
 
     @Override
-    public void closed(Conversation conversation) {
+    public void closed(PeerConnection conversation) {
         // A pending pull is repeated on the next announcement of another core node.
     }
 
     @Override
-    public void received(Conversation from, Signal signal) {
+    public void received(PeerConnection from, PeerMessage signal) {
         if (signal instanceof Announce s) {
             announcementReceived(from, s);
         } else if (signal instanceof ConfigurationBody s) {
             startDecoding(
                     s.rev(),
-                    () -> ConfigurationCodec.read(CompressedBytes.unpack(s.packed(), MAX_CONFIGURATION_BYTES)));
+                    () -> ConfigurationCodec.read(CompressedBytes.unpack(s.compressed(), MAX_CONFIGURATION_BYTES)));
         } else if (signal instanceof ConfigurationChanged s) {
             changeReceived(from, s);
         } else if (signal instanceof Hosts s) {
             hostsReceived(s.list());
         } else if (signal instanceof HostsChanged s) {
-            if (s.change().base().is(hostList.version())) {
-                hostsReceived(s.change().appliedTo(hostList));
+            if (s.change().base().isSameAs(hostList.version())) {
+                hostsReceived(s.change().applyTo(hostList));
             }
         }
     }
@@ -183,29 +183,29 @@
         }
     }
 
-    private void announcementReceived(Conversation from, Announce s) {
+    private void announcementReceived(PeerConnection from, Announce s) {
         long now = callbacks.millis();
         boolean fresh = s.fresh() && !isFromEarlierTerm(s);
         if (fresh) {
             leaderContactAtMillis = now;
         }
-        if (s.leads() && !isFromEarlierTerm(s)) {
+        if (s.leader() && !isFromEarlierTerm(s)) {
             term = s.term();
-            cores = Set.copyOf(s.cores());
+            cores = Set.copyOf(s.coreAddresses());
             hintedCores.clear();
-            updateEdgeCount(s.edges());
+            updateEdgeCount(s.edgeCount());
         } else if (cores.isEmpty() && fresh) {
-            cores = Set.copyOf(s.cores());
+            cores = Set.copyOf(s.coreAddresses());
         } else if (!fresh && (cores.isEmpty() || isCoreUnreachable())) {
-            hintedCores.addAll(s.cores());
+            hintedCores.addAll(s.coreAddresses());
         }
         if (isNewer(s.rev()) && now - configurationPulledAtMillis > PULL_RETRY_MILLIS) {
             configurationPulledAtMillis = now;
             from.send(new PullConfiguration(rev()));
         }
-        freshness.announced(s.rev(), s.hosts(), fresh);
+        freshness.announced(s.rev(), s.hostListVersion(), fresh);
         freshness.holds(rev(), hostList.version());
-        if (s.hosts().compareTo(hostList.version()) > 0 && now - hostsPulledAtMillis > PULL_RETRY_MILLIS) {
+        if (s.hostListVersion().compareTo(hostList.version()) > 0 && now - hostsPulledAtMillis > PULL_RETRY_MILLIS) {
             hostsPulledAtMillis = now;
             from.send(new PullHosts(hostList.version()));
         }
@@ -230,12 +230,12 @@
      * Applies a delta to the version in use. The delta is against another version if one came into use since the pull;
      * then the edge pulls again.
      */
-    private void changeReceived(Conversation from, ConfigurationChanged s) {
+    private void changeReceived(PeerConnection from, ConfigurationChanged s) {
         Configuration held = configuration;
         if (s.base() == rev()) {
             startDecoding(
                     s.rev(),
-                    () -> ConfigurationCodec.readChange(CompressedBytes.unpack(s.packed(), MAX_CONFIGURATION_BYTES))
+                    () -> ConfigurationCodec.readChange(CompressedBytes.unpack(s.compressed(), MAX_CONFIGURATION_BYTES))
                             .appliedTo(held));
         } else if (isNewer(s.rev())) {
             from.send(new PullConfiguration(rev()));
--- a/src/main/java/tinworks/edge/Edge.java
+++ b/src/main/java/tinworks/edge/Edge.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeoutException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tinworks.channel.SteadyClock;
+import tinworks.channel.MonotonicTime;
 import tinworks.node.BootSettings;
 import tinworks.node.NodeProcess;
 
@@ -37,7 +37,8 @@
                 .nextLong();
         EdgeNode node = process.call(() -> new EdgeNode(process.loop(), process.clock(), settings, id));
         process.onChange(node::settingsChanged);
-        process.onEnd(() -> shutDown(process, node, SteadyClock.millis(), settings.graceMillis() - KILL_MARGIN_MILLIS));
+        process.onEnd(
+                () -> shutDown(process, node, MonotonicTime.millis(), settings.graceMillis() - KILL_MARGIN_MILLIS));
         List<ChannelFuture> bound = process.call(node::start);
         process.awaitBound(bound);
     }
@@ -46,7 +47,7 @@
             throws InterruptedException {
         CompletableFuture<Void> shutdown = process.call(() -> node.shutDown(signalledAtMillis));
         try {
-            shutdown.get(signalledAtMillis + maxMillis - SteadyClock.millis(), TimeUnit.MILLISECONDS);
+            shutdown.get(signalledAtMillis + maxMillis - MonotonicTime.millis(), TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException e) {
             LOG.warn("process ends before all requests were answered: {}", e.toString());
         }
--- a/src/main/java/tinworks/edge/EdgeNode.java
+++ b/src/main/java/tinworks/edge/EdgeNode.java
@@ -17,10 +17,10 @@
 import org.slf4j.LoggerFactory;
 import tinworks.channel.HostList;
 import tinworks.channel.HostList.Host;
-import tinworks.channel.Signal.Hello;
-import tinworks.channel.Signal.Part;
-import tinworks.channel.SteadyClock;
-import tinworks.channel.TcpLinks;
+import tinworks.channel.MonotonicTime;
+import tinworks.channel.PeerMessage.Hello;
+import tinworks.channel.PeerMessage.NodeRole;
+import tinworks.channel.TcpConnectionManager;
 import tinworks.config.Configuration;
 import tinworks.config.Configuration.Limits;
 import tinworks.invariant.Invariant;
@@ -72,7 +72,7 @@
     private final EdgeMemory memory = EdgeMemory.ofThisProcess();
     private final MonotonicClock clock;
     private final SplittableRandom random;
-    private final TcpLinks links;
+    private final TcpConnectionManager links;
     private final HostPoller poller;
     private final HostPool hosts;
     private final EdgeProtocol protocol;
@@ -92,7 +92,7 @@
     /** The current hosts by id, as last listed by a core node or by the platform itself. */
     private Map<String, Host> hostsById = Map.of();
 
-    private final RequestJournal journal = new RequestJournal(SteadyClock::millis, LOG::info);
+    private final RequestJournal journal = new RequestJournal(MonotonicTime::millis, LOG::info);
     private final StallWatch stalls = new StallWatch(TICK_MILLIS);
     private final DrainedHosts drained = new DrainedHosts();
     /** The request classes of each service under the current configuration. */
@@ -117,7 +117,8 @@
         random = new SplittableRandom(id);
         protocol = new EdgeProtocol(id);
         core = new CoreFollower(this);
-        links = new TcpLinks(loop, new Hello(Part.EDGE, id, "", settings.node(), settings.zone()), core);
+        links = new TcpConnectionManager(
+                loop, new Hello(NodeRole.EDGE, id, "", settings.node(), settings.zone()), core);
         poller = new HostPoller(loop, clock, settings.provider(), id, this::updateHosts, this::log);
         hosts = new HostPool(
                 loop,
@@ -173,7 +174,7 @@
         if (shuttingDown) {
             return List.of();
         }
-        links.want(currentSettings.seeds());
+        links.setAddresses(currentSettings.seeds());
         tick();
         if (settings.bootstrap()) {
             // The whole system starts for the first time, so no client is connected yet: there is time to warm up.
@@ -202,7 +203,7 @@
      * to it. Then it closes each connection with its next response (connection draining). Then it stops accepting
      * connections and completes the requests in flight. To be called on the event loop.
      *
-     * @param signalledAtMillis when the signal arrived, by {@link SteadyClock}: the grace period runs from then, even
+     * @param signalledAtMillis when the signal arrived, by {@link MonotonicTime}: the grace period runs from then, even
      *     if the event loop was busy
      */
     public CompletableFuture<Void> shutDown(long signalledAtMillis) {
@@ -235,7 +236,7 @@
 
     private void notifyOfShutdown(Forwarding service) {
         service.dispatch(new ShutdownStarted(
-                TimeUnit.MILLISECONDS.toNanos(Math.max(0, shutdownDeadlineMillis - SteadyClock.millis()))));
+                TimeUnit.MILLISECONDS.toNanos(Math.max(0, shutdownDeadlineMillis - MonotonicTime.millis()))));
     }
 
     private void completeWhenDrained() {
@@ -251,7 +252,7 @@
 
     private void tick() {
         loop.schedule(this::tick, TICK_MILLIS, TimeUnit.MILLISECONDS);
-        long stalledMillis = stalls.came(SteadyClock.millis());
+        long stalledMillis = stalls.came(MonotonicTime.millis());
         if (stalledMillis > 0) {
             LOG.warn("event loop stalled for {} ms", stalledMillis);
         }
@@ -260,7 +261,7 @@
             services.values().forEach(Forwarding::failOverdue);
             closeUnusedServices();
         }
-        links.want(core.addressesToDial(currentSettings.seeds()));
+        links.setAddresses(core.addressesToDial(currentSettings.seeds()));
         // While the core is unreachable, host changes are not pushed: each edge then polls the platform itself.
         poller.turn(core.isCoreUnreachable());
     }
@@ -300,7 +301,7 @@
 
     @Override
     public long millis() {
-        return SteadyClock.millis();
+        return MonotonicTime.millis();
     }
 
     @Override
@@ -427,7 +428,7 @@
                         .computeIfAbsent(old.service(), service -> new ArrayList<>())
                         .add(server(old, Readiness.REMOVED));
             }
-            if (old == null || !old.sameAs(host)) {
+            if (old == null || !old.equalsIgnoringWarmup(host)) {
                 startNanosById.computeIfAbsent(host.id(), id -> startNanos(host));
                 entries.add(new HostPool.HostEntry(
                         host.id(),
--- a/src/main/java/tinworks/soak/Relays.java
+++ b/src/main/java/tinworks/soak/Relays.java
@@ -20,9 +20,9 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiPredicate;
-import tinworks.channel.Malformed;
-import tinworks.channel.Signal;
-import tinworks.channel.SignalCodec;
+import tinworks.channel.MalformedDataException;
+import tinworks.channel.PeerMessage;
+import tinworks.channel.PeerMessageCodec;
 
 /**
  * Passes on what the system's own processes say to core machines, and can cut, delay and reset it by who speaks with
@@ -155,9 +155,10 @@
                 byte[] frame = new byte[length];
                 held.getBytes(held.readerIndex() + Integer.BYTES, frame);
                 try {
-                    dialler =
-                            SignalCodec.read(ByteBuffer.wrap(frame)) instanceof Signal.Hello hello ? hello.node() : "";
-                } catch (Malformed e) {
+                    dialler = PeerMessageCodec.read(ByteBuffer.wrap(frame)) instanceof PeerMessage.Hello hello
+                            ? hello.node()
+                            : "";
+                } catch (MalformedDataException e) {
                     dialler = "";
                 }
             }
--- a/src/test/java/tinworks/channel/HostHistoryTest.java
+++ b/src/test/java/tinworks/channel/HostListHistoryTest.java
@@ -12,7 +12,7 @@
 import tinworks.channel.HostList.Host;
 
 /** Changes of the list of hosts lead from one version to a later one. */
-class HostHistoryTest {
+class HostListHistoryTest {
     private static Host host(int number, boolean draining) {
         return new Host(
                 String.format("i-%08x", number),
@@ -35,7 +35,7 @@
     @Test
     void whoeverHoldsAnOlderListComesToTheNewestByItsChanges() {
         SplittableRandom random = new SplittableRandom(5);
-        HostHistory history = new HostHistory();
+        HostListHistory history = new HostListHistory();
         List<HostList> all = new ArrayList<>();
         for (int i = 1; i <= 60; i++) {
             List<Host> hosts = new ArrayList<>();
@@ -48,24 +48,24 @@
             history.advance(all.get(all.size() - 1));
         }
         for (HostList held : all.subList(0, all.size() - 1)) {
-            HostChange change = assertInstanceOf(Signal.HostsChanged.class, history.since(held.version()))
+            HostListChange change = assertInstanceOf(PeerMessage.HostsChanged.class, history.since(held.version()))
                     .change();
-            assertEquals(history.newest(), change.appliedTo(held));
+            assertEquals(history.newest(), change.applyTo(held));
         }
     }
 
     @Test
     void whoHoldsNoneOrOneThatNobodyRemembersIsToldTheWholeList() {
-        HostHistory history = new HostHistory();
+        HostListHistory history = new HostListHistory();
         for (int i = 1; i <= 100; i++) {
             history.advance(list(1, i, 0, i));
         }
-        assertEquals(new Signal.Hosts(history.newest()), history.since(HostListVersion.NONE));
-        assertEquals(new Signal.Hosts(history.newest()), history.since(new HostListVersion(1, 1)));
-        assertEquals(new Signal.Hosts(history.newest()), history.since(new HostListVersion(9, 9)));
+        assertEquals(new PeerMessage.Hosts(history.newest()), history.since(HostListVersion.NONE));
+        assertEquals(new PeerMessage.Hosts(history.newest()), history.since(new HostListVersion(1, 1)));
+        assertEquals(new PeerMessage.Hosts(history.newest()), history.since(new HostListVersion(9, 9)));
         assertThrows(
                 IllegalArgumentException.class,
-                () -> HostChange.between(list(1, 1, 0, 2), list(1, 2, 0, 3)).appliedTo(list(1, 3, 0, 2)));
+                () -> HostListChange.between(list(1, 1, 0, 2), list(1, 2, 0, 3)).applyTo(list(1, 3, 0, 2)));
     }
 
     /**
@@ -75,17 +75,17 @@
     @Test
     void aChangedHostCostsItsOwnSizeAndAnAnnouncementTheSameForAnyNumberOfEdges() {
         for (int hosts : new int[] {30, 250, 2_000}) {
-            HostHistory history = new HostHistory();
+            HostListHistory history = new HostListHistory();
             HostList first = list(1, 1, 0, hosts);
             history.advance(first);
             List<Host> changed = new ArrayList<>(first.hosts());
             changed.set(7, host(7, true));
             history.advance(new HostList(new HostListVersion(1, 2), changed));
-            int bytes = SignalCodec.write(history.since(first.version())).remaining();
+            int bytes = PeerMessageCodec.write(history.since(first.version())).remaining();
             assertTrue(bytes < 200, bytes + " bytes for one host of " + hosts);
         }
         for (int edges : new int[] {4, 16, 64, 256}) {
-            int bytes = SignalCodec.write(new Signal.Announce(
+            int bytes = PeerMessageCodec.write(new PeerMessage.Announce(
                             7,
                             9,
                             new HostListVersion(3, 4),
--- a/src/test/java/tinworks/channel/SignalCodecTest.java
+++ b/src/test/java/tinworks/channel/PeerMessageCodecTest.java
@@ -8,35 +8,35 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import tinworks.channel.Signal.Part;
+import tinworks.channel.PeerMessage.NodeRole;
 import tinworks.raft.Entry;
 import tinworks.raft.Member;
 import tinworks.raft.Message;
 import tinworks.raft.Snapshot;
 
 /** Signals between processes are read as they were written, and damaged bytes are refused. */
-class SignalCodecTest {
+class PeerMessageCodecTest {
     private static final Member MEMBER = new Member(-5, "10.1.0.9:7540");
-    private static final List<Signal> ALL = List.of(
-            new Signal.Hello(Part.EDGE, 7, "", "edge-1", "zone"),
-            new Signal.Ping(),
-            new Signal.Join(MEMBER),
-            new Signal.Announce(7, 9, new HostListVersion(3, 4), true, false, List.of("a:1", "b:1"), 69),
-            new Signal.PullConfiguration(8),
-            new Signal.ConfigurationBody(9, new byte[] {1, 2}),
-            new Signal.ConfigurationChanged(8, 9, new byte[] {1, 2}),
-            new Signal.PullHosts(new HostListVersion(1, 1)),
-            new Signal.Hosts(new HostList(
+    private static final List<PeerMessage> ALL = List.of(
+            new PeerMessage.Hello(NodeRole.EDGE, 7, "", "edge-1", "zone"),
+            new PeerMessage.Ping(),
+            new PeerMessage.Join(MEMBER),
+            new PeerMessage.Announce(7, 9, new HostListVersion(3, 4), true, false, List.of("a:1", "b:1"), 69),
+            new PeerMessage.PullConfiguration(8),
+            new PeerMessage.ConfigurationBody(9, new byte[] {1, 2}),
+            new PeerMessage.ConfigurationChanged(8, 9, new byte[] {1, 2}),
+            new PeerMessage.PullHosts(new HostListVersion(1, 1)),
+            new PeerMessage.Hosts(new HostList(
                     new HostListVersion(1, 2),
                     List.of(new HostList.Host("i-1", "svc", "10.0.0.1:80", "z", 3, true, 900)))),
-            new Signal.HostsChanged(new HostChange(
+            new PeerMessage.HostsChanged(new HostListChange(
                     new HostListVersion(1, 2),
                     new HostListVersion(2, 1),
                     List.of(new HostList.Host("i-1", "svc", "10.0.0.1:80", "z", 3, true, 900)),
                     List.of("i-2"))),
-            new Signal.Leave(7),
-            new Signal.Call(3, false, new byte[] {5}),
-            new Signal.CallAnswer(3, 412, new byte[] {6}),
+            new PeerMessage.Leave(7),
+            new PeerMessage.Call(3, false, new byte[] {5}),
+            new PeerMessage.CallResponse(3, 412, new byte[] {6}),
             agreement(new Message.VoteRequest(4, true, 5, 6, false)),
             agreement(new Message.VoteReply(4, false, true)),
             agreement(new Message.Append(
@@ -49,22 +49,22 @@
                     4, new Snapshot.Metadata(9, 3, List.of(MEMBER), 7, -1), 5, new byte[] {1, 2}, 6, 2)),
             agreement(new Message.InstallSnapshotReply(4, 9, 5, 6, 2)));
 
-    private static Signal agreement(Message message) {
-        return new Signal.Agreement(1, 2, message);
+    private static PeerMessage agreement(Message message) {
+        return new PeerMessage.RaftMessage(1, 2, message);
     }
 
-    private static byte[] bytes(Signal signal) {
-        ByteBuffer buffer = SignalCodec.write(signal);
+    private static byte[] bytes(PeerMessage signal) {
+        ByteBuffer buffer = PeerMessageCodec.write(signal);
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
         return bytes;
     }
 
     @Test
-    void everySignalComesBackAsItWasWritten() throws Malformed {
-        for (Signal signal : ALL) {
+    void everySignalComesBackAsItWasWritten() throws MalformedDataException {
+        for (PeerMessage signal : ALL) {
             byte[] bytes = bytes(signal);
-            Signal read = SignalCodec.read(ByteBuffer.wrap(bytes));
+            PeerMessage read = PeerMessageCodec.read(ByteBuffer.wrap(bytes));
             assertTrue(read.getClass() == signal.getClass());
             assertArrayEquals(bytes, bytes(read));
         }
@@ -73,20 +73,20 @@
     @Test
     void bytesThatAreCutOrSpoiltAreRefusedWithoutHarm() {
         SplittableRandom random = new SplittableRandom(3);
-        for (Signal signal : ALL) {
+        for (PeerMessage signal : ALL) {
             byte[] bytes = bytes(signal);
             for (int i = 0; i < bytes.length; i++) {
                 byte[] cut = java.util.Arrays.copyOf(bytes, i);
-                assertThrows(Malformed.class, () -> SignalCodec.read(ByteBuffer.wrap(cut)));
+                assertThrows(MalformedDataException.class, () -> PeerMessageCodec.read(ByteBuffer.wrap(cut)));
             }
             byte[] longer = java.util.Arrays.copyOf(bytes, bytes.length + 1);
-            assertThrows(Malformed.class, () -> SignalCodec.read(ByteBuffer.wrap(longer)));
+            assertThrows(MalformedDataException.class, () -> PeerMessageCodec.read(ByteBuffer.wrap(longer)));
             for (int i = 0; i < 3_000; i++) {
                 byte[] spoilt = bytes.clone();
                 spoilt[random.nextInt(spoilt.length)] = (byte) random.nextInt(256);
                 try {
-                    SignalCodec.read(ByteBuffer.wrap(spoilt));
-                } catch (Malformed e) {
+                    PeerMessageCodec.read(ByteBuffer.wrap(spoilt));
+                } catch (MalformedDataException e) {
                     assertTrue(!e.getMessage().isEmpty());
                 }
             }
--- a/src/test/java/tinworks/channel/SimulatedNetwork.java
+++ b/src/test/java/tinworks/channel/SimulatedNetwork.java
@@ -13,15 +13,16 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import tinworks.channel.Signal.Hello;
-import tinworks.channel.Signal.Ping;
+import tinworks.channel.PeerMessage.Hello;
+import tinworks.channel.PeerMessage.Ping;
 import tinworks.simulation.Machine;
 import tinworks.simulation.World;
 
 /**
- * Connections between simulated machines, with the rules of {@link TcpLinks} and {@link TcpConversation}. A connection
- * keeps its bytes in order; what a cut holds up goes on when the cut ends, or is lost where the connection is reset
- * before. A cut is silent and may hold in one direction alone. Every signal travels as {@link SignalCodec}'s bytes.
+ * Connections between simulated machines, with the rules of {@link TcpConnectionManager} and {@link TcpPeerConnection}.
+ * A connection keeps its bytes in order; what a cut holds up goes on when the cut ends, or is lost where the connection
+ * is reset before. A cut is silent and may hold in one direction alone. Every signal travels as
+ * {@link PeerMessageCodec}'s bytes.
  */
 public final class SimulatedNetwork {
     private static final int DELAY_MICROS = 1_400;
@@ -40,7 +41,7 @@
     private final Set<Connection> connections = new LinkedHashSet<>();
     private long slowBytesPerMilli = FAST_BYTES_PER_MILLI;
 
-    private record Listening(Machine machine, long life, Hello own, Conversation.Listener listener) {}
+    private record Listening(Machine machine, long life, Hello own, PeerConnection.Listener listener) {}
 
     /** A network without anyone on it. */
     public SimulatedNetwork(World world) {
@@ -50,12 +51,12 @@
     // ---- troubles
 
     /** Nothing gets from one machine to the other, and nobody is told. */
-    public void cut(Machine from, Machine to) {
+    public void partition(Machine from, Machine to) {
         cuts.add(List.of(from, to));
     }
 
     /** Ends a cut: what was held up comes within a while. */
-    public void join(Machine from, Machine to) {
+    public void heal(Machine from, Machine to) {
         cuts.remove(List.of(from, to));
         List.copyOf(waiting).forEach(pipe -> {
             if (pipe.from == from && pipe.to == to) {
@@ -66,18 +67,18 @@
     }
 
     /** Whether anything gets from one machine to the other. */
-    public boolean isCut(Machine from, Machine to) {
+    public boolean isPartitioned(Machine from, Machine to) {
         return cuts.contains(List.of(from, to));
     }
 
     /** Links with a machine take so many bytes a millisecond. */
-    public void slow(Machine machine, long bytesPerMilli) {
+    public void throttle(Machine machine, long bytesPerMilli) {
         slow.add(machine);
         slowBytesPerMilli = bytesPerMilli;
     }
 
     /** Links with a machine are as fast as ever, also for what is on its way. */
-    public void fast(Machine machine) {
+    public void unthrottle(Machine machine) {
         slow.remove(machine);
         loaded.stream()
                 .filter(pipe -> pipe.from == machine || pipe.to == machine)
@@ -85,7 +86,7 @@
     }
 
     /** Resets the connections between two machines; what is on its way is lost. */
-    public void reset(Machine one, Machine other) {
+    public void resetConnections(Machine one, Machine other) {
         List.copyOf(connections).forEach(c -> {
             if (c.between(one, other)) {
                 c.reset();
@@ -94,27 +95,27 @@
     }
 
     /** The process of a machine is gone: its kernel ends the connections. */
-    public void killed(Machine machine) {
+    public void processKilled(Machine machine) {
         listening.values().removeIf(l -> l.machine == machine);
         List.copyOf(connections).forEach(c -> c.killed(machine));
     }
 
     /** A machine is dark: nobody is told. */
-    public void dark(Machine machine) {
+    public void powerOff(Machine machine) {
         listening.values().removeIf(l -> l.machine == machine);
     }
 
     // ---- what processes ask for
 
     /** Takes connections at the machine's address. */
-    public void listen(Machine machine, Hello own, Conversation.Listener listener) {
+    public void listen(Machine machine, Hello own, PeerConnection.Listener listener) {
         listening.put(machine.address(), new Listening(machine, machine.life(), own, listener));
     }
 
     /** The connections that a process dials. */
-    public SimulatedLinks links(
-            Machine machine, Map<String, Machine> machines, Hello own, Conversation.Listener listener) {
-        return new SimulatedLinks(machine, machines, own, listener);
+    public SimulatedConnectionManager connectionManager(
+            Machine machine, Map<String, Machine> machines, Hello own, PeerConnection.Listener listener) {
+        return new SimulatedConnectionManager(machine, machines, own, listener);
     }
 
     private long delay() {
@@ -172,7 +173,7 @@
 
         void pump() {
             while (!frames.isEmpty() && frames.peek().due <= world.micros()) {
-                if (isCut(from, to)) {
+                if (isPartitioned(from, to)) {
                     waiting.add(this);
                     return;
                 }
@@ -241,7 +242,7 @@
     }
 
     /** One side of a connection. */
-    private final class End implements Conversation {
+    private final class End implements PeerConnection {
         private final Machine machine;
         private final long life;
         private final boolean dialled;
@@ -271,7 +272,7 @@
 
         void begin() {
             send(own);
-            machine.schedule(TcpConversation.PING_MILLIS, this::watch);
+            machine.schedule(TcpPeerConnection.PING_MILLIS, this::watch);
         }
 
         private void watch() {
@@ -279,14 +280,14 @@
                 return;
             }
             long now = machine.millis();
-            if (now - heardAt > TcpConversation.SILENCE_MILLIS) {
+            if (now - heardAt > TcpPeerConnection.SILENCE_MILLIS) {
                 close("silent for " + (now - heardAt) + " ms");
                 return;
             }
-            if (now - saidAt >= TcpConversation.PING_MILLIS) {
+            if (now - saidAt >= TcpPeerConnection.PING_MILLIS) {
                 send(new Ping());
             }
-            machine.schedule(TcpConversation.PING_MILLIS, this::watch);
+            machine.schedule(TcpPeerConnection.PING_MILLIS, this::watch);
         }
 
         @Override
@@ -295,7 +296,7 @@
         }
 
         @Override
-        public boolean dialled() {
+        public boolean isOutbound() {
             return dialled;
         }
 
@@ -305,16 +306,16 @@
         }
 
         @Override
-        public void send(Signal signal) {
+        public void send(PeerMessage signal) {
             if (closing || closed) {
                 return;
             }
-            ByteBuffer written = SignalCodec.write(signal);
+            ByteBuffer written = PeerMessageCodec.write(signal);
             byte[] frame = new byte[written.remaining()];
             written.get(frame);
             saidAt = machine.millis();
             out.push(frame);
-            if (out.bytes > TcpConversation.MOST_WAITING) {
+            if (out.bytes > TcpPeerConnection.MOST_WAITING) {
                 close("the far side doesn't read");
             }
         }
@@ -338,14 +339,14 @@
             }
             heardAt = machine.millis();
             try {
-                Signal signal = SignalCodec.read(ByteBuffer.wrap(frame));
+                PeerMessage signal = PeerMessageCodec.read(ByteBuffer.wrap(frame));
                 if (peer == null) {
                     peer = (Hello) signal;
                     listener.opened(this);
                 } else if (!(signal instanceof Ping)) {
                     listener.received(this, signal);
                 }
-            } catch (Malformed e) {
+            } catch (MalformedDataException e) {
                 throw new IllegalStateException("a frame of our own can't be read", e);
             }
         }
@@ -363,17 +364,17 @@
         }
     }
 
-    /** What {@link TcpLinks} does, on this network. */
-    public final class SimulatedLinks implements Links {
+    /** What {@link TcpConnectionManager} does, on this network. */
+    public final class SimulatedConnectionManager implements ConnectionManager {
         private final Machine machine;
         private final Map<String, Machine> machines;
         private final Hello own;
-        private final Conversation.Listener listener;
+        private final PeerConnection.Listener listener;
         private final SplittableRandom random;
         private final Map<String, Link> links = new LinkedHashMap<>();
 
-        private SimulatedLinks(
-                Machine machine, Map<String, Machine> machines, Hello own, Conversation.Listener listener) {
+        private SimulatedConnectionManager(
+                Machine machine, Map<String, Machine> machines, Hello own, PeerConnection.Listener listener) {
             this.machine = machine;
             this.machines = machines;
             this.own = own;
@@ -382,7 +383,7 @@
         }
 
         @Override
-        public void want(Collection<String> addresses) {
+        public void setAddresses(Collection<String> addresses) {
             Set<String> wanted = new TreeSet<>(addresses);
             wanted.remove(own.address());
             for (String old : List.copyOf(links.keySet())) {
@@ -400,8 +401,8 @@
         }
 
         @Override
-        public List<Conversation> open() {
-            List<Conversation> open = new ArrayList<>();
+        public List<PeerConnection> openConnections() {
+            List<PeerConnection> open = new ArrayList<>();
             for (Link link : links.values()) {
                 if (link.end != null && link.end.isOpen()) {
                     open.add(link.end);
@@ -413,7 +414,7 @@
         private final class Link {
             private final String address;
             private End end;
-            private long pause = TcpLinks.FIRST_PAUSE_MILLIS;
+            private long pause = TcpConnectionManager.FIRST_PAUSE_MILLIS;
             private boolean ended;
             private long dials;
 
@@ -429,9 +430,9 @@
                 long dial = ++dials;
                 long life = machine.life();
                 Machine far = machines.get(address);
-                machine.schedule(TcpLinks.DIAL_MILLIS, () -> failed(dial));
+                machine.schedule(TcpConnectionManager.DIAL_MILLIS, () -> failed(dial));
                 world.later(delay(), () -> {
-                    if (far == null || !far.powered() || isCut(machine, far) || isCut(far, machine)) {
+                    if (far == null || !far.powered() || isPartitioned(machine, far) || isPartitioned(far, machine)) {
                         return;
                     }
                     Listening there = listening.get(address);
@@ -475,7 +476,9 @@
                 }
                 dials++;
                 boolean wasOpen = end != null && end.peer != null;
-                pause = wasOpen ? TcpLinks.FIRST_PAUSE_MILLIS : Math.min(TcpLinks.LONGEST_PAUSE_MILLIS, pause * 2);
+                pause = wasOpen
+                        ? TcpConnectionManager.FIRST_PAUSE_MILLIS
+                        : Math.min(TcpConnectionManager.LONGEST_PAUSE_MILLIS, pause * 2);
                 machine.schedule(pause / 2 + random.nextLong(pause), this::dial);
             }
 
--- a/src/test/java/tinworks/channel/SimulatedNetworkTest.java
+++ b/src/test/java/tinworks/channel/SimulatedNetworkTest.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import tinworks.channel.Signal.Hello;
-import tinworks.channel.Signal.Leave;
-import tinworks.channel.Signal.Part;
+import tinworks.channel.PeerMessage.Hello;
+import tinworks.channel.PeerMessage.Leave;
+import tinworks.channel.PeerMessage.NodeRole;
 import tinworks.simulation.Machine;
 import tinworks.simulation.World;
 
@@ -24,7 +24,7 @@
     private final Map<String, Machine> machines = new HashMap<>();
     private final Machine one = machine("10.0.0.1:1");
     private final Machine other = machine("10.0.0.2:1");
-    private Conversation dialled;
+    private PeerConnection dialled;
     private int received;
 
     private Machine machine(String address) {
@@ -34,19 +34,19 @@
         return machine;
     }
 
-    private final class Counting implements Conversation.Listener {
+    private final class Counting implements PeerConnection.Listener {
         @Override
-        public void opened(Conversation conversation) {
-            dialled = conversation.dialled() ? conversation : dialled;
+        public void opened(PeerConnection conversation) {
+            dialled = conversation.isOutbound() ? conversation : dialled;
         }
 
         @Override
-        public void received(Conversation conversation, Signal signal) {
+        public void received(PeerConnection conversation, PeerMessage signal) {
             received++;
         }
 
         @Override
-        public void closed(Conversation conversation) {
+        public void closed(PeerConnection conversation) {
             // Not looked at.
         }
 
@@ -57,21 +57,21 @@
     }
 
     private static Hello hello(Machine machine, long id) {
-        return new Hello(Part.CORE, id, machine.address(), "m" + id, "z");
+        return new Hello(NodeRole.CORE, id, machine.address(), "m" + id, "z");
     }
 
     /** What was sent over a slow link comes at the rate of the moment, in order, and not at that of its sending. */
     @Test
     void aLinkThatIsNoLongerSlowIsFastForWhatIsOnItsWayToo() {
         network.listen(other, hello(other, 2), new Counting());
-        network.links(one, machines, hello(one, 1), new Counting()).want(Set.of(other.address()));
+        network.connectionManager(one, machines, hello(one, 1), new Counting()).setAddresses(Set.of(other.address()));
         world.run(1_000);
-        network.slow(other, SLOW_BYTES_PER_MILLI);
+        network.throttle(other, SLOW_BYTES_PER_MILLI);
         Collections.nCopies(SIGNALS, new Leave(1)).forEach(dialled::send);
         world.run(1_500);
         int before = received;
         assertTrue(before < SIGNALS / 5, before + " came over the slow link");
-        network.fast(other);
+        network.unthrottle(other);
         world.run(1_520);
         assertEquals(SIGNALS, received);
     }
--- a/src/test/java/tinworks/channel/StrayPeersTest.java
+++ b/src/test/java/tinworks/channel/UntrustedPeersTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import tinworks.channel.Signal.Hello;
-import tinworks.channel.Signal.Part;
+import tinworks.channel.PeerMessage.Hello;
+import tinworks.channel.PeerMessage.NodeRole;
 import tinworks.net.ClosingEventLoopGroup;
 import tinworks.node.NodeProcess;
 
@@ -29,7 +29,7 @@
  * their number: four of them fill a core machine's memory outside the heap.
  */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
-class StrayPeersTest {
+class UntrustedPeersTest {
     private static final int MOST = 4;
     private static final int SOON_MILLIS = 2_000;
     /** A second more than the silence after which a link is given up. */
@@ -38,19 +38,19 @@
     private final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final CountDownLatch greeted = new CountDownLatch(1);
-    private final Conversation.Listener listener = new Conversation.Listener() {
+    private final PeerConnection.Listener listener = new PeerConnection.Listener() {
         @Override
-        public void opened(Conversation conversation) {
+        public void opened(PeerConnection conversation) {
             greeted.countDown();
         }
 
         @Override
-        public void received(Conversation from, Signal signal) {
+        public void received(PeerConnection from, PeerMessage signal) {
             // Nothing is asked.
         }
 
         @Override
-        public void closed(Conversation conversation) {
+        public void closed(PeerConnection conversation) {
             // Nothing is kept.
         }
 
@@ -59,8 +59,8 @@
             // It is told to nobody.
         }
     };
-    private final TcpLinks links = NodeProcess.call(
-            loop, () -> new TcpLinks(loop, new Hello(Part.CORE, 1, "127.0.0.1:1", "c", "z"), listener));
+    private final TcpConnectionManager links = NodeProcess.call(
+            loop, () -> new TcpConnectionManager(loop, new Hello(NodeRole.CORE, 1, "127.0.0.1:1", "c", "z"), listener));
     private final List<Socket> sockets = new ArrayList<>();
     private InetSocketAddress address;
 
@@ -93,8 +93,8 @@
         new DataOutputStream(socket.getOutputStream()).writeInt(frameBytes);
     }
 
-    private static void greet(Socket socket, Part part) throws IOException {
-        ByteBuffer hello = SignalCodec.write(new Hello(part, 2, "", "peer", "z"));
+    private static void greet(Socket socket, NodeRole part) throws IOException {
+        ByteBuffer hello = PeerMessageCodec.write(new Hello(part, 2, "", "peer", "z"));
         byte[] bytes = new byte[hello.remaining()];
         hello.get(bytes);
         announce(socket, bytes.length);
@@ -126,11 +126,11 @@
     @Test
     void aLongFrameOfAnEdgeIsNotAwaitedAndOneOfACoreMachineIs() throws Exception {
         Socket edge = connect();
-        greet(edge, Part.EDGE);
+        greet(edge, NodeRole.EDGE);
         announce(edge, 15 << 20);
         assertTrue(isClosed(edge, SOON_MILLIS));
         Socket core = connect();
-        greet(core, Part.CORE);
+        greet(core, NodeRole.CORE);
         assertTrue(greeted.await(SOON_MILLIS, TimeUnit.MILLISECONDS));
         announce(core, 15 << 20);
         assertEquals(false, isClosed(core, 500));
--- a/src/test/java/tinworks/control/ConfigurationFeedTest.java
+++ b/src/test/java/tinworks/control/ConfigurationFeedTest.java
@@ -14,8 +14,8 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import tinworks.channel.ConfigurationCodec;
-import tinworks.channel.Malformed;
-import tinworks.channel.Signal;
+import tinworks.channel.MalformedDataException;
+import tinworks.channel.PeerMessage;
 import tinworks.config.CompressedBytes;
 import tinworks.config.Configuration;
 import tinworks.config.ConfigurationHistory;
@@ -64,12 +64,12 @@
         assertEquals(wanted.limits(), is.limits());
     }
 
-    private static Configuration taught(Configuration held, Signal told) throws Malformed {
-        if (told instanceof Signal.ConfigurationBody body) {
-            return ConfigurationCodec.read(CompressedBytes.unpack(body.packed(), MOST));
+    private static Configuration taught(Configuration held, PeerMessage told) throws MalformedDataException {
+        if (told instanceof PeerMessage.ConfigurationBody body) {
+            return ConfigurationCodec.read(CompressedBytes.unpack(body.compressed(), MOST));
         }
-        Signal.ConfigurationChanged changed = assertInstanceOf(Signal.ConfigurationChanged.class, told);
-        return ConfigurationCodec.readChange(CompressedBytes.unpack(changed.packed(), MOST))
+        PeerMessage.ConfigurationChanged changed = assertInstanceOf(PeerMessage.ConfigurationChanged.class, told);
+        return ConfigurationCodec.readChange(CompressedBytes.unpack(changed.compressed(), MOST))
                 .appliedTo(held);
     }
 
@@ -96,8 +96,8 @@
         Configuration newest = all.get(all.size() - 1);
         int byChange = 0;
         for (Configuration held : all.subList(0, all.size() - 1)) {
-            Signal told = feed.since(held.rev());
-            byChange += told instanceof Signal.ConfigurationChanged ? 1 : 0;
+            PeerMessage told = feed.since(held.rev());
+            byChange += told instanceof PeerMessage.ConfigurationChanged ? 1 : 0;
             assertSame(newest, taught(held, told));
         }
         assertEquals(16, byChange);
@@ -119,8 +119,9 @@
             Configuration before = take(json(rev, routes, services, 1_000));
             routes.set(3, route(3, 2_001, "s0"));
             Configuration after = take(json(rev + 1, routes, services, 1_000));
-            Signal.ConfigurationChanged told = assertInstanceOf(Signal.ConfigurationChanged.class, feed.since(rev));
-            assertTrue(told.packed().length < 300, told.packed().length + " bytes for one of " + count);
+            PeerMessage.ConfigurationChanged told =
+                    assertInstanceOf(PeerMessage.ConfigurationChanged.class, feed.since(rev));
+            assertTrue(told.compressed().length < 300, told.compressed().length + " bytes for one of " + count);
             assertSame(after, taught(before, told));
             assertThrows(IllegalArgumentException.class, () -> taught(after, told), "it builds on another version");
         }
@@ -138,8 +139,8 @@
             take(json(version, routes, services, 1_000));
         }
         assertTrue(feed.changes() > 0 && feed.changes() < 16, feed.changes() + " changes");
-        assertInstanceOf(Signal.ConfigurationBody.class, feed.since(5));
-        assertInstanceOf(Signal.ConfigurationChanged.class, feed.since(19));
+        assertInstanceOf(PeerMessage.ConfigurationBody.class, feed.since(5));
+        assertInstanceOf(PeerMessage.ConfigurationChanged.class, feed.since(19));
     }
 
     @Test
@@ -148,10 +149,10 @@
         byte[] whole = ConfigurationCodec.write(ConfigurationReader.read(history.body()));
         for (int i = 0; i < whole.length; i++) {
             byte[] cut = Arrays.copyOf(whole, i);
-            assertThrows(Malformed.class, () -> ConfigurationCodec.read(cut));
+            assertThrows(MalformedDataException.class, () -> ConfigurationCodec.read(cut));
         }
         byte[] longer = Arrays.copyOf(whole, whole.length + 1);
-        assertThrows(Malformed.class, () -> ConfigurationCodec.read(longer));
+        assertThrows(MalformedDataException.class, () -> ConfigurationCodec.read(longer));
         SplittableRandom random = new SplittableRandom(3);
         int refused = 0;
         for (int i = 0; i < 5_000; i++) {
@@ -159,7 +160,7 @@
             spoilt[random.nextInt(spoilt.length)] = (byte) random.nextInt(256);
             try {
                 ConfigurationCodec.read(spoilt);
-            } catch (Malformed e) {
+            } catch (MalformedDataException e) {
                 refused++;
             }
         }
--- a/src/test/java/tinworks/control/CoreMachineTest.java
+++ b/src/test/java/tinworks/control/CoreMachineTest.java
@@ -7,14 +7,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tinworks.channel.Conversation;
 import tinworks.channel.HostList;
 import tinworks.channel.HostListVersion;
-import tinworks.channel.Signal;
-import tinworks.channel.Signal.Announce;
-import tinworks.channel.Signal.CallAnswer;
-import tinworks.channel.Signal.Hello;
-import tinworks.channel.Signal.Part;
+import tinworks.channel.PeerConnection;
+import tinworks.channel.PeerMessage;
+import tinworks.channel.PeerMessage.Announce;
+import tinworks.channel.PeerMessage.CallResponse;
+import tinworks.channel.PeerMessage.Hello;
+import tinworks.channel.PeerMessage.NodeRole;
 import tinworks.control.CoreNetwork.Node;
 import tinworks.raft.Message;
 
@@ -25,11 +25,11 @@
     private final CoreNetwork network = new CoreNetwork(5, 3, CoreMachine::new);
 
     /** One that dialled the machine and records what that says. */
-    private static final class Caller implements Conversation {
-        final List<Signal> heard = new ArrayList<>();
+    private static final class Caller implements PeerConnection {
+        final List<PeerMessage> heard = new ArrayList<>();
         private final Hello peer;
 
-        Caller(Part part, long id) {
+        Caller(NodeRole part, long id) {
             peer = new Hello(part, id, "x:1", "x", "z");
         }
 
@@ -46,7 +46,7 @@
         }
 
         @Override
-        public boolean dialled() {
+        public boolean isOutbound() {
             return false;
         }
 
@@ -56,7 +56,7 @@
         }
 
         @Override
-        public void send(Signal signal) {
+        public void send(PeerMessage signal) {
             heard.add(signal);
         }
 
@@ -82,16 +82,16 @@
     @Test
     void aLeaderThatIsCutOffNeitherLeadsNorIsFreshOnceItsLeaseIsOver() {
         Node leader = settled();
-        Caller edge = new Caller(Part.EDGE, 77);
+        Caller edge = new Caller(NodeRole.EDGE, 77);
         leader.machine.opened(edge);
-        assertTrue(edge.last().fresh() && edge.last().leads());
+        assertTrue(edge.last().fresh() && edge.last().leader());
         network.cutOff(leader);
         network.run(network.now + LEASE_MILLIS);
         assertTrue(leader.raft().hasCommittedInCurrentTerm(), "it doesn't know yet that another may lead");
         assertFalse(leader.machine.leads() || leader.machine.fresh());
-        Caller late = new Caller(Part.EDGE, 78);
+        Caller late = new Caller(NodeRole.EDGE, 78);
         leader.machine.opened(late);
-        assertFalse(late.last().fresh() || late.last().leads());
+        assertFalse(late.last().fresh() || late.last().leader());
         network.run(network.now + 3_000);
         assertFalse(leader.machine.fresh());
         assertFalse(edge.last().fresh());
@@ -112,7 +112,7 @@
     @Test
     void aLeaderThatThawsSaysNothingOfWhatItWas() {
         Node leader = settled();
-        Caller edge = new Caller(Part.EDGE, 77);
+        Caller edge = new Caller(NodeRole.EDGE, 77);
         leader.machine.opened(edge);
         leader.freeze();
         // What waits for it when it thaws, before any message of a later term.
@@ -126,11 +126,11 @@
         edge.heard.subList(heard, edge.heard.size()).stream()
                 .filter(Announce.class::isInstance)
                 .map(Announce.class::cast)
-                .forEach(s -> assertFalse(s.leads() || s.fresh(), s.toString()));
-        assertTrue(leader.machine.hosts().version().is(HostListVersion.NONE), "a list from before");
+                .forEach(s -> assertFalse(s.leader() || s.fresh(), s.toString()));
+        assertTrue(leader.machine.hosts().version().isSameAs(HostListVersion.NONE), "a list from before");
         network.run(network.now + 1_000);
         assertFalse(leader.machine.leads());
-        assertTrue(leader.machine.hosts().version().is(HostListVersion.NONE));
+        assertTrue(leader.machine.hosts().version().isSameAs(HostListVersion.NONE));
     }
 
     @Test
@@ -138,25 +138,26 @@
         Node leader = settled();
         leader.machine.listed(List.of(host("i-1")));
         HostListVersion first = leader.machine.hosts().version();
-        assertTrue(first.is(new HostListVersion(leader.raft().term(), 1)));
+        assertTrue(first.isSameAs(new HostListVersion(leader.raft().term(), 1)));
         network.cutOff(leader);
         network.run(network.now + LEASE_MILLIS + 50);
         leader.machine.listed(List.of(host("i-2")));
-        assertTrue(leader.machine.hosts().version().is(first));
+        assertTrue(leader.machine.hosts().version().isSameAs(first));
         network.heal();
         network.run(network.now + 300);
         assertTrue(leader.machine.leads(), "nobody else had the time to stand");
-        assertTrue(leader.machine.hosts().version().is(new HostListVersion(first.term(), 2)));
+        assertTrue(leader.machine.hosts().version().isSameAs(new HostListVersion(first.term(), 2)));
     }
 
     @Test
     void aLeaderThatIsCutOffRefusesNothing() {
         Node leader = settled();
-        List<CallAnswer> answers = new ArrayList<>();
+        List<CallResponse> answers = new ArrayList<>();
         leader.machine.calls().replace(List.of("0"), Operators.configuration(3, "a"), answers::add);
         network.run(network.now + 100);
         leader.machine.calls().replace(List.of("0"), Operators.configuration(4, "b"), answers::add);
-        assertEquals(List.of(200, 412), answers.stream().map(CallAnswer::status).toList());
+        assertEquals(
+                List.of(200, 412), answers.stream().map(CallResponse::status).toList());
         network.cutOff(leader);
         network.run(network.now + LEASE_MILLIS);
         leader.machine.calls().replace(List.of("0"), Operators.configuration(5, "c"), answers::add);
@@ -165,7 +166,7 @@
         network.run(network.now + 1_000);
         assertEquals(
                 List.of(200, 412, 200, 503, 503),
-                answers.stream().map(CallAnswer::status).toList(),
+                answers.stream().map(CallResponse::status).toList(),
                 "what was taken is confirmed, nothing is refused, nothing is shown");
     }
 
@@ -177,7 +178,7 @@
                 answersFromAnother((self, stored, disk, around) -> new CoreMachine(
                                 self, stored, disk, around, (machine, clock) -> new OperatorCalls(machine, clock) {
                                     @Override
-                                    boolean isAsked(Conversation passedTo, Conversation from) {
+                                    boolean isAsked(PeerConnection passedTo, PeerConnection from) {
                                         return true;
                                     }
                                 }))
@@ -186,42 +187,43 @@
     }
 
     /** What a caller is told when somebody else answers a call of the same number. */
-    private static List<CallAnswer> answersFromAnother(CoreNetwork.Maker maker) {
+    private static List<CallResponse> answersFromAnother(CoreNetwork.Maker maker) {
         CoreNetwork network = new CoreNetwork(6, 3, maker);
         Node leader = network.ready(3_000);
         network.run(network.now + 500);
         Node asked = network.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
-        List<CallAnswer> answers = new ArrayList<>();
+        List<CallResponse> answers = new ArrayList<>();
         leader.freeze();
         asked.machine.calls().replace(List.of("0"), Operators.configuration(3, "a"), answers::add);
-        asked.machine.received(new Caller(Part.CORE, 9), new CallAnswer(1, OperatorCalls.OK, new byte[0]));
+        asked.machine.received(new Caller(NodeRole.CORE, 9), new CallResponse(1, OperatorCalls.OK, new byte[0]));
         return answers;
     }
 
     @Test
     void aMachineThatDialledAgainIsReachedByItsLatestConnection() {
         Node node = network.nodes.get(0);
-        Caller earlier = new Caller(Part.CORE, 55);
-        Caller latest = new Caller(Part.CORE, 55);
+        Caller earlier = new Caller(NodeRole.CORE, 55);
+        Caller latest = new Caller(NodeRole.CORE, 55);
         node.machine.opened(earlier);
         node.machine.opened(latest);
         node.machine.send(55, new Message.TimeoutNow(1));
-        assertFalse(earlier.heard.stream().anyMatch(Signal.Agreement.class::isInstance));
-        assertTrue(latest.heard.stream().anyMatch(Signal.Agreement.class::isInstance));
+        assertFalse(earlier.heard.stream().anyMatch(PeerMessage.RaftMessage.class::isInstance));
+        assertTrue(latest.heard.stream().anyMatch(PeerMessage.RaftMessage.class::isInstance));
     }
 
     @Test
     void theCoreMachinesAreThoseThatTheLatestLeaderTold() {
         Node node = network.nodes.get(0);
-        Caller later = new Caller(Part.CORE, 55);
-        Caller old = new Caller(Part.CORE, 56);
+        Caller later = new Caller(NodeRole.CORE, 55);
+        Caller old = new Caller(NodeRole.CORE, 56);
         node.machine.opened(later);
         node.machine.opened(old);
         node.machine.received(later, new Announce(6, 0, HostListVersion.NONE, true, true, List.of("n:1"), 0));
         node.machine.received(old, new Announce(5, 0, HostListVersion.NONE, true, true, List.of("o:1"), 0));
         node.machine.opened(later);
         assertTrue(
-                later.last().cores().contains("n:1") && !later.last().cores().contains("o:1"),
+                later.last().coreAddresses().contains("n:1")
+                        && !later.last().coreAddresses().contains("o:1"),
                 later.last().toString());
     }
 }
--- a/src/test/java/tinworks/control/CoreNetwork.java
+++ b/src/test/java/tinworks/control/CoreNetwork.java
@@ -14,13 +14,13 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
 import java.util.function.BiConsumer;
-import tinworks.channel.Conversation;
+import tinworks.channel.ConnectionManager;
 import tinworks.channel.HostList;
-import tinworks.channel.Links;
-import tinworks.channel.Signal;
-import tinworks.channel.Signal.Announce;
-import tinworks.channel.Signal.Hello;
-import tinworks.channel.Signal.Part;
+import tinworks.channel.PeerConnection;
+import tinworks.channel.PeerMessage;
+import tinworks.channel.PeerMessage.Announce;
+import tinworks.channel.PeerMessage.Hello;
+import tinworks.channel.PeerMessage.NodeRole;
 import tinworks.config.Configuration;
 import tinworks.edge.CoreFollower;
 import tinworks.raft.HardState;
@@ -126,7 +126,7 @@
     }
 
     /** One process: its connections, and what waits for it while it is frozen. */
-    abstract class SimulatedProcess implements Links {
+    abstract class SimulatedProcess implements ConnectionManager {
         final Map<String, End> dialled = new HashMap<>();
         final Set<End> ends = new LinkedHashSet<>();
         final ArrayDeque<Runnable> frozenWork = new ArrayDeque<>();
@@ -135,7 +135,7 @@
 
         abstract Hello hello();
 
-        abstract Conversation.Listener listener();
+        abstract PeerConnection.Listener listener();
 
         abstract boolean up();
 
@@ -168,7 +168,7 @@
         }
 
         @Override
-        public final void want(Collection<String> addresses) {
+        public final void setAddresses(Collection<String> addresses) {
             Set<String> wanted = new HashSet<>(addresses);
             for (String old : List.copyOf(dialled.keySet())) {
                 if (!wanted.contains(old)) {
@@ -200,8 +200,8 @@
         }
 
         @Override
-        public final List<Conversation> open() {
-            List<Conversation> open = new ArrayList<>();
+        public final List<PeerConnection> openConnections() {
+            List<PeerConnection> open = new ArrayList<>();
             dialled.values().stream().filter(End::isOpen).forEach(open::add);
             return open;
         }
@@ -224,7 +224,7 @@
     }
 
     /** One side of a connection. */
-    private final class End implements Conversation {
+    private final class End implements PeerConnection {
         final SimulatedProcess owner;
         private final Hello peer;
         private final boolean dialled;
@@ -277,7 +277,7 @@
         }
 
         @Override
-        public boolean dialled() {
+        public boolean isOutbound() {
             return dialled;
         }
 
@@ -287,7 +287,7 @@
         }
 
         @Override
-        public void send(Signal signal) {
+        public void send(PeerMessage signal) {
             if (!closed) {
                 if (signal instanceof Announce s) {
                     announced.accept((Node) owner, s);
@@ -377,11 +377,11 @@
 
         @Override
         Hello hello() {
-            return new Hello(Part.CORE, member.id(), member.address(), member.address(), "z");
+            return new Hello(NodeRole.CORE, member.id(), member.address(), member.address(), "z");
         }
 
         @Override
-        Conversation.Listener listener() {
+        PeerConnection.Listener listener() {
             return machine;
         }
 
@@ -391,7 +391,7 @@
         }
 
         @Override
-        public Links links() {
+        public ConnectionManager links() {
             return this;
         }
 
@@ -434,7 +434,7 @@
 
     /** An edge that starts now; it follows the core machines as the production class does. */
     final class Edge extends SimulatedProcess implements CoreFollower.Callbacks {
-        private final Hello hello = new Hello(Part.EDGE, 1_000 + order, "", "edge", "z");
+        private final Hello hello = new Hello(NodeRole.EDGE, 1_000 + order, "", "edge", "z");
         private final Runnable changed;
         final CoreFollower core;
 
@@ -446,7 +446,8 @@
         }
 
         private void tick() {
-            want(core.addressesToDial(voters.stream().map(Member::address).toList()));
+            setAddresses(
+                    core.addressesToDial(voters.stream().map(Member::address).toList()));
             work(250, this::tick);
         }
 
@@ -456,7 +457,7 @@
         }
 
         @Override
-        Conversation.Listener listener() {
+        PeerConnection.Listener listener() {
             return core;
         }
 
--- a/src/test/java/tinworks/control/LogMemoryTest.java
+++ b/src/test/java/tinworks/control/LogMemoryTest.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import tinworks.channel.Conversation;
-import tinworks.channel.Links;
-import tinworks.channel.Signal.CallAnswer;
+import tinworks.channel.ConnectionManager;
+import tinworks.channel.PeerConnection;
+import tinworks.channel.PeerMessage.CallResponse;
 import tinworks.config.ConfigurationHistory;
 import tinworks.raft.HardState;
 import tinworks.raft.Member;
@@ -29,7 +29,7 @@
     private static final List<Member> ALONE = List.of(new Member(1, "10.0.0.1:7"));
 
     /** A core machine that votes alone, on a clock and a disk of the test's. */
-    private static final class Machine implements CoreMachine.Environment, Links {
+    private static final class Machine implements CoreMachine.Environment, ConnectionManager {
         private final ArrayDeque<Runnable> stalled = new ArrayDeque<>();
         private final CoreMachine core;
         private boolean stalls;
@@ -71,7 +71,7 @@
         }
 
         @Override
-        public Links links() {
+        public ConnectionManager links() {
             return this;
         }
 
@@ -87,10 +87,10 @@
         public void log(String line) {}
 
         @Override
-        public void want(Collection<String> addresses) {}
+        public void setAddresses(Collection<String> addresses) {}
 
         @Override
-        public List<Conversation> open() {
+        public List<PeerConnection> openConnections() {
             return List.of();
         }
     }
@@ -104,8 +104,8 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    private static List<CallAnswer> send(Machine machine, long base, byte[] body) {
-        List<CallAnswer> answers = new ArrayList<>();
+    private static List<CallResponse> send(Machine machine, long base, byte[] body) {
+        List<CallResponse> answers = new ArrayList<>();
         machine.core.calls().replace(List.of(Long.toString(base)), body, answers::add);
         return answers;
     }
@@ -145,7 +145,7 @@
     void callsThatPileUpOnAStalledDiskAreBoundedAndToldToComeBack() {
         Machine machine = new Machine();
         machine.stalls = true;
-        List<List<CallAnswer>> all = new ArrayList<>();
+        List<List<CallResponse>> all = new ArrayList<>();
         long held = 0;
         for (long rev = 1; rev <= 8; rev++) {
             byte[] body = body(rev, 2_600_000);
--- a/src/test/java/tinworks/control/Operators.java
+++ b/src/test/java/tinworks/control/Operators.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import tinworks.channel.Signal.CallAnswer;
+import tinworks.channel.PeerMessage.CallResponse;
 import tinworks.config.ConfigurationHistory;
 import tinworks.config.ConfigurationHistory.Verdict;
 
@@ -70,7 +70,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    static long rev(CallAnswer answer) {
+    static long rev(CallResponse answer) {
         Matcher rev = REV.matcher(new String(answer.body(), StandardCharsets.UTF_8));
         return rev.find() ? Long.parseLong(rev.group(1)) : 0;
     }
@@ -119,7 +119,7 @@
         });
     }
 
-    private void heard(Order order, CallAnswer answer) {
+    private void heard(Order order, CallResponse answer) {
         if (answer.status() == OperatorCalls.UNCLEAR) {
             again(order);
         } else if (!order.clear) {
@@ -133,7 +133,7 @@
         network.later(50 + network.random.nextInt(300), () -> send(order));
     }
 
-    private void judge(Order order, CallAnswer answer) {
+    private void judge(Order order, CallResponse answer) {
         if (answer.status() == OperatorCalls.OK) {
             order.taken = true;
             assertEquals(order.rev, rev(answer), "confirmed under another's number: " + order);
--- a/src/test/java/tinworks/control/OrdersTest.java
+++ b/src/test/java/tinworks/control/OrdersTest.java
@@ -11,8 +11,8 @@
 import java.util.function.LongSupplier;
 import org.junit.jupiter.api.Test;
 import tinworks.channel.HostList;
-import tinworks.channel.Signal.Announce;
-import tinworks.channel.Signal.CallAnswer;
+import tinworks.channel.PeerMessage.Announce;
+import tinworks.channel.PeerMessage.CallResponse;
 import tinworks.config.ConfigurationHistory;
 import tinworks.config.ConfigurationHistory.Verdict;
 import tinworks.control.CoreNetwork.Node;
@@ -24,13 +24,13 @@
     private static final int LEASE_MILLIS = 450;
     private static final int WAY_MILLIS = 10;
 
-    private static List<CallAnswer> replace(Node node, long base, byte[] body) {
-        List<CallAnswer> answers = new ArrayList<>();
+    private static List<CallResponse> replace(Node node, long base, byte[] body) {
+        List<CallResponse> answers = new ArrayList<>();
         node.work(1, () -> node.machine.calls().replace(List.of(Long.toString(base)), body, answers::add));
         return answers;
     }
 
-    private static int status(List<CallAnswer> answers) {
+    private static int status(List<CallResponse> answers) {
         assertEquals(1, answers.size());
         return answers.get(0).status();
     }
@@ -48,16 +48,16 @@
         network.ready(3_000);
         byte[] first = Operators.configuration(2, "a");
         for (Node node : network.nodes) {
-            List<CallAnswer> answers = replace(node, 0, first);
+            List<CallResponse> answers = replace(node, 0, first);
             network.run(network.now + 200);
             assertEquals(200, status(answers));
             assertEquals(2, Operators.rev(answers.get(0)));
         }
-        List<CallAnswer> next = replace(network.nodes.get(0), 2, Operators.configuration(9, "b"));
+        List<CallResponse> next = replace(network.nodes.get(0), 2, Operators.configuration(9, "b"));
         network.run(network.now + 200);
         assertEquals(9, Operators.rev(next.get(0)));
         for (Node node : network.nodes) {
-            List<CallAnswer> again = replace(node, 0, first);
+            List<CallResponse> again = replace(node, 0, first);
             network.run(network.now + 200);
             assertEquals(200, status(again));
             assertEquals(2, Operators.rev(again.get(0)), "another's number");
@@ -70,17 +70,17 @@
         CoreNetwork network = new CoreNetwork(2, 3, CoreMachine::new);
         Node leader = network.ready(3_000);
         byte[] second = Operators.configuration(4, "b");
-        List<CallAnswer> early = replace(leader, 3, second);
+        List<CallResponse> early = replace(leader, 3, second);
         network.run(network.now + 300);
-        List<CallAnswer> first = replace(leader, 0, Operators.configuration(3, "a"));
+        List<CallResponse> first = replace(leader, 0, Operators.configuration(3, "a"));
         network.run(network.now + 300);
         assertEquals(200, status(first));
         assertEquals(200, status(early), "it waits for what it builds on");
-        List<CallAnswer> never = replace(leader, 8, Operators.configuration(9, "c"));
+        List<CallResponse> never = replace(leader, 8, Operators.configuration(9, "c"));
         network.run(network.now + 1_000);
         assertEquals(503, status(never), "a base that nobody knows");
         assertEquals(0, leader.machine.calls().waiting());
-        List<CallAnswer> below = replace(leader, 8, Operators.configuration(8, "d"));
+        List<CallResponse> below = replace(leader, 8, Operators.configuration(8, "d"));
         network.run(network.now + 10);
         assertEquals(400, status(below), "whatever comes, it can't be taken");
     }
@@ -91,7 +91,7 @@
             CoreNetwork network = new CoreNetwork(seed, 3, CoreMachine::new);
             Node leader = network.ready(3_000);
             byte[] body = Operators.configuration(3, "a");
-            List<CallAnswer> lost = replace(leader, 0, body);
+            List<CallResponse> lost = replace(leader, 0, body);
             Node next = other(network, leader);
             while (next.raft().lastIndex() == leader.raft().commitIndex()) {
                 network.run(network.now + 1);
@@ -99,14 +99,14 @@
             long first = next.raft().lastIndex();
             leader.kill();
             assertEquals(0, lost.size());
-            List<List<CallAnswer>> again = new ArrayList<>();
+            List<List<CallResponse>> again = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
                 again.add(replace(network.nodes.get(i % 3), 0, body));
                 again.add(replace(next, 0, Operators.configuration(3, "another's")));
                 network.run(network.now + 200);
             }
             network.run(network.now + 1_000);
-            for (List<CallAnswer> answers : again) {
+            for (List<CallResponse> answers : again) {
                 answers.forEach(a -> assertTrue(a.status() != 200 || Operators.rev(a) == 3));
             }
             Node led = network.ready(3_000);
@@ -127,7 +127,7 @@
         CoreNetwork network = new CoreNetwork(3, 3, CoreMachine::new);
         Node leader = network.ready(3_000);
         network.nodes.stream().filter(n -> n != leader).forEach(n -> network.cut(n, leader));
-        List<CallAnswer> late = replace(leader, 0, Operators.configuration(3, "a"));
+        List<CallResponse> late = replace(leader, 0, Operators.configuration(3, "a"));
         network.run(network.now + 300);
         network.nodes.forEach(n -> n.syncMillis = 3_000);
         network.heal();
@@ -136,7 +136,7 @@
         network.run(network.now + 12_000);
         assertEquals(503, status(late), "one answer and no second one");
         assertEquals(3, leader.machine.agreement().history().rev(), "it was taken later");
-        List<CallAnswer> again = replace(other(network, leader), 0, Operators.configuration(3, "a"));
+        List<CallResponse> again = replace(other(network, leader), 0, Operators.configuration(3, "a"));
         network.run(network.now + 400);
         assertEquals(200, status(again));
     }
@@ -146,7 +146,7 @@
     void aNewLeaderShowsNothingBeforeItHasCommittedInItsTerm() {
         CoreNetwork network = new CoreNetwork(4, 3, CoreMachine::new);
         Node old = network.ready(3_000);
-        List<CallAnswer> taken = replace(old, 0, Operators.configuration(3, "a"));
+        List<CallResponse> taken = replace(old, 0, Operators.configuration(3, "a"));
         network.run(network.now + 300);
         assertEquals(200, status(taken));
         old.kill();
@@ -158,7 +158,7 @@
                     .findFirst()
                     .orElse(null);
         }
-        List<CallAnswer> shown = new ArrayList<>();
+        List<CallResponse> shown = new ArrayList<>();
         network.cut(next, other(network, next, old));
         next.machine.calls().show(shown::add);
         assertFalse(next.raft().hasCommittedInCurrentTerm());
@@ -172,7 +172,7 @@
 
     /** Who says that it leads is alone in that, and who says that it is fresh is behind by less than a lease. */
     private static void check(CoreNetwork network, Operators operators, Node node, Announce s) {
-        if (s.leads()) {
+        if (s.leader()) {
             network.nodes.forEach(n -> assertTrue(
                     n == node
                             || !n.up()
--- a/src/test/java/tinworks/control/SimulatedCore.java
+++ b/src/test/java/tinworks/control/SimulatedCore.java
@@ -11,13 +11,13 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import tinworks.channel.Conversation;
+import tinworks.channel.ConnectionManager;
 import tinworks.channel.HostList;
-import tinworks.channel.Links;
-import tinworks.channel.Signal;
-import tinworks.channel.Signal.CallAnswer;
-import tinworks.channel.Signal.Hello;
-import tinworks.channel.Signal.Part;
+import tinworks.channel.PeerConnection;
+import tinworks.channel.PeerMessage;
+import tinworks.channel.PeerMessage.CallResponse;
+import tinworks.channel.PeerMessage.Hello;
+import tinworks.channel.PeerMessage.NodeRole;
 import tinworks.channel.SimulatedNetwork;
 import tinworks.config.ForgetfulHistory;
 import tinworks.raft.HardState;
@@ -39,7 +39,7 @@
         List<HostList.Host> platform();
 
         /** A core machine has said this on a call of the operator. */
-        void answered(SimulatedCore core, CallAnswer answer);
+        void answered(SimulatedCore core, CallResponse answer);
 
         /** Something may have changed at this machine. */
         void worked(SimulatedCore core);
@@ -56,9 +56,9 @@
     private final Flaw flaw;
     private final int losses;
     private final long syncMicros;
-    private final Set<Consumer<CallAnswer>> open = new LinkedHashSet<>();
+    private final Set<Consumer<CallResponse>> open = new LinkedHashSet<>();
     private CoreMachine core;
-    private Links links;
+    private ConnectionManager links;
     private Writer writer;
     private List<String> seeds = List.of();
     private long knownId;
@@ -134,9 +134,9 @@
         if (flaw == Flaw.REPEATS_FORGOTTEN) {
             forgetRepeats();
         }
-        Hello own = new Hello(Part.CORE, found.id(), machine.address(), name, "z");
-        Conversation.Listener listener = flaw == Flaw.ALWAYS_FRESH ? new SaysFresh(core, new HashMap<>()) : core;
-        links = network.links(machine, machines, own, listener);
+        Hello own = new Hello(NodeRole.CORE, found.id(), machine.address(), name, "z");
+        PeerConnection.Listener listener = flaw == Flaw.ALWAYS_FRESH ? new SaysFresh(core, new HashMap<>()) : core;
+        links = network.connectionManager(machine, machines, own, listener);
         network.listen(machine, own, listener);
         tick();
     }
@@ -160,7 +160,7 @@
         if (machine.running()) {
             store.killed(writer.midway());
             machine.kill();
-            network.killed(machine);
+            network.processKilled(machine);
             hangUp();
         }
     }
@@ -169,7 +169,7 @@
         if (machine.powered()) {
             store.powerLost(machine.running() ? writer.midway() : null);
             machine.powerOff();
-            network.dark(machine);
+            network.powerOff(machine);
             // Callers hear nothing.
             open.clear();
         }
@@ -200,7 +200,7 @@
     }
 
     private void hangUp() {
-        List<Consumer<CallAnswer>> callers = List.copyOf(open);
+        List<Consumer<CallResponse>> callers = List.copyOf(open);
         open.clear();
         callers.forEach(caller -> caller.accept(null));
     }
@@ -240,7 +240,7 @@
     // ---- the operator's calls, on the machine's own thread
 
     /** Told null where the connection breaks. */
-    void replace(long base, byte[] body, Consumer<CallAnswer> told) {
+    void replace(long base, byte[] body, Consumer<CallResponse> told) {
         take(told, answer -> {
             core.calls().replace(List.of(Long.toString(base)), body, answer);
             if (flaw == Flaw.EARLY_VERDICT
@@ -249,17 +249,17 @@
                     && open.contains(told)) {
                 String text = new String(body, StandardCharsets.UTF_8);
                 long rev = Order.revOf(text);
-                answer.accept(new CallAnswer(
+                answer.accept(new CallResponse(
                         0, OperatorCalls.OK, ("{\"rev\":" + rev + "}\n").getBytes(StandardCharsets.UTF_8)));
             }
         });
     }
 
-    void show(Consumer<CallAnswer> told) {
+    void show(Consumer<CallResponse> told) {
         take(told, answer -> core.calls().show(answer));
     }
 
-    private void take(Consumer<CallAnswer> told, Consumer<Consumer<CallAnswer>> work) {
+    private void take(Consumer<CallResponse> told, Consumer<Consumer<CallResponse>> work) {
         open.add(told);
         work.accept(answer -> {
             if (open.remove(told)) {
@@ -277,7 +277,7 @@
     }
 
     @Override
-    public Links links() {
+    public ConnectionManager links() {
         return links;
     }
 
@@ -376,23 +376,24 @@
     }
 
     /** What a machine says that takes itself for up to date whatever happens. */
-    private record SaysFresh(CoreMachine core, Map<Conversation, Conversation> said) implements Conversation.Listener {
-        private Conversation fresh(Conversation conversation) {
+    private record SaysFresh(CoreMachine core, Map<PeerConnection, PeerConnection> said)
+            implements PeerConnection.Listener {
+        private PeerConnection fresh(PeerConnection conversation) {
             return said.computeIfAbsent(conversation, Fresh::new);
         }
 
         @Override
-        public void opened(Conversation conversation) {
+        public void opened(PeerConnection conversation) {
             core.opened(fresh(conversation));
         }
 
         @Override
-        public void received(Conversation conversation, Signal signal) {
+        public void received(PeerConnection conversation, PeerMessage signal) {
             core.received(fresh(conversation), signal);
         }
 
         @Override
-        public void closed(Conversation conversation) {
+        public void closed(PeerConnection conversation) {
             core.closed(said.remove(conversation));
         }
 
@@ -402,15 +403,15 @@
         }
     }
 
-    private record Fresh(Conversation inner) implements Conversation {
+    private record Fresh(PeerConnection inner) implements PeerConnection {
         @Override
         public Hello peer() {
             return inner.peer();
         }
 
         @Override
-        public boolean dialled() {
-            return inner.dialled();
+        public boolean isOutbound() {
+            return inner.isOutbound();
         }
 
         @Override
@@ -419,13 +420,13 @@
         }
 
         @Override
-        public void send(Signal signal) {
-            inner.send(signal instanceof Signal.Announce a ? fresh(a) : signal);
+        public void send(PeerMessage signal) {
+            inner.send(signal instanceof PeerMessage.Announce a ? fresh(a) : signal);
         }
 
         /** The same, whatever else it says, but fresh. */
-        private static Signal.Announce fresh(Signal.Announce said) {
-            RecordComponent[] parts = Signal.Announce.class.getRecordComponents();
+        private static PeerMessage.Announce fresh(PeerMessage.Announce said) {
+            RecordComponent[] parts = PeerMessage.Announce.class.getRecordComponents();
             Class<?>[] types = new Class<?>[parts.length];
             Object[] values = new Object[parts.length];
             try {
@@ -435,7 +436,7 @@
                             ? true
                             : parts[i].getAccessor().invoke(said);
                 }
-                return Signal.Announce.class.getConstructor(types).newInstance(values);
+                return PeerMessage.Announce.class.getConstructor(types).newInstance(values);
             } catch (ReflectiveOperationException e) {
                 throw new IllegalStateException(e);
             }
--- a/src/test/java/tinworks/control/SimulatedDay.java
+++ b/src/test/java/tinworks/control/SimulatedDay.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Function;
 import tinworks.channel.HostList;
-import tinworks.channel.Signal.CallAnswer;
+import tinworks.channel.PeerMessage.CallResponse;
 import tinworks.channel.SimulatedNetwork;
 import tinworks.edge.CoreFollower;
 import tinworks.edge.StaleVersionFollower;
@@ -511,10 +511,10 @@
         beginTrouble(core);
         slowed++;
         core.machine.slow(micros);
-        network.slow(core.machine, SLOW_BYTES_PER_MILLI);
+        network.throttle(core.machine, SLOW_BYTES_PER_MILLI);
         world.later(millis * 1_000, () -> {
             core.machine.slow(0);
-            network.fast(core.machine);
+            network.unthrottle(core.machine);
             slowed--;
             endTrouble(core);
         });
@@ -526,16 +526,16 @@
                 cores.values().stream().filter(c -> c != core && !c.gone).toList();
         for (SimulatedCore other : others) {
             if (way != 2) {
-                network.cut(other.machine, core.machine);
+                network.partition(other.machine, core.machine);
             }
             if (way != 1) {
-                network.cut(core.machine, other.machine);
+                network.partition(core.machine, other.machine);
             }
         }
         world.later(millis * 1_000, () -> {
             for (SimulatedCore other : others) {
-                network.join(other.machine, core.machine);
-                network.join(core.machine, other.machine);
+                network.heal(other.machine, core.machine);
+                network.heal(core.machine, other.machine);
             }
             endTrouble(core);
         });
@@ -577,7 +577,7 @@
         List<SimulatedCore> all = cores.values().stream().filter(c -> !c.gone).toList();
         for (int i = 0; i < count; i++) {
             SimulatedCore one = all.get(random.nextInt(all.size()));
-            all.forEach(other -> network.reset(one.machine, other.machine));
+            all.forEach(other -> network.resetConnections(one.machine, other.machine));
         }
         lastEvent = world.millis();
     }
@@ -668,13 +668,13 @@
         edge.cutSinceStart = true;
         List<SimulatedCore> all = List.copyOf(cores.values());
         all.forEach(c -> {
-            network.cut(edge.machine, c.machine);
-            network.cut(c.machine, edge.machine);
+            network.partition(edge.machine, c.machine);
+            network.partition(c.machine, edge.machine);
         });
         world.later(millis * 1_000, () -> {
             all.forEach(c -> {
-                network.join(edge.machine, c.machine);
-                network.join(c.machine, edge.machine);
+                network.heal(edge.machine, c.machine);
+                network.heal(c.machine, edge.machine);
             });
             edge.cut = false;
             edge.troubledAt = world.millis();
@@ -721,7 +721,7 @@
     }
 
     @Override
-    public void answered(SimulatedCore core, CallAnswer answer) {
+    public void answered(SimulatedCore core, CallResponse answer) {
         boolean acknowledges = answer.status() == OperatorCalls.OK && answer.body().length < 64;
         if (acknowledges && !afterAck.isEmpty() && !core.gone && troubled.getOrDefault(core, 0) == 0 && mayLose(core)) {
             Trouble t = afterAck.remove(0);
--- a/src/test/java/tinworks/control/SimulatedEdge.java
+++ b/src/test/java/tinworks/control/SimulatedEdge.java
@@ -5,10 +5,10 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
 import java.util.function.Function;
+import tinworks.channel.ConnectionManager;
 import tinworks.channel.HostList;
-import tinworks.channel.Links;
-import tinworks.channel.Signal.Hello;
-import tinworks.channel.Signal.Part;
+import tinworks.channel.PeerMessage.Hello;
+import tinworks.channel.PeerMessage.NodeRole;
 import tinworks.channel.SimulatedNetwork;
 import tinworks.config.Configuration;
 import tinworks.edge.CoreFollower;
@@ -31,7 +31,7 @@
     private final Function<CoreFollower.Callbacks, CoreFollower> maker;
     private final SplittableRandom random;
     private CoreFollower follower;
-    private Links links;
+    private ConnectionManager links;
     private List<String> seeds;
     private long startedAt;
     /** The world's milliseconds of its last trouble's end. */
@@ -65,19 +65,22 @@
         startedAt = millis();
         cutSinceStart = cut;
         follower = maker.apply(this);
-        links = network.links(
-                machine, machines, new Hello(Part.EDGE, random.nextLong() & Long.MAX_VALUE, "", name, "z"), follower);
+        links = network.connectionManager(
+                machine,
+                machines,
+                new Hello(NodeRole.EDGE, random.nextLong() & Long.MAX_VALUE, "", name, "z"),
+                follower);
         tick();
     }
 
     void kill() {
         machine.kill();
-        network.killed(machine);
+        network.processKilled(machine);
     }
 
     private void tick() {
         machine.schedule(TICK_MILLIS, this::tick);
-        links.want(follower.addressesToDial(seeds));
+        links.setAddresses(follower.addressesToDial(seeds));
     }
 
     /** As EdgeNode has it. */
@@ -111,7 +114,7 @@
 
     /** The core machines that it is linked with. */
     List<String> links() {
-        return links.open().stream().map(c -> c.peer().node()).toList();
+        return links.openConnections().stream().map(c -> c.peer().node()).toList();
     }
 
     HostList list() {
--- a/src/test/java/tinworks/control/SimulatedOperators.java
+++ b/src/test/java/tinworks/control/SimulatedOperators.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import tinworks.channel.Signal.CallAnswer;
+import tinworks.channel.PeerMessage.CallResponse;
 import tinworks.simulation.World;
 
 /**
@@ -153,7 +153,7 @@
         }
     }
 
-    private void judge(Order order, CallAnswer answer, long triedAt) {
+    private void judge(Order order, CallResponse answer, long triedAt) {
         if (answer.status() == OperatorCalls.OK) {
             check.acknowledged(order, Order.revOf(new String(answer.body(), StandardCharsets.UTF_8)), world.millis());
         } else {
@@ -202,7 +202,7 @@
     // ---- the wire
 
     private interface Asked {
-        void of(SimulatedCore core, Consumer<CallAnswer> told);
+        void of(SimulatedCore core, Consumer<CallResponse> told);
     }
 
     /** Which machine the tries of one call go to. */
@@ -229,9 +229,9 @@
     }
 
     /** One try at a machine; told null where there is no answer. */
-    private void call(Target target, Asked asked, Consumer<CallAnswer> told) {
+    private void call(Target target, Asked asked, Consumer<CallResponse> told) {
         boolean[] over = new boolean[1];
-        Consumer<CallAnswer> once = answer -> {
+        Consumer<CallResponse> once = answer -> {
             if (!over[0]) {
                 over[0] = true;
                 told.accept(answer);
--- a/src/test/java/tinworks/edge/CoreFollowerTest.java
+++ b/src/test/java/tinworks/edge/CoreFollowerTest.java
@@ -10,17 +10,17 @@
 import java.util.Set;
 import java.util.concurrent.Callable;
 import org.junit.jupiter.api.Test;
-import tinworks.channel.Conversation;
 import tinworks.channel.HostList;
 import tinworks.channel.HostListVersion;
-import tinworks.channel.Signal;
-import tinworks.channel.Signal.Announce;
-import tinworks.channel.Signal.ConfigurationBody;
-import tinworks.channel.Signal.Hello;
-import tinworks.channel.Signal.Hosts;
-import tinworks.channel.Signal.Part;
-import tinworks.channel.Signal.PullConfiguration;
-import tinworks.channel.Signal.PullHosts;
+import tinworks.channel.PeerConnection;
+import tinworks.channel.PeerMessage;
+import tinworks.channel.PeerMessage.Announce;
+import tinworks.channel.PeerMessage.ConfigurationBody;
+import tinworks.channel.PeerMessage.Hello;
+import tinworks.channel.PeerMessage.Hosts;
+import tinworks.channel.PeerMessage.NodeRole;
+import tinworks.channel.PeerMessage.PullConfiguration;
+import tinworks.channel.PeerMessage.PullHosts;
 import tinworks.config.Configuration;
 import tinworks.config.Configuration.Limits;
 
@@ -32,16 +32,16 @@
     private CoreFollower edge = new CoreFollower(this);
 
     /** A core node as the edge sees it; records what the edge requests. */
-    private static final class Core implements Conversation {
-        final List<Signal> requests = new ArrayList<>();
+    private static final class Core implements PeerConnection {
+        final List<PeerMessage> requests = new ArrayList<>();
 
         @Override
         public Hello peer() {
-            return new Hello(Part.CORE, 1, "a:1", "a", "z");
+            return new Hello(NodeRole.CORE, 1, "a:1", "a", "z");
         }
 
         @Override
-        public boolean dialled() {
+        public boolean isOutbound() {
             return true;
         }
 
@@ -51,7 +51,7 @@
         }
 
         @Override
-        public void send(Signal signal) {
+        public void send(PeerMessage signal) {
             requests.add(signal);
         }
 
@@ -173,7 +173,7 @@
         assertEquals(List.of(), core.requests);
         assertEquals(List.of(), decodedVersions);
         assertEquals(9, edge.rev());
-        assertTrue(edge.hostList().version().is(hosts(6, 2)));
+        assertTrue(edge.hostList().version().isSameAs(hosts(6, 2)));
         assertTrue(edge.isCoreUnreachable(), "only a deposed leader announces itself");
     }
 
--- a/src/test/java/tinworks/edge/GracefulShutdownTest.java
+++ b/src/test/java/tinworks/edge/GracefulShutdownTest.java
@@ -26,7 +26,7 @@
 import tinworks.channel.HostList;
 import tinworks.channel.HostList.Host;
 import tinworks.channel.HostListVersion;
-import tinworks.channel.SteadyClock;
+import tinworks.channel.MonotonicTime;
 import tinworks.config.Configuration;
 import tinworks.config.Configuration.Limits;
 import tinworks.config.Configuration.Route;
@@ -165,7 +165,7 @@
         List<Integer> ports = FreePorts.at("127.0.0.1", 4);
         try (ScriptedHost host = new ScriptedHost(this::handle)) {
             EdgeNode edge = startServingEdge(ports, host);
-            long signalledAt = SteadyClock.millis() - FIRST_HALF_MILLIS;
+            long signalledAt = MonotonicTime.millis() - FIRST_HALF_MILLIS;
             NodeProcess.call(loop, () -> edge.shutDown(signalledAt));
             Map<String, Client> waiting = new LinkedHashMap<>();
             String id = sendUntilInProgress(waiting, ports.get(0), "held-m-late");
@@ -174,7 +174,7 @@
                         502,
                         client.read().status(),
                         "its host still processes it in the second half of the grace period");
-                long after = SteadyClock.millis() - signalledAt;
+                long after = MonotonicTime.millis() - signalledAt;
                 assertTrue(
                         after > FIRST_HALF_MILLIS && after < GRACE_MILLIS,
                         "got the response " + after + " ms after the signal");
@@ -191,7 +191,7 @@
             awaitRetryElsewhere(http, "held-i-control");
             Map<String, Client> waiting = sendBeforeAnyIsOverdue(http);
             long began = System.nanoTime();
-            CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
+            CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(MonotonicTime.millis()));
             for (String id : List.of("held-i-after", "held-m-after", "turned-i-after", "turned-m-after")) {
                 sendUntilInProgress(waiting, http, id);
             }
@@ -234,7 +234,7 @@
         try (ScriptedHost host = new ScriptedHost(this::handle)) {
             EdgeNode edge = startServingEdge(
                     ports, host, new MonotonicClock(() -> TimeUnit.MILLISECONDS.toNanos(TARGET_MILLIS)));
-            NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
+            NodeProcess.call(loop, () -> edge.shutDown(MonotonicTime.millis()));
             for (String route : List.of("i", "m")) {
                 try (Client client = new Client(ports.get(0))) {
                     String id = "held-" + route + "-" + System.nanoTime();
@@ -268,7 +268,7 @@
             await("requests are served", () -> statusById.size() > LAGGED_CLIENTS);
             NodeProcess.run(loop, this::startLag);
             Set<String> before = Set.copyOf(arrivals.keySet());
-            CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
+            CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(MonotonicTime.millis()));
             ended.get(GRACE_MILLIS, TimeUnit.MILLISECONDS);
             for (Thread client : clients) {
                 client.join();
--- a/src/test/java/tinworks/edge/PlannedMaintenanceTest.java
+++ b/src/test/java/tinworks/edge/PlannedMaintenanceTest.java
@@ -26,7 +26,7 @@
 import tinworks.channel.HostList;
 import tinworks.channel.HostList.Host;
 import tinworks.channel.HostListVersion;
-import tinworks.channel.SteadyClock;
+import tinworks.channel.MonotonicTime;
 import tinworks.config.Configuration;
 import tinworks.config.Configuration.Limits;
 import tinworks.config.Configuration.Route;
@@ -292,7 +292,7 @@
             TimeUnit.MILLISECONDS.sleep(SETTINGS_INTERVAL_MILLIS);
         }
         shuttingDown = true;
-        CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(SteadyClock.millis()));
+        CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(MonotonicTime.millis()));
         for (Thread client : clients) {
             client.join();
         }
--- a/src/test/java/tinworks/edge/UnusedServicesTest.java
+++ b/src/test/java/tinworks/edge/UnusedServicesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import tinworks.channel.ConfigurationCodec;
-import tinworks.channel.Signal.ConfigurationBody;
+import tinworks.channel.PeerMessage.ConfigurationBody;
 import tinworks.config.CompressedBytes;
 import tinworks.config.Configuration;
 import tinworks.config.Configuration.Limits;
--- a/src/test/java/tinworks/fuzz/DecodersTest.java
+++ b/src/test/java/tinworks/fuzz/DecodersTest.java
@@ -18,8 +18,8 @@
 import net.jqwik.api.ShrinkingMode;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import tinworks.channel.Malformed;
-import tinworks.channel.SignalCodec;
+import tinworks.channel.MalformedDataException;
+import tinworks.channel.PeerMessageCodec;
 import tinworks.config.Configuration;
 import tinworks.config.ConfigurationHistory;
 import tinworks.config.ConfigurationReader;
@@ -124,11 +124,11 @@
             frame[0] = (byte) kind;
         }
         try {
-            ByteBuffer again = SignalCodec.write(SignalCodec.read(ByteBuffer.wrap(frame)));
+            ByteBuffer again = PeerMessageCodec.write(PeerMessageCodec.read(ByteBuffer.wrap(frame)));
             byte[] written = new byte[again.remaining()];
             again.get(written);
             assertEquals(frame.length, written.length);
-        } catch (Malformed e) {
+        } catch (MalformedDataException e) {
             assertFalse(e.getMessage().isEmpty());
         }
     }
