--- a/src/main/java/tinworks/cli/CommandLineTool.java
+++ b/src/main/java/tinworks/cli/CommandLineTool.java
@@ -190,7 +190,7 @@
             spec.commandLine().usage(spec.commandLine().getErr());
         }
 
-        private static PersistentState load(Path folder) throws IOException, CoreStore.Damaged {
+        private static PersistentState load(Path folder) throws IOException, CoreStore.CorruptStoreException {
             if (!Files.isDirectory(folder)) {
                 throw new IOException("no folder " + folder);
             }
@@ -223,7 +223,7 @@
             public final Integer call() {
                 try {
                     return read(spec, load(folder));
-                } catch (CoreStore.Damaged | IOException e) {
+                } catch (CoreStore.CorruptStoreException | IOException e) {
                     return complain(spec, e.getMessage());
                 }
             }
--- a/src/main/java/tinworks/control/Core.java
+++ b/src/main/java/tinworks/control/Core.java
@@ -20,8 +20,8 @@
 import tinworks.raft.PersistentState;
 import tinworks.raft.Snapshot;
 import tinworks.store.CoreStore;
-import tinworks.store.DiskFolder;
-import tinworks.store.Folder;
+import tinworks.store.DiskStoreDirectory;
+import tinworks.store.StoreDirectory;
 
 /** The process of a core machine: its disk, its start and its end. */
 public final class Core {
@@ -42,7 +42,7 @@
             throw new IllegalArgumentException("listen.ctl: is missing");
         }
         try {
-            CoreStore store = open(new DiskFolder(settings.dataDir()));
+            CoreStore store = open(new DiskStoreDirectory(settings.dataDir()));
             long id = identity(store, settings);
             PersistentState stored = store.load();
             CoreNode node = process.call(() -> new CoreNode(process.loop(), settings, store, id, stored));
@@ -50,24 +50,24 @@
             process.onEnd(() -> end(process, node));
             List<ChannelFuture> bound = process.call(node::start);
             process.awaitBound(bound);
-        } catch (IOException | CoreStore.Damaged e) {
+        } catch (IOException | CoreStore.CorruptStoreException e) {
             throw new IllegalArgumentException("datadir " + settings.dataDir() + ": " + e.getMessage(), e);
         }
     }
 
     /** Opens the store; one that can't be trusted is set aside, and this machine begins anew as another member. */
-    static CoreStore open(Folder folder) throws IOException, CoreStore.Damaged {
-        folder.make();
+    static CoreStore open(StoreDirectory folder) throws IOException, CoreStore.CorruptStoreException {
+        folder.createDirectories();
         for (int files = folder.files().size(); ; files--) {
             try {
                 return CoreStore.open(folder);
-            } catch (CoreStore.Damaged e) {
+            } catch (CoreStore.CorruptStoreException e) {
                 if (files <= 0) {
                     throw e;
                 }
                 String date = LocalDateTime.now(ZoneId.systemDefault())
                         .format(DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss"));
-                String aside = CoreStore.setAside(folder, date);
+                String aside = CoreStore.quarantine(folder, date);
                 LOG.error(
                         "the store can't be trusted and was set aside as {}; this machine begins empty: {}",
                         aside,
@@ -82,22 +82,22 @@
      * machine whose store was set aside may have voted under such an id, so it takes none again, whatever its settings
      * say.
      */
-    static long identity(CoreStore store, BootSettings settings) throws IOException, CoreStore.Damaged {
+    static long identity(CoreStore store, BootSettings settings) throws IOException, CoreStore.CorruptStoreException {
         String address = settings.innerAddress();
         return identity(store, address, settings.bootstrap(), settings.seeds(), newId(address));
     }
 
     /** The same by its parts; {@code newId} is for one who is somebody new. */
     static long identity(CoreStore store, String address, boolean bootstrap, List<String> seeds, long newId)
-            throws IOException, CoreStore.Damaged {
+            throws IOException, CoreStore.CorruptStoreException {
         long known = store.identity();
         if (known != 0) {
             return known;
         }
-        boolean first = bootstrap && seeds.contains(address) && store.untouched();
+        boolean first = bootstrap && seeds.contains(address) && store.isPristine();
         long id = first ? firstId(address) : newId;
         try {
-            store.found(id, HardState.NONE, first ? firstVoters(seeds) : Snapshot.NONE);
+            store.initialize(id, HardState.NONE, first ? firstVoters(seeds) : Snapshot.NONE);
         } catch (IllegalStateException | MVStoreException e) {
             throw new IOException(e.getMessage(), e);
         }
--- a/src/main/java/tinworks/control/DiskThread.java
+++ b/src/main/java/tinworks/control/DiskThread.java
@@ -63,7 +63,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             closed = true;
-        } catch (CoreStore.Damaged e) {
+        } catch (CoreStore.CorruptStoreException e) {
             tell("the store can't be opened again yet: " + e.getMessage());
         }
     }
--- a/src/main/java/tinworks/store/CoreStore.java
+++ b/src/main/java/tinworks/store/CoreStore.java
@@ -42,10 +42,10 @@
  */
 public final class CoreStore implements AutoCloseable {
     /** A store whose contents can't be trusted. */
-    public static final class Damaged extends Exception {
+    public static final class CorruptStoreException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Damaged(String what, Throwable cause) {
+        CorruptStoreException(String what, Throwable cause) {
             super(what, cause);
         }
     }
@@ -84,7 +84,7 @@
         }
     }
 
-    private final Folder folder;
+    private final StoreDirectory folder;
     private final long spareBytes;
     /** The number of the file that is in use; -1 before the store is founded. */
     private int number = -1;
@@ -96,28 +96,30 @@
     private long liveBytes;
     private long renewAt;
 
-    private CoreStore(Folder folder, long spareBytes) {
+    private CoreStore(StoreDirectory folder, long spareBytes) {
         this.folder = folder;
         this.spareBytes = spareBytes;
     }
 
-    /** Opens the store in a folder, or makes one; a file that can't be read as a store is {@link Damaged}. */
-    public static CoreStore open(Path folder) throws IOException, Damaged {
-        return open(new DiskFolder(folder));
+    /**
+     * Opens the store in a folder, or makes one; a file that can't be read as a store is {@link CorruptStoreException}.
+     */
+    public static CoreStore open(Path folder) throws IOException, CorruptStoreException {
+        return open(new DiskStoreDirectory(folder));
     }
 
     /**
      * Opens the store in a folder, and reads and syncs all of it; there may be none yet. A file that can't be read as a
-     * store is {@link Damaged}; a disk that can't be read or synced is an {@link IOException}, and nothing is said of
-     * the store.
+     * store is {@link CorruptStoreException}; a disk that can't be read or synced is an {@link IOException}, and
+     * nothing is said of the store.
      */
-    public static CoreStore open(Folder folder) throws IOException, Damaged {
+    public static CoreStore open(StoreDirectory folder) throws IOException, CorruptStoreException {
         return open(folder, SPARE_BYTES);
     }
 
     /** The same; a file is written anew once it is longer than twice what is live in it and this many bytes. */
-    static CoreStore open(Folder folder, long spareBytes) throws IOException, Damaged {
-        folder.make();
+    static CoreStore open(StoreDirectory folder, long spareBytes) throws IOException, CorruptStoreException {
+        folder.createDirectories();
         CoreStore opened = new CoreStore(folder, spareBytes);
         boolean found = false;
         try {
@@ -134,25 +136,25 @@
     /**
      * Renames a damaged store, so that nothing is lost and an empty one can be made; returns the file's new name. A
      * file that is renamed may be lost by itself with the power, so a mark is made and synced first: it keeps the
-     * folder from looking {@link #untouched}.
+     * folder from looking {@link #isPristine}.
      */
-    public static String setAside(Folder folder, String date) throws IOException {
+    public static String quarantine(StoreDirectory folder, String date) throws IOException {
         List<String> files = folder.files();
         String name = ASIDE + date;
         for (int i = 2; files.contains(name) || files.contains(name + ".mv"); i++) {
             name = ASIDE + date + "-" + i;
         }
         String aside = name + ".mv";
-        folder.create(name);
+        folder.createFile(name);
         folder.sync();
-        folder.move(name(numbers(files).first()), aside);
+        folder.rename(name(numbers(files).first()), aside);
         folder.sync();
-        folder.remove(name);
+        folder.delete(name);
         return aside;
     }
 
     /** Whether nothing has ever been founded in the folder, nor set aside in it. */
-    public boolean untouched() throws IOException {
+    public boolean isPristine() throws IOException {
         return number < 0 && folder.files().stream().noneMatch(file -> file.startsWith(ASIDE));
     }
 
@@ -160,7 +162,7 @@
      * Opens the file again, as it must be after a write that failed; what was not synced may be missing. Where the disk
      * doesn't let it, the store stays shut and refuses the next write.
      */
-    public void reopen() throws Damaged {
+    public void reopen() throws CorruptStoreException {
         close();
         try {
             find();
@@ -173,14 +175,14 @@
      * Opens what is there. Of two files the older one counts, as nothing is acknowledged in a newer one before the
      * older is gone for good; without any, a founding that was cut short before its name was sure is finished.
      */
-    private void find() throws IOException, Damaged {
+    private void find() throws IOException, CorruptStoreException {
         List<String> files = folder.files();
         NavigableSet<Integer> numbers = numbers(files);
         if (numbers.isEmpty() && files.contains(FOUNDING) && isWhole(FOUNDING)) {
-            folder.move(FOUNDING, name(0));
+            folder.rename(FOUNDING, name(0));
             numbers.add(0);
         } else if (files.contains(FOUNDING)) {
-            folder.remove(FOUNDING);
+            folder.delete(FOUNDING);
         }
         number = numbers.isEmpty() ? -1 : numbers.first();
         if (number >= 0) {
@@ -190,7 +192,7 @@
             records.store.sync();
         }
         for (int newer : numbers.tailSet(number, false)) {
-            folder.remove(name(newer));
+            folder.delete(name(newer));
         }
         folder.sync();
     }
@@ -201,7 +203,7 @@
             check(file);
             records.store.sync();
             return true;
-        } catch (Damaged e) {
+        } catch (CorruptStoreException e) {
             return false;
         } finally {
             close();
@@ -223,7 +225,7 @@
         return number == 0 ? "state.mv" : "state-" + number + ".mv";
     }
 
-    private Records openFile(String file) throws IOException, Damaged {
+    private Records openFile(String file) throws IOException, CorruptStoreException {
         MVStore store = null;
         try {
             // Commits happen where they are asked for alone: a thread of the library's would sync at times of its own.
@@ -260,7 +262,7 @@
      * What became of reading a file: the disk's fault, or the file's. An {@link Error} is neither, but for MVStore's
      * asserts.
      */
-    private static Damaged unreadable(Throwable e) throws IOException {
+    private static CorruptStoreException unreadable(Throwable e) throws IOException {
         IOException disk = null;
         for (Throwable cause = e; cause != null; cause = cause.getCause()) {
             if (cause instanceof Error error && !(cause instanceof AssertionError)) {
@@ -276,20 +278,20 @@
         if (disk != null) {
             throw new IOException("the store can't be opened: " + disk.getMessage(), e);
         }
-        return new Damaged("the store can't be read: " + e.getMessage(), e);
+        return new CorruptStoreException("the store can't be read: " + e.getMessage(), e);
     }
 
     /** Who this machine is for as long as its disk lives, 0 where the disk is new. */
-    public long identity() throws Damaged {
+    public long identity() throws CorruptStoreException {
         byte[] record = number < 0 ? null : records.meta.get(IDENTITY);
         return record == null ? 0 : unsealed(record, IDENTITY).getLong();
     }
 
     /** Makes an empty store this machine's; returns once it outlasts a loss of power. */
-    public void found(long id, HardState hard, Snapshot first) {
+    public void initialize(long id, HardState hard, Snapshot first) {
         try {
             if (folder.files().contains(FOUNDING)) {
-                folder.remove(FOUNDING);
+                folder.delete(FOUNDING);
             }
             records = openFile(FOUNDING);
             sum = 0;
@@ -299,11 +301,11 @@
             writeSnapshot(first);
             sync();
             folder.sync();
-            folder.move(FOUNDING, name(0));
+            folder.rename(FOUNDING, name(0));
             folder.sync();
             number = 0;
             renewAt = 2 * liveBytes + spareBytes;
-        } catch (IOException | Damaged e) {
+        } catch (IOException | CorruptStoreException e) {
             throw new IllegalStateException("the disk refuses a new store: " + e.getMessage(), e);
         } catch (MVStoreException e) {
             throw refused(e);
@@ -311,7 +313,7 @@
     }
 
     /** All that has been synced. */
-    public PersistentState load() throws Damaged {
+    public PersistentState load() throws CorruptStoreException {
         if (number < 0) {
             return PersistentState.EMPTY;
         }
@@ -332,16 +334,16 @@
         }
     }
 
-    private static Damaged damaged(Throwable e) {
+    private static CorruptStoreException damaged(Throwable e) {
         try {
             return unreadable(e);
         } catch (IOException io) {
-            return new Damaged(io.getMessage(), io);
+            return new CorruptStoreException(io.getMessage(), io);
         }
     }
 
     /** Reads every record, and holds their sum against the one that was written with the last of them. */
-    private void check(String file) throws IOException, Damaged {
+    private void check(String file) throws IOException, CorruptStoreException {
         try {
             sum = 0;
             liveBytes = 0;
@@ -359,16 +361,16 @@
             }
             byte[] record = records.meta.get(SUM);
             if (record == null) {
-                throw new Damaged("there is no sum of the records", null);
+                throw new CorruptStoreException("there is no sum of the records", null);
             }
             if (unsealed(record, SUM).getInt() != sum) {
-                throw new Damaged("the records don't match their sum", null);
+                throw new CorruptStoreException("the records don't match their sum", null);
             }
             if (OrderedFile.newestVersion(folder.path(file)) != records.store.getCurrentVersion()) {
-                throw new Damaged("what was written last can't be read", null);
+                throw new CorruptStoreException("what was written last can't be read", null);
             }
             if (identity() == 0) {
-                throw new Damaged("there is no identity in it", null);
+                throw new CorruptStoreException("there is no identity in it", null);
             }
             renewAt = 2 * liveBytes + spareBytes;
         } catch (RuntimeException | AssertionError e) {
@@ -376,11 +378,12 @@
         }
     }
 
-    private static void checkOrder(Snapshot snapshot, List<Entry> entries) throws Damaged {
+    private static void checkOrder(Snapshot snapshot, List<Entry> entries) throws CorruptStoreException {
         long due = snapshot.index() + 1;
         for (Entry entry : entries) {
             if (entry.index() != due++) {
-                throw new Damaged("the log has entry " + entry.index() + " where " + (due - 1) + " was due", null);
+                throw new CorruptStoreException(
+                        "the log has entry " + entry.index() + " where " + (due - 1) + " was due", null);
             }
         }
     }
@@ -440,7 +443,7 @@
         Records made;
         try {
             made = copy(name(number + 1));
-        } catch (MVStoreException | IOException | Damaged e) {
+        } catch (MVStoreException | IOException | CorruptStoreException e) {
             if (e instanceof MVStoreException failed) {
                 refused(failed);
             }
@@ -451,7 +454,7 @@
         records.close();
         records = made;
         try {
-            folder.remove(name(number));
+            folder.delete(name(number));
             folder.sync();
             number++;
             renewAt = 2 * liveBytes + spareBytes;
@@ -461,9 +464,9 @@
         }
     }
 
-    private Records copy(String file) throws IOException, Damaged {
+    private Records copy(String file) throws IOException, CorruptStoreException {
         if (folder.files().contains(file)) {
-            folder.remove(file);
+            folder.delete(file);
         }
         Records made = openFile(file);
         boolean done = false;
@@ -556,7 +559,7 @@
         }
     }
 
-    private HardState hard() throws Damaged {
+    private HardState hard() throws CorruptStoreException {
         byte[] record = records.meta.get(HARD);
         if (record == null) {
             return HardState.NONE;
@@ -567,7 +570,7 @@
         return new HardState(term, votedFor, in.hasRemaining() ? in.getLong() : 0);
     }
 
-    private Snapshot snapshot() throws Damaged {
+    private Snapshot snapshot() throws CorruptStoreException {
         byte[] record = records.meta.get(SNAPSHOT);
         if (record == null) {
             return Snapshot.NONE;
@@ -582,12 +585,12 @@
         return new Snapshot(index, term, MemberListCodec.decode(members), state);
     }
 
-    private static Entry entry(long index, byte[] record) throws Damaged {
+    private static Entry entry(long index, byte[] record) throws CorruptStoreException {
         ByteBuffer in = unsealed(record, "entry " + index);
         long term = in.getLong();
         int kind = in.get();
         if (kind < 0 || kind >= KINDS.length) {
-            throw new Damaged("entry " + index + " is of no known kind", null);
+            throw new CorruptStoreException("entry " + index + " is of no known kind", null);
         }
         byte[] body = new byte[in.remaining()];
         in.get(body);
@@ -607,16 +610,16 @@
         return record.putInt(0, (int) sum.getValue()).array();
     }
 
-    private static ByteBuffer unsealed(byte[] record, String what) throws Damaged {
+    private static ByteBuffer unsealed(byte[] record, String what) throws CorruptStoreException {
         if (record.length < Integer.BYTES) {
-            throw new Damaged(what + " is cut short", null);
+            throw new CorruptStoreException(what + " is cut short", null);
         }
         ByteBuffer in = ByteBuffer.wrap(record);
         int written = in.getInt();
         CRC32C sum = new CRC32C();
         sum.update(record, Integer.BYTES, record.length - Integer.BYTES);
         if ((int) sum.getValue() != written) {
-            throw new Damaged(what + " doesn't match its checksum", null);
+            throw new CorruptStoreException(what + " doesn't match its checksum", null);
         }
         return in;
     }
--- a/src/main/java/tinworks/store/DiskFolder.java
+++ b/src/main/java/tinworks/store/DiskStoreDirectory.java
@@ -13,9 +13,9 @@
  *
  * @param place where it is
  */
-public record DiskFolder(Path place) implements Folder {
+public record DiskStoreDirectory(Path place) implements StoreDirectory {
     @Override
-    public void make() throws IOException {
+    public void createDirectories() throws IOException {
         make(place.toAbsolutePath());
     }
 
@@ -41,17 +41,17 @@
     }
 
     @Override
-    public void create(String file) throws IOException {
+    public void createFile(String file) throws IOException {
         Files.createFile(place.resolve(file));
     }
 
     @Override
-    public void move(String file, String to) throws IOException {
+    public void rename(String file, String to) throws IOException {
         Files.move(place.resolve(file), place.resolve(to));
     }
 
     @Override
-    public void remove(String file) throws IOException {
+    public void delete(String file) throws IOException {
         Files.delete(place.resolve(file));
     }
 
--- a/src/test/java/tinworks/cli/CommandLineToolTest.java
+++ b/src/test/java/tinworks/cli/CommandLineToolTest.java
@@ -78,7 +78,7 @@
     void stateReadsWhatACoreMachineHasOnItsDisk() throws Exception {
         Path disk = folder.resolve("disk");
         CoreStore store = CoreStore.open(disk);
-        store.found(5, HardState.NONE, Snapshot.NONE);
+        store.initialize(5, HardState.NONE, Snapshot.NONE);
         byte[] command = ConfigurationHistory.command(0, 3, "{\"rev\":3}".getBytes(StandardCharsets.UTF_8));
         store.write(new Output(
                 1,
--- a/src/test/java/tinworks/control/CoreTest.java
+++ b/src/test/java/tinworks/control/CoreTest.java
@@ -43,8 +43,8 @@
     }
 
     /** Starts a machine on its disk; who it is, or 0 where the disk gave out. */
-    private static long start(SimulatedDisk disk, BootSettings settings) throws CoreStore.Damaged {
-        try (CoreStore store = Core.open(disk.folder())) {
+    private static long start(SimulatedDisk disk, BootSettings settings) throws CoreStore.CorruptStoreException {
+        try (CoreStore store = Core.open(disk.directory())) {
             return Core.identity(store, settings);
         } catch (IOException e) {
             return 0;
@@ -52,7 +52,7 @@
     }
 
     private static List<Member> voters(SimulatedDisk disk) throws Exception {
-        try (CoreStore store = CoreStore.open(disk.folder())) {
+        try (CoreStore store = CoreStore.open(disk.directory())) {
             return store.load().snapshot().members();
         }
     }
@@ -64,7 +64,7 @@
         int founded = 0;
         for (int after = 0; after < 60; after++) {
             SimulatedDisk disk = new SimulatedDisk(after);
-            disk.stopAfter(after);
+            disk.failAfter(after);
             long before = start(disk, settings(1, true));
             disk.powerLoss();
             boolean bootstrap = after % 2 == 0;
@@ -111,7 +111,7 @@
             SimulatedDisk disk = new SimulatedDisk(seed);
             disk.put("state.mv", new byte[20_000]);
             int after = seed % 20;
-            disk.stopAfter(after);
+            disk.failAfter(after);
             start(disk, settings(1, true));
             disk.powerLoss();
             assertTrue(start(disk, settings(1, true)) > LARGEST_FIRST_ID, "operation " + after + ", seed " + seed);
@@ -122,12 +122,12 @@
     @Test
     void aFullDiskIsNotADamagedStore() throws Exception {
         SimulatedDisk disk = new SimulatedDisk(5);
-        disk.full(true);
+        disk.setFull(true);
         assertEquals(0, start(disk, settings(1, true)));
-        disk.full(false);
+        disk.setFull(false);
         long id = start(disk, settings(1, true));
         disk.crash();
-        disk.full(true);
+        disk.setFull(true);
         assertEquals(id, start(disk, settings(1, true)));
         assertEquals(List.of("state.mv"), disk.files());
     }
--- a/src/test/java/tinworks/control/DiskThreadTest.java
+++ b/src/test/java/tinworks/control/DiskThreadTest.java
@@ -41,7 +41,7 @@
         before = Thread.getDefaultUncaughtExceptionHandler();
         Thread.setDefaultUncaughtExceptionHandler((thread, thrown) -> uncaught.add(thrown));
         CoreStore store = CoreStore.open(folder);
-        store.found(1, HardState.NONE, Snapshot.NONE);
+        store.initialize(1, HardState.NONE, Snapshot.NONE);
         disk = new DiskThread(Runnable::run, store, lines::add);
     }
 
--- a/src/test/java/tinworks/control/SimulatedStore.java
+++ b/src/test/java/tinworks/control/SimulatedStore.java
@@ -13,8 +13,8 @@
 import tinworks.raft.PersistentState;
 import tinworks.raft.Snapshot;
 import tinworks.store.CoreStore;
-import tinworks.store.Folder;
 import tinworks.store.SimulatedDisk;
+import tinworks.store.StoreDirectory;
 
 /** The disk of a simulated core machine, and what a start of the process finds on it. */
 interface SimulatedStore {
@@ -131,10 +131,10 @@
         @Override
         public Found open(String address, boolean bootstrap, List<String> seeds, long newId) {
             try {
-                store = Core.open(folderSyncs ? disk.folder() : unsynced(disk.folder()));
+                store = Core.open(folderSyncs ? disk.directory() : unsynced(disk.directory()));
                 long id = Core.identity(store, address, bootstrap, seeds, newId);
                 return new Found(id, store.load());
-            } catch (IOException | CoreStore.Damaged | IllegalStateException e) {
+            } catch (IOException | CoreStore.CorruptStoreException | IllegalStateException e) {
                 if (!full) {
                     throw new IllegalStateException("the store at " + address + " can't be opened", e);
                 }
@@ -156,7 +156,7 @@
         private void reopen() {
             try {
                 store.reopen();
-            } catch (CoreStore.Damaged e) {
+            } catch (CoreStore.CorruptStoreException e) {
                 // Tried again with the next write, as the production thread does.
             }
         }
@@ -175,7 +175,7 @@
 
         private void part(Output midway) {
             if (midway != null) {
-                disk.stopAfter(random.nextInt(MOST_OPERATIONS));
+                disk.failAfter(random.nextInt(MOST_OPERATIONS));
                 try {
                     store.write(midway);
                 } catch (MVStoreException | IllegalStateException e) {
@@ -192,13 +192,15 @@
         @Override
         public void full(boolean nowFull) {
             full = nowFull;
-            disk.full(nowFull);
+            disk.setFull(nowFull);
         }
 
         /** The folder, but its syncs do nothing. */
-        private static Folder unsynced(Folder folder) {
-            return (Folder) Proxy.newProxyInstance(
-                    Folder.class.getClassLoader(), new Class<?>[] {Folder.class}, (proxy, method, arguments) -> {
+        private static StoreDirectory unsynced(StoreDirectory folder) {
+            return (StoreDirectory) Proxy.newProxyInstance(
+                    StoreDirectory.class.getClassLoader(),
+                    new Class<?>[] {StoreDirectory.class},
+                    (proxy, method, arguments) -> {
                         try {
                             return method.getName().equals("sync") ? null : method.invoke(folder, arguments);
                         } catch (InvocationTargetException e) {
--- a/src/test/java/tinworks/store/CoreStoreTest.java
+++ b/src/test/java/tinworks/store/CoreStoreTest.java
@@ -37,7 +37,7 @@
     void whatWasWrittenIsThereAfterTheProcessEnds() throws Exception {
         Snapshot first = new Snapshot(0, 0, List.of(new Member(3, "10.0.0.1:7")), new byte[0]);
         CoreStore store = CoreStore.open(folder);
-        store.found(42, HardState.NONE, first);
+        store.initialize(42, HardState.NONE, first);
         store.write(output(new HardState(2, 3), null, 1, entry(1, 1), entry(2, 1), entry(3, 1)));
         store.write(output(null, null, 2, entry(2, 2)));
         // No close: the process is killed.
@@ -67,7 +67,7 @@
     @Test
     void tornWritesBehindTheLastSyncLeaveWhatWasSynced() throws Exception {
         CoreStore store = CoreStore.open(folder);
-        store.found(42, HardState.NONE, Snapshot.NONE);
+        store.initialize(42, HardState.NONE, Snapshot.NONE);
         store.write(output(new HardState(1, 1), null, 1, entry(1, 1)));
         byte[] synced = Files.readAllBytes(folder.resolve("state.mv"));
         store.write(output(
@@ -101,8 +101,9 @@
     @Test
     void aStoreThatCantBeTrustedIsSetAsideUnderADatedName() throws Exception {
         Files.write(folder.resolve("state.mv"), new byte[20_000]);
-        assertThrows(CoreStore.Damaged.class, () -> CoreStore.open(folder));
-        assertEquals("damaged-20260102-030405.mv", CoreStore.setAside(new DiskFolder(folder), "20260102-030405"));
+        assertThrows(CoreStore.CorruptStoreException.class, () -> CoreStore.open(folder));
+        assertEquals(
+                "damaged-20260102-030405.mv", CoreStore.quarantine(new DiskStoreDirectory(folder), "20260102-030405"));
         assertTrue(Files.exists(folder.resolve("damaged-20260102-030405.mv")));
         CoreStore fresh = CoreStore.open(folder);
         assertEquals(0, fresh.identity());
@@ -113,9 +114,9 @@
     void aFolderIsMadeWithAllAboveItAndOneThatCantBeReadIsAnError() throws Exception {
         Path place = folder.resolve("a").resolve("b");
         CoreStore store = CoreStore.open(place);
-        assertTrue(store.untouched());
+        assertTrue(store.isPristine());
         assertEquals(PersistentState.EMPTY, store.load());
-        store.found(7, HardState.NONE, Snapshot.NONE);
+        store.initialize(7, HardState.NONE, Snapshot.NONE);
         store.close();
         CoreStore again = CoreStore.open(place);
         assertEquals(7, again.identity());
@@ -127,7 +128,7 @@
     @Test
     void aStoreThatIsOpenElsewhereIsNotADamagedOne() throws Exception {
         CoreStore store = CoreStore.open(folder);
-        store.found(7, HardState.NONE, Snapshot.NONE);
+        store.initialize(7, HardState.NONE, Snapshot.NONE);
         assertThrows(IOException.class, () -> CoreStore.open(folder));
         store.close();
         CoreStore again = CoreStore.open(folder);
--- a/src/test/java/tinworks/store/DamageTest.java
+++ b/src/test/java/tinworks/store/CorruptionTest.java
@@ -24,7 +24,7 @@
 import tinworks.raft.Snapshot;
 
 /** A file whose bytes were changed or lost on the disk is found out, or read as it was. */
-class DamageTest {
+class CorruptionTest {
     private static final String FILE = "state.mv";
     private static final int WRITES = 16;
     private static final int ROUNDS = 3_000;
@@ -41,8 +41,8 @@
     private byte[] written() throws Exception {
         SimulatedDisk disk = new SimulatedDisk(1);
         SplittableRandom random = new SplittableRandom(2);
-        CoreStore store = CoreStore.open(disk.folder());
-        store.found(42, HardState.NONE, Snapshot.NONE);
+        CoreStore store = CoreStore.open(disk.directory());
+        store.initialize(42, HardState.NONE, Snapshot.NONE);
         states.add(describe(store.load()));
         for (int i = 1; i <= WRITES; i++) {
             byte[] body = new byte[random.nextInt(3_000)];
@@ -73,12 +73,12 @@
     private int read(byte[] bytes, String how) {
         SimulatedDisk disk = new SimulatedDisk(3);
         disk.put(FILE, bytes);
-        try (CoreStore store = CoreStore.open(disk.folder())) {
+        try (CoreStore store = CoreStore.open(disk.directory())) {
             assertEquals(42, store.identity(), how);
             int state = states.indexOf(describe(store.load()));
             assertTrue(state >= 0, "a state that never was, " + how);
             return state;
-        } catch (CoreStore.Damaged e) {
+        } catch (CoreStore.CorruptStoreException e) {
             return -1;
         } catch (IOException e) {
             return fail(how, e);
@@ -138,8 +138,8 @@
     @Test
     void nothingThatWasSyncedIsEverWrittenOver() throws Exception {
         SimulatedDisk disk = new SimulatedDisk(6);
-        CoreStore store = CoreStore.open(disk.folder());
-        store.found(42, HardState.NONE, Snapshot.NONE);
+        CoreStore store = CoreStore.open(disk.directory());
+        store.initialize(42, HardState.NONE, Snapshot.NONE);
         byte[] before = disk.read(FILE);
         for (int i = 1; i <= 300; i++) {
             Snapshot snapshot = i % 5 == 0 ? new Snapshot(i - 1, 1, List.of(), new byte[6_000]) : null;
@@ -180,7 +180,7 @@
             SimulatedDisk disk = new SimulatedDisk(7);
             disk.put(FILE, whole);
             MVStore store = new MVStore.Builder()
-                    .fileName(OrderedFile.path(disk.folder().path(FILE)))
+                    .fileName(OrderedFile.path(disk.directory().path(FILE)))
                     .autoCommitDisabled()
                     .open();
             store.getFileStore().setReuseSpace(false);
--- a/src/test/java/tinworks/store/CrashTest.java
+++ b/src/test/java/tinworks/store/CrashRecoveryTest.java
@@ -23,7 +23,7 @@
 import tinworks.raft.Snapshot;
 
 /** What a store has on its disk after losses of power, kills and refused writes, at every operation of the disk. */
-class CrashTest {
+class CrashRecoveryTest {
     private static final long ID = 42;
     private static final int WRITES = 14;
     /** So little that a file is written anew within a few writes. */
@@ -47,13 +47,13 @@
         }
 
         /** Founds the store and writes; false where the disk refused or stopped. */
-        boolean start() throws CoreStore.Damaged {
+        boolean start() throws CoreStore.CorruptStoreException {
             states.clear();
             states.add(new PersistentState(HardState.NONE, FIRST, List.of()));
             try {
-                store = CoreStore.open(disk.folder(), SPARE_BYTES);
+                store = CoreStore.open(disk.directory(), SPARE_BYTES);
                 if (store.identity() == 0) {
-                    store.found(ID, HardState.NONE, FIRST);
+                    store.initialize(ID, HardState.NONE, FIRST);
                 }
                 synced = 0;
                 return true;
@@ -117,10 +117,10 @@
         /** Comes back and checks that all that was acknowledged is there, whole and in one piece. */
         void comeBack(String when) throws IOException {
             try {
-                store = CoreStore.open(disk.folder(), SPARE_BYTES);
+                store = CoreStore.open(disk.directory(), SPARE_BYTES);
                 long id = store.identity();
                 if (id == 0 && synced == 0 && !founded()) {
-                    store.found(ID, HardState.NONE, FIRST);
+                    store.initialize(ID, HardState.NONE, FIRST);
                     return;
                 }
                 assertEquals(ID, id, "identity " + when);
@@ -134,7 +134,7 @@
                 }
                 fail("what was acknowledged is gone " + when + ", at " + synced + ": " + describe(states.get(synced))
                         + " but found " + describe(found));
-            } catch (CoreStore.Damaged e) {
+            } catch (CoreStore.CorruptStoreException e) {
                 fail("damaged " + when, e);
             }
         }
@@ -176,12 +176,12 @@
             boolean cut = true;
             for (int after = 0; cut; after++) {
                 Machine machine = new Machine(seed);
-                machine.disk.stopAfter(after);
+                machine.disk.failAfter(after);
                 cut = !(machine.start() && machine.write(WRITES));
                 machine.disk.powerLoss();
                 String when = "after operation " + after + ", seed " + seed;
                 machine.comeBack(when);
-                machine.disk.stopAfter(machine.random.nextInt(20));
+                machine.disk.failAfter(machine.random.nextInt(20));
                 machine.write(4);
                 machine.disk.powerLoss();
                 machine.comeBack("again " + when);
@@ -195,7 +195,7 @@
         for (int seed = 0; seed < 60; seed++) {
             Machine machine = new Machine(seed);
             assertTrue(machine.start());
-            machine.disk.stopAfter(1 + seed % 40);
+            machine.disk.failAfter(1 + seed % 40);
             machine.write(WRITES);
             machine.disk.crash();
             machine.comeBack("after a kill, seed " + seed);
@@ -206,13 +206,13 @@
 
     /** With any kind of sync taken out something is lost or damaged: each is there for a reason. */
     @ParameterizedTest
-    @EnumSource(SimulatedDisk.Sync.class)
-    void withoutAnyKindOfSyncSomethingIsLost(SimulatedDisk.Sync kind) {
+    @EnumSource(SimulatedDisk.SyncKind.class)
+    void withoutAnyKindOfSyncSomethingIsLost(SimulatedDisk.SyncKind kind) {
         assertThrows(AssertionError.class, () -> {
             for (int seed = 0; seed < 4_000; seed++) {
                 Machine machine = new Machine(seed);
-                machine.disk.leaveOut(Set.of(kind));
-                machine.disk.stopAfter(20 + machine.random.nextInt(40));
+                machine.disk.skipSyncs(Set.of(kind));
+                machine.disk.failAfter(20 + machine.random.nextInt(40));
                 if (machine.start()) {
                     machine.write(WRITES);
                 }
@@ -229,11 +229,11 @@
             for (int after = 0; after < 60; after++) {
                 Machine machine = new Machine(seed);
                 assertTrue(machine.start());
-                machine.disk.fullAfter(after);
+                machine.disk.becomeFullAfter(after);
                 boolean all = machine.write(WRITES);
                 if (!all) {
                     machine.store.reopen();
-                    machine.disk.full(false);
+                    machine.disk.setFull(false);
                     machine.store.reopen();
                     String when = "after " + after + " writes, seed " + seed;
                     machine.comeBack("refused " + when);
--- a/src/test/java/tinworks/store/DiskUseTest.java
+++ b/src/test/java/tinworks/store/DiskUseTest.java
@@ -34,9 +34,10 @@
     private record Figures(
             long mostBytes, long lastBytes, long slowestWriteMillis, long openingMillis, PersistentState found) {}
 
-    private static Figures run(Path folder, int writes, int bodyBytes, int kept) throws IOException, CoreStore.Damaged {
+    private static Figures run(Path folder, int writes, int bodyBytes, int kept)
+            throws IOException, CoreStore.CorruptStoreException {
         CoreStore store = CoreStore.open(folder);
-        store.found(1, HardState.NONE, Snapshot.NONE);
+        store.initialize(1, HardState.NONE, Snapshot.NONE);
         List<Entry> entries = new ArrayList<>();
         long most = 0;
         long slowest = 0;
--- a/src/test/java/tinworks/store/SimulatedDisk.java
+++ b/src/test/java/tinworks/store/SimulatedDisk.java
@@ -40,7 +40,7 @@
     }
 
     /** The kinds of sync that a store asks for. */
-    public enum Sync {
+    public enum SyncKind {
         /** Of the folder. */
         FOLDER,
         /** Of a file's contents, which a store asks for before it writes what says that they are whole. */
@@ -54,7 +54,7 @@
     private final Map<String, Contents> names = new TreeMap<>();
     private final Map<String, Contents> syncedNames = new TreeMap<>();
     private Runnable onSync = () -> {};
-    private Set<Sync> left = EnumSet.noneOf(Sync.class);
+    private Set<SyncKind> left = EnumSet.noneOf(SyncKind.class);
     private int life;
     private long operations;
     private long syncs;
@@ -71,7 +71,7 @@
     }
 
     /** What a store is opened in; it holds on to this disk. */
-    public Folder folder() {
+    public StoreDirectory directory() {
         return new SimulatedFolder();
     }
 
@@ -121,13 +121,13 @@
     }
 
     /** A full disk refuses every write, and takes them again later. */
-    public synchronized void full(boolean full) {
+    public synchronized void setFull(boolean full) {
         taken = full ? 0 : Long.MAX_VALUE;
         inPart = false;
     }
 
     /** Takes this many more writes and then is full; the first that is refused may have been written in part. */
-    public synchronized void fullAfter(long writes) {
+    public synchronized void becomeFullAfter(long writes) {
         taken = writes;
         inPart = true;
     }
@@ -136,13 +136,13 @@
      * Lets this many more operations (writes, cuts, syncs and changes of names) through. All later ones fail, as they
      * come too late for the {@link #powerLoss} that the caller then makes.
      */
-    public synchronized void stopAfter(long more) {
+    public synchronized void failAfter(long more) {
         passing = more;
         late = false;
     }
 
-    /** Whether an operation came too late for {@link #stopAfter}. */
-    public synchronized boolean stopped() {
+    /** Whether an operation came too late for {@link #failAfter}. */
+    public synchronized boolean hasFailed() {
         return late;
     }
 
@@ -152,7 +152,7 @@
     }
 
     /** Syncs of these kinds do nothing from now on, as if the store had never asked for them. */
-    public synchronized void leaveOut(Set<Sync> kinds) {
+    public synchronized void skipSyncs(Set<SyncKind> kinds) {
         left = EnumSet.copyOf(kinds);
     }
 
@@ -314,11 +314,11 @@
         }
     }
 
-    private final class SimulatedFolder implements Folder {
+    private final class SimulatedFolder implements StoreDirectory {
         private final int born = life;
 
         @Override
-        public void make() {}
+        public void createDirectories() {}
 
         @Override
         public String path(String file) {
@@ -331,7 +331,7 @@
         }
 
         @Override
-        public void create(String file) throws IOException {
+        public void createFile(String file) throws IOException {
             synchronized (SimulatedDisk.this) {
                 alive();
                 if (names.containsKey(file)) {
@@ -342,7 +342,7 @@
         }
 
         @Override
-        public void move(String file, String to) throws IOException {
+        public void rename(String file, String to) throws IOException {
             synchronized (SimulatedDisk.this) {
                 alive();
                 change();
@@ -354,7 +354,7 @@
         }
 
         @Override
-        public void remove(String file) throws IOException {
+        public void delete(String file) throws IOException {
             synchronized (SimulatedDisk.this) {
                 alive();
                 change();
@@ -369,7 +369,7 @@
             alive();
             synced();
             synchronized (SimulatedDisk.this) {
-                if (!left.contains(Sync.FOLDER)) {
+                if (!left.contains(SyncKind.FOLDER)) {
                     syncedNames.clear();
                     syncedNames.putAll(names);
                 }
@@ -466,7 +466,7 @@
             synced();
             synchronized (SimulatedDisk.this) {
                 alive();
-                if (!left.contains(lengthToo ? Sync.FILE : Sync.CONTENTS)) {
+                if (!left.contains(lengthToo ? SyncKind.FILE : SyncKind.CONTENTS)) {
                     contents.sync();
                 }
             }
--- a/src/test/java/tinworks/store/SimulatedDiskTest.java
+++ b/src/test/java/tinworks/store/SimulatedDiskTest.java
@@ -25,7 +25,7 @@
     private static final int WRITES = 20;
 
     private static FileChannel open(SimulatedDisk disk, String name) throws IOException {
-        return FilePath.get(disk.folder().path(name)).open("rw");
+        return FilePath.get(disk.directory().path(name)).open("rw");
     }
 
     private static void write(FileChannel file, int at, String text) throws IOException {
@@ -46,7 +46,7 @@
             FileChannel file = open(disk, "f");
             write(file, 0, "ab");
             file.force(true);
-            disk.folder().sync();
+            disk.directory().sync();
             write(file, 2, "cd");
             write(file, 4, "ef");
             file.truncate(5);
@@ -64,7 +64,7 @@
         for (int seed = 0; seed < 200; seed++) {
             SimulatedDisk disk = new SimulatedDisk(seed);
             disk.put("old", new byte[] {'o'});
-            disk.folder().move("old", "aside");
+            disk.directory().rename("old", "aside");
             FileChannel file = open(disk, "new");
             write(file, 0, "n");
             file.force(true);
@@ -81,10 +81,10 @@
             SimulatedDisk disk = new SimulatedDisk(day);
             int index = 0;
             for (int life = 0; life < LIVES; life++) {
-                CoreStore store = CoreStore.open(disk.folder());
+                CoreStore store = CoreStore.open(disk.directory());
                 if (life == 0) {
-                    store.found(day + 1, HardState.NONE, Snapshot.NONE);
-                    disk.folder().sync();
+                    store.initialize(day + 1, HardState.NONE, Snapshot.NONE);
+                    disk.directory().sync();
                 }
                 assertEquals(day + 1, store.identity());
                 assertEquals(index, store.load().entries().size());
@@ -113,11 +113,11 @@
         write(open(disk, "f"), 0, "ab");
         disk.crash();
         assertEquals("ab", left(disk, "f"));
-        disk.full(true);
+        disk.setFull(true);
         assertThrows(IOException.class, () -> write(open(disk, "f"), 2, "cd"));
         assertThrows(IOException.class, () -> open(disk, "g"));
         assertEquals("ab", left(disk, "f"));
-        disk.full(false);
+        disk.setFull(false);
         write(open(disk, "f"), 2, "cd");
         assertEquals("abcd", left(disk, "f"));
         disk.wipe();
--- a/src/test/java/tinworks/system/WholeSystemTest.java
+++ b/src/test/java/tinworks/system/WholeSystemTest.java
@@ -84,7 +84,7 @@
         }
         for (int i = 0; i < 3; i++) {
             CoreStore store = CoreStore.open(disks.resolve("core" + i));
-            store.found(i + 1, HardState.NONE, new Snapshot(0, 0, voters, new byte[0]));
+            store.initialize(i + 1, HardState.NONE, new Snapshot(0, 0, voters, new byte[0]));
             long id = i + 1L;
             BootSettings settings = settings("core-" + i, ip(i));
             CoreNode core = on(() -> new CoreNode(loop, settings, store, id, store.load()));
