--- a/src/main/java/tinworks/net/ClientServer.java
+++ b/src/main/java/tinworks/net/ClientServer.java
@@ -398,7 +398,7 @@
             this.headAlone = headAlone;
         }
 
-        private void answers(Arrived arrived) {
+        private void answers(ReceivedRequest arrived) {
             head = arrived.head;
             body = arrived.body;
             queueingDelayNanos = arrived.heldUp;
@@ -496,7 +496,7 @@
      * A request, or what came in place of one, when its last byte was read, and how long that may have lain here
      * before.
      */
-    private record Arrived(FullHttpRequest request, long at, long heldUp, Reservation head, Reservation body) {
+    private record ReceivedRequest(FullHttpRequest request, long at, long heldUp, Reservation head, Reservation body) {
         void giveUp() {
             head.release();
             body.release();
@@ -509,7 +509,7 @@
         private final RequestDecoder decoder = new RequestDecoder(bounds.maxHeadBytes(), heads);
         private final RequestAggregator assembler = new RequestAggregator(this::isFree, bounds.maxBodyBytes(), bodies);
         /** Requests that came before the one ahead had its answer. */
-        private final ArrayDeque<Arrived> pipelined = new ArrayDeque<>();
+        private final ArrayDeque<ReceivedRequest> pipelined = new ArrayDeque<>();
 
         private Reply open;
         /** When it was accepted, and how long it may have waited for that. */
@@ -556,8 +556,8 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            Arrived arrived =
-                    new Arrived(request, clock.nanos(), heldUpNanos(), decoder.handOver(), assembler.handOver());
+            ReceivedRequest arrived = new ReceivedRequest(
+                    request, clock.nanos(), heldUpNanos(), decoder.handOver(), assembler.handOver());
             if (deaf) {
                 arrived.giveUp();
                 return;
@@ -617,7 +617,7 @@
             }
         }
 
-        private void take(Arrived arrived) {
+        private void take(ReceivedRequest arrived) {
             FullHttpRequest request = arrived.request;
             asked = true;
             boolean readable = request.decoderResult().isSuccess();
@@ -752,7 +752,7 @@
 
         private void takeNext() {
             if (open == null && !closing && channel.isActive() && channel.isWritable() && !pipelined.isEmpty()) {
-                Arrived next = pipelined.poll();
+                ReceivedRequest next = pipelined.poll();
                 channel.config().setAutoRead(!deaf);
                 take(next);
             }
@@ -812,7 +812,7 @@
             forget();
             assembler.giveUp();
             decoder.handOver().release();
-            pipelined.forEach(Arrived::giveUp);
+            pipelined.forEach(ReceivedRequest::giveUp);
             pipelined.clear();
             bound();
             Reply unanswered = open;
--- a/src/main/java/tinworks/net/LoopLag.java
+++ b/src/main/java/tinworks/net/LoopLag.java
@@ -69,7 +69,7 @@
 
     @Override
     public IoHandler newHandler(ThreadAwareExecutor executor) {
-        return new Watched(wrapped.newHandler(executor));
+        return new TimedIoHandler(wrapped.newHandler(executor));
     }
 
     @Override
@@ -78,11 +78,11 @@
     }
 
     /** A handler whose passes are timed. */
-    private final class Watched implements IoHandler {
+    private final class TimedIoHandler implements IoHandler {
         private final IoHandler handler;
         private final Context context = new Context();
 
-        Watched(IoHandler handler) {
+        TimedIoHandler(IoHandler handler) {
             this.handler = handler;
         }
 
