--- a/src/main/java/tinworks/channel/ByteReader.java
+++ b/src/main/java/tinworks/channel/ByteReader.java
@@ -5,13 +5,13 @@
 
 /** Reads with every length checked against what is there, before anything is made of that size. */
 record ByteReader(ByteBuffer buffer) {
-    private static final int LONGEST_TEXT = 4_096;
+    private static final int MAX_STRING_BYTES = 4_096;
 
-    byte one() {
+    byte readByte() {
         return buffer.get();
     }
 
-    boolean flag() throws MalformedDataException {
+    boolean readBoolean() throws MalformedDataException {
         byte value = buffer.get();
         if (value != 0 && value != 1) {
             throw new MalformedDataException("a flag of " + value);
@@ -19,19 +19,19 @@
         return value == 1;
     }
 
-    short two() {
+    short readShort() {
         return buffer.getShort();
     }
 
-    int four() {
+    int readInt() {
         return buffer.getInt();
     }
 
-    long eight() {
+    long readLong() {
         return buffer.getLong();
     }
 
-    <T> T among(T[] values) throws MalformedDataException {
+    <T> T readConstant(T[] values) throws MalformedDataException {
         int at = buffer.get();
         if (at < 0 || at >= values.length) {
             throw new MalformedDataException("no value of number " + at);
@@ -40,7 +40,7 @@
     }
 
     /** A count of things that take so many bytes each at least. */
-    int count(int leastBytes) throws MalformedDataException {
+    int readCount(int leastBytes) throws MalformedDataException {
         int count = buffer.getInt();
         if (count < 0 || count > buffer.remaining() / leastBytes) {
             throw new MalformedDataException("a count of " + count);
@@ -48,15 +48,15 @@
         return count;
     }
 
-    byte[] bytes() throws MalformedDataException {
-        byte[] value = new byte[count(1)];
+    byte[] readBytes() throws MalformedDataException {
+        byte[] value = new byte[readCount(1)];
         buffer.get(value);
         return value;
     }
 
-    String text() throws MalformedDataException {
-        byte[] value = bytes();
-        if (value.length > LONGEST_TEXT) {
+    String readString() throws MalformedDataException {
+        byte[] value = readBytes();
+        if (value.length > MAX_STRING_BYTES) {
             throw new MalformedDataException("a text of " + value.length + " bytes");
         }
         return new String(value, StandardCharsets.UTF_8);
--- a/src/main/java/tinworks/channel/ByteWriter.java
+++ b/src/main/java/tinworks/channel/ByteWriter.java
@@ -7,7 +7,7 @@
 final class ByteWriter {
     private ByteBuffer buffer = ByteBuffer.allocate(256);
 
-    private ByteBuffer room(int bytes) {
+    private ByteBuffer ensureRemaining(int bytes) {
         if (buffer.remaining() < bytes) {
             buffer = ByteBuffer.allocate(Math.max(2 * buffer.capacity(), buffer.position() + bytes))
                     .put(buffer.flip());
@@ -15,41 +15,41 @@
         return buffer;
     }
 
-    ByteWriter one(byte value) {
-        room(1).put(value);
+    ByteWriter writeByte(byte value) {
+        ensureRemaining(1).put(value);
         return this;
     }
 
-    ByteWriter flag(boolean value) {
-        return one((byte) (value ? 1 : 0));
+    ByteWriter writeBoolean(boolean value) {
+        return writeByte((byte) (value ? 1 : 0));
     }
 
-    ByteWriter two(short value) {
-        room(Short.BYTES).putShort(value);
+    ByteWriter writeShort(short value) {
+        ensureRemaining(Short.BYTES).putShort(value);
         return this;
     }
 
-    ByteWriter four(int value) {
-        room(Integer.BYTES).putInt(value);
+    ByteWriter writeInt(int value) {
+        ensureRemaining(Integer.BYTES).putInt(value);
         return this;
     }
 
-    ByteWriter eight(long value) {
-        room(Long.BYTES).putLong(value);
+    ByteWriter writeLong(long value) {
+        ensureRemaining(Long.BYTES).putLong(value);
         return this;
     }
 
-    ByteWriter bytes(byte[] value) {
-        four(value.length);
-        room(value.length).put(value);
+    ByteWriter writeBytes(byte[] value) {
+        writeInt(value.length);
+        ensureRemaining(value.length).put(value);
         return this;
     }
 
-    ByteWriter text(String value) {
-        return bytes(value.getBytes(StandardCharsets.UTF_8));
+    ByteWriter writeString(String value) {
+        return writeBytes(value.getBytes(StandardCharsets.UTF_8));
     }
 
-    ByteBuffer done() {
+    ByteBuffer finish() {
         return buffer.flip();
     }
 }
--- a/src/main/java/tinworks/channel/ConfigurationCodec.java
+++ b/src/main/java/tinworks/channel/ConfigurationCodec.java
@@ -23,44 +23,44 @@
  * numbers, texts and lists as in {@link PeerMessageCodec}, a weight as the 8 bytes of a double.
  */
 public final class ConfigurationCodec {
-    private static final Configuration.Type[] TYPES = Configuration.Type.values();
-    private static final int LEAST_SERVICE = 3 * Integer.BYTES;
-    private static final int LEAST_ROUTE = 6 * Integer.BYTES + 1 + 2 * Long.BYTES;
-    private static final int LEAST_SPLIT = Integer.BYTES + Long.BYTES;
+    private static final Configuration.Type[] ROUTE_TYPES = Configuration.Type.values();
+    private static final int MIN_SERVICE_BYTES = 3 * Integer.BYTES;
+    private static final int MIN_ROUTE_BYTES = 6 * Integer.BYTES + 1 + 2 * Long.BYTES;
+    private static final int MIN_SPLIT_BYTES = Integer.BYTES + Long.BYTES;
 
     private ConfigurationCodec() {}
 
     /** Reads a part. */
-    private interface Part<T> {
+    private interface Decoder<T> {
         T read(ByteReader in) throws MalformedDataException;
     }
 
     /** A whole configuration as bytes. */
     public static byte[] write(Configuration configuration) {
-        ByteWriter out = new ByteWriter().eight(configuration.rev());
+        ByteWriter out = new ByteWriter().writeLong(configuration.rev());
         writeLimits(out, configuration.limits());
         writeServices(out, configuration.services().values());
         writeRoutes(out, configuration.routes());
-        return bytes(out);
+        return toBytes(out);
     }
 
     /** A change as bytes. */
     public static byte[] write(ConfigurationChange change) {
-        ByteWriter out = new ByteWriter().eight(change.base()).eight(change.rev());
+        ByteWriter out = new ByteWriter().writeLong(change.base()).writeLong(change.rev());
         writeLimits(out, change.limits());
         writeServices(out, change.services());
         writeRoutes(out, change.set());
-        out.four(change.goneServices().size());
-        change.goneServices().forEach(out::text);
-        out.four(change.gone().size());
-        change.gone().forEach(place -> out.text(place.domain()).text(place.prefix()));
-        return bytes(out);
+        out.writeInt(change.goneServices().size());
+        change.goneServices().forEach(out::writeString);
+        out.writeInt(change.gone().size());
+        change.gone().forEach(place -> out.writeString(place.domain()).writeString(place.prefix()));
+        return toBytes(out);
     }
 
     /** The configuration that the bytes are, no more and no less. */
     public static Configuration read(byte[] bytes) throws MalformedDataException {
-        return whole(bytes, in -> {
-            long rev = in.eight();
+        return decodeFully(bytes, in -> {
+            long rev = in.readLong();
             Limits limits = readLimits(in);
             Map<String, Service> services = new LinkedHashMap<>();
             for (Service service : readServices(in)) {
@@ -72,19 +72,20 @@
 
     /** The change that the bytes are, no more and no less. */
     public static ConfigurationChange readChange(byte[] bytes) throws MalformedDataException {
-        return whole(bytes, in -> {
-            long base = in.eight();
-            long rev = in.eight();
+        return decodeFully(bytes, in -> {
+            long base = in.readLong();
+            long rev = in.readLong();
             Limits limits = readLimits(in);
             List<Service> services = readServices(in);
             List<Route> set = readRoutes(in);
-            List<String> goneServices = list(in, Integer.BYTES, ConfigurationCodec::text);
-            List<Place> gone = list(in, 2 * Integer.BYTES, place -> new Place(text(place), text(place)));
+            List<String> goneServices = readList(in, Integer.BYTES, ConfigurationCodec::readString);
+            List<Place> gone =
+                    readList(in, 2 * Integer.BYTES, place -> new Place(readString(place), readString(place)));
             return new ConfigurationChange(base, rev, set, gone, services, goneServices, limits);
         });
     }
 
-    private static <T> T whole(byte[] bytes, Part<T> part) throws MalformedDataException {
+    private static <T> T decodeFully(byte[] bytes, Decoder<T> part) throws MalformedDataException {
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         try {
             T read = part.read(new ByteReader(buffer));
@@ -97,82 +98,88 @@
         }
     }
 
-    private static byte[] bytes(ByteWriter out) {
-        ByteBuffer done = out.done();
+    private static byte[] toBytes(ByteWriter out) {
+        ByteBuffer done = out.finish();
         byte[] bytes = new byte[done.remaining()];
         done.get(bytes);
         return bytes;
     }
 
-    private static <T> List<T> list(ByteReader in, int leastBytes, Part<T> part) throws MalformedDataException {
+    private static <T> List<T> readList(ByteReader in, int leastBytes, Decoder<T> part) throws MalformedDataException {
         List<T> list = new ArrayList<>();
-        for (int i = in.count(leastBytes); i > 0; i--) {
+        for (int i = in.readCount(leastBytes); i > 0; i--) {
             list.add(part.read(in));
         }
         return list;
     }
 
     /** A text of any length: the operator's names are the operator's. */
-    private static String text(ByteReader in) throws MalformedDataException {
-        return new String(in.bytes(), StandardCharsets.UTF_8);
+    private static String readString(ByteReader in) throws MalformedDataException {
+        return new String(in.readBytes(), StandardCharsets.UTF_8);
     }
 
     private static void writeLimits(ByteWriter out, Limits limits) {
-        out.four(limits.hdrBytes())
-                .eight(limits.bodyMaxBytes())
-                .eight(limits.hdrMs())
-                .eight(limits.idleMs());
+        out.writeInt(limits.hdrBytes())
+                .writeLong(limits.bodyMaxBytes())
+                .writeLong(limits.hdrMs())
+                .writeLong(limits.idleMs());
     }
 
     private static Limits readLimits(ByteReader in) {
-        return new Limits(in.four(), in.eight(), in.eight(), in.eight());
+        return new Limits(in.readInt(), in.readLong(), in.readLong(), in.readLong());
     }
 
     private static void writeServices(ByteWriter out, Collection<Service> services) {
-        out.four(services.size());
-        services.forEach(
-                service -> out.text(service.name()).text(service.check()).four(service.maxconn()));
+        out.writeInt(services.size());
+        services.forEach(service ->
+                out.writeString(service.name()).writeString(service.check()).writeInt(service.maxconn()));
     }
 
     private static List<Service> readServices(ByteReader in) throws MalformedDataException {
-        return list(in, LEAST_SERVICE, service -> new Service(text(service), text(service), service.four()));
+        return readList(
+                in,
+                MIN_SERVICE_BYTES,
+                service -> new Service(readString(service), readString(service), service.readInt()));
     }
 
     private static void writeRoutes(ByteWriter out, List<Route> routes) {
-        out.four(routes.size());
+        out.writeInt(routes.size());
         for (Route route : routes) {
-            out.text(route.name())
-                    .text(route.domain())
-                    .text(route.prefix())
-                    .one((byte) route.type().ordinal())
-                    .eight(route.timeoutMs())
-                    .eight(route.targetMs())
-                    .four(route.prio())
-                    .four(route.split().size());
-            route.split().forEach(part -> out.text(part.service()).eight(Double.doubleToLongBits(part.weight())));
-            out.four(route.tries());
+            out.writeString(route.name())
+                    .writeString(route.domain())
+                    .writeString(route.prefix())
+                    .writeByte((byte) route.type().ordinal())
+                    .writeLong(route.timeoutMs())
+                    .writeLong(route.targetMs())
+                    .writeInt(route.prio())
+                    .writeInt(route.split().size());
+            route.split()
+                    .forEach(part -> out.writeString(part.service()).writeLong(Double.doubleToLongBits(part.weight())));
+            out.writeInt(route.tries());
         }
     }
 
     private static List<Route> readRoutes(ByteReader in) throws MalformedDataException {
         SharedValues shared = new SharedValues();
-        return list(
+        return readList(
                 in,
-                LEAST_ROUTE,
+                MIN_ROUTE_BYTES,
                 route -> new Route(
-                        text(route),
-                        shared.text(text(route)),
-                        text(route),
-                        route.among(TYPES),
-                        route.eight(),
-                        route.eight(),
-                        route.four(),
+                        readString(route),
+                        shared.text(readString(route)),
+                        readString(route),
+                        route.readConstant(ROUTE_TYPES),
+                        route.readLong(),
+                        route.readLong(),
+                        route.readInt(),
                         readSplit(route, shared),
-                        route.four()));
+                        route.readInt()));
     }
 
     private static List<Split> readSplit(ByteReader in, SharedValues shared) throws MalformedDataException {
-        return shared.list(list(
-                in, LEAST_SPLIT, part -> new Split(shared.text(text(part)), Double.longBitsToDouble(part.eight()))));
+        return shared.list(readList(
+                in,
+                MIN_SPLIT_BYTES,
+                part -> new Split(shared.text(readString(part)), Double.longBitsToDouble(part.readLong()))));
     }
 }
--- a/src/main/java/tinworks/channel/HostListChange.java
+++ b/src/main/java/tinworks/channel/HostListChange.java
@@ -24,7 +24,7 @@
 
     /** What leads from one list to another; both hold each id once. */
     public static HostListChange between(HostList from, HostList to) {
-        Map<String, Host> before = byId(from.hosts());
+        Map<String, Host> before = hostsById(from.hosts());
         List<Host> set = new ArrayList<>();
         for (Host host : to.hosts()) {
             Host old = before.remove(host.id());
@@ -40,7 +40,7 @@
         if (!list.version().isSameAs(base)) {
             throw new IllegalArgumentException("builds on " + base + ", not on " + list.version());
         }
-        Map<String, Host> hosts = byId(list.hosts());
+        Map<String, Host> hosts = hostsById(list.hosts());
         removedIds.forEach(hosts::remove);
         updated.forEach(host -> hosts.put(host.id(), host));
         return new HostList(version, List.copyOf(hosts.values()));
@@ -48,7 +48,7 @@
 
     /** This change and, after it, the next one as one. */
     HostListChange mergedWith(HostListChange next) {
-        Map<String, Host> both = byId(updated);
+        Map<String, Host> both = hostsById(updated);
         List<String> noMore = new ArrayList<>(removedIds);
         next.removedIds.forEach(id -> {
             both.remove(id);
@@ -59,7 +59,7 @@
         return new HostListChange(base, next.version, List.copyOf(both.values()), noMore);
     }
 
-    private static Map<String, Host> byId(List<Host> hosts) {
+    private static Map<String, Host> hostsById(List<Host> hosts) {
         Map<String, Host> byId = new TreeMap<>();
         hosts.forEach(host -> byId.put(host.id(), host));
         return byId;
--- a/src/main/java/tinworks/channel/HostListHistory.java
+++ b/src/main/java/tinworks/channel/HostListHistory.java
@@ -5,7 +5,7 @@
 /** The newest list of hosts and its last changes, for those who hold one that is a little older. */
 public final class HostListHistory {
     /** At one change a second, the longest that an edge may have been away and still be told changes alone. */
-    private static final int MOST_CHANGES = 64;
+    private static final int MAX_CHANGES = 64;
 
     private final ArrayDeque<HostListChange> changes = new ArrayDeque<>();
     private HostList newest = HostList.NONE;
@@ -19,7 +19,7 @@
     public void advance(HostList next) {
         changes.addLast(HostListChange.between(newest, next));
         newest = next;
-        if (changes.size() > MOST_CHANGES) {
+        if (changes.size() > MAX_CHANGES) {
             changes.removeFirst();
         }
     }
--- a/src/main/java/tinworks/channel/PeerMessageCodec.java
+++ b/src/main/java/tinworks/channel/PeerMessageCodec.java
@@ -45,11 +45,11 @@
     /** Raised whenever the bytes change; a connection between two versions is closed at its Hello. */
     static final short VERSION = 7;
     /** The longest frame: a configuration of the longest body, and what stands round it. */
-    static final int LONGEST = 16 << 20;
+    static final int MAX_FRAME_BYTES = 16 << 20;
 
     private static final byte HELLO = 1;
     private static final byte PING = 2;
-    private static final byte AGREEMENT = 3;
+    private static final byte RAFT_MESSAGE = 3;
     private static final byte JOIN = 4;
     private static final byte ANNOUNCE = 5;
     private static final byte PULL_CONFIGURATION = 6;
@@ -57,7 +57,7 @@
     private static final byte PULL_HOSTS = 8;
     private static final byte HOSTS = 9;
     private static final byte CALL = 10;
-    private static final byte CALL_ANSWER = 11;
+    private static final byte CALL_RESPONSE = 11;
     private static final byte HOSTS_CHANGED = 12;
     private static final byte CONFIGURATION_CHANGED = 13;
     private static final byte LEAVE = 14;
@@ -65,13 +65,13 @@
     private static final byte VOTE_REPLY = 2;
     private static final byte APPEND = 3;
     private static final byte APPEND_REPLY = 4;
-    private static final byte INSTALL = 5;
-    private static final byte HAND_OVER = 6;
-    private static final byte INSTALL_REPLY = 7;
+    private static final byte INSTALL_SNAPSHOT = 5;
+    private static final byte TIMEOUT_NOW = 6;
+    private static final byte INSTALL_SNAPSHOT_REPLY = 7;
     private static final byte LEASE_QUERY = 8;
     private static final byte LEASE_ENDED = 9;
-    private static final Entry.Kind[] KINDS = Entry.Kind.values();
-    private static final NodeRole[] PARTS = NodeRole.values();
+    private static final Entry.Kind[] ENTRY_KINDS = Entry.Kind.values();
+    private static final NodeRole[] ROLES = NodeRole.values();
 
     private PeerMessageCodec() {}
 
@@ -79,51 +79,59 @@
     public static ByteBuffer write(PeerMessage signal) {
         ByteWriter out = new ByteWriter();
         if (signal instanceof Hello s) {
-            out.one(HELLO)
-                    .four(MAGIC)
-                    .two(VERSION)
-                    .one((byte) s.role().ordinal())
-                    .eight(s.id())
-                    .text(s.address())
-                    .text(s.node())
-                    .text(s.zone());
+            out.writeByte(HELLO)
+                    .writeInt(MAGIC)
+                    .writeShort(VERSION)
+                    .writeByte((byte) s.role().ordinal())
+                    .writeLong(s.id())
+                    .writeString(s.address())
+                    .writeString(s.node())
+                    .writeString(s.zone());
         } else if (signal instanceof Ping) {
-            out.one(PING);
+            out.writeByte(PING);
         } else if (signal instanceof RaftMessage s) {
-            out.one(AGREEMENT).eight(s.from()).eight(s.to());
+            out.writeByte(RAFT_MESSAGE).writeLong(s.from()).writeLong(s.to());
             writeMessage(out, s.message());
         } else if (signal instanceof Join s) {
-            out.one(JOIN).eight(s.member().id()).text(s.member().address());
+            out.writeByte(JOIN)
+                    .writeLong(s.member().id())
+                    .writeString(s.member().address());
         } else if (signal instanceof Leave s) {
-            out.one(LEAVE).eight(s.id());
+            out.writeByte(LEAVE).writeLong(s.id());
         } else if (signal instanceof Announce s) {
             writeAnnounce(out, s);
         } else if (signal instanceof PullConfiguration s) {
-            out.one(PULL_CONFIGURATION).eight(s.heldRev());
+            out.writeByte(PULL_CONFIGURATION).writeLong(s.heldRev());
         } else if (signal instanceof ConfigurationBody s) {
-            out.one(CONFIGURATION).eight(s.rev()).bytes(s.compressed());
+            out.writeByte(CONFIGURATION).writeLong(s.rev()).writeBytes(s.compressed());
         } else if (signal instanceof ConfigurationChanged s) {
-            out.one(CONFIGURATION_CHANGED).eight(s.base()).eight(s.rev()).bytes(s.compressed());
+            out.writeByte(CONFIGURATION_CHANGED)
+                    .writeLong(s.base())
+                    .writeLong(s.rev())
+                    .writeBytes(s.compressed());
         } else if (signal instanceof PullHosts s) {
-            out.one(PULL_HOSTS);
+            out.writeByte(PULL_HOSTS);
             writeVersion(out, s.heldVersion());
         } else if (signal instanceof Hosts s) {
-            out.one(HOSTS);
+            out.writeByte(HOSTS);
             writeVersion(out, s.list().version());
             writeHosts(out, s.list().hosts());
         } else if (signal instanceof HostsChanged s) {
-            out.one(HOSTS_CHANGED);
+            out.writeByte(HOSTS_CHANGED);
             writeVersion(out, s.change().base());
             writeVersion(out, s.change().version());
             writeHosts(out, s.change().updated());
-            out.four(s.change().removedIds().size());
-            s.change().removedIds().forEach(out::text);
+            out.writeInt(s.change().removedIds().size());
+            s.change().removedIds().forEach(out::writeString);
         } else if (signal instanceof Call s) {
-            out.one(CALL).eight(s.number()).flag(s.read()).bytes(s.body());
+            out.writeByte(CALL).writeLong(s.number()).writeBoolean(s.read()).writeBytes(s.body());
         } else if (signal instanceof CallResponse s) {
-            out.one(CALL_ANSWER).eight(s.number()).four(s.status()).bytes(s.body());
+            out.writeByte(CALL_RESPONSE)
+                    .writeLong(s.number())
+                    .writeInt(s.status())
+                    .writeBytes(s.body());
         }
-        return out.done();
+        return out.finish();
     }
 
     /** The signal that the rest of a buffer holds, no more and no less. */
@@ -143,190 +151,211 @@
     }
 
     private static PeerMessage read(ByteReader in) throws MalformedDataException {
-        byte kind = in.one();
+        byte kind = in.readByte();
         return switch (kind) {
             case HELLO -> readHello(in);
             case PING -> new Ping();
-            case AGREEMENT -> new RaftMessage(in.eight(), in.eight(), readMessage(in));
-            case JOIN -> new Join(new Member(in.eight(), in.text()));
-            case LEAVE -> new Leave(in.eight());
+            case RAFT_MESSAGE -> new RaftMessage(in.readLong(), in.readLong(), readMessage(in));
+            case JOIN -> new Join(new Member(in.readLong(), in.readString()));
+            case LEAVE -> new Leave(in.readLong());
             case ANNOUNCE -> readAnnounce(in);
-            case PULL_CONFIGURATION -> new PullConfiguration(in.eight());
-            case CONFIGURATION -> new ConfigurationBody(in.eight(), in.bytes());
-            case CONFIGURATION_CHANGED -> new ConfigurationChanged(in.eight(), in.eight(), in.bytes());
+            case PULL_CONFIGURATION -> new PullConfiguration(in.readLong());
+            case CONFIGURATION -> new ConfigurationBody(in.readLong(), in.readBytes());
+            case CONFIGURATION_CHANGED -> new ConfigurationChanged(in.readLong(), in.readLong(), in.readBytes());
             case PULL_HOSTS -> new PullHosts(readVersion(in));
             case HOSTS -> new Hosts(new HostList(readVersion(in), readHosts(in)));
             case HOSTS_CHANGED ->
-                new HostsChanged(new HostListChange(readVersion(in), readVersion(in), readHosts(in), readTexts(in)));
-            case CALL -> new Call(in.eight(), in.flag(), in.bytes());
-            case CALL_ANSWER -> new CallResponse(in.eight(), in.four(), in.bytes());
+                new HostsChanged(new HostListChange(readVersion(in), readVersion(in), readHosts(in), readStrings(in)));
+            case CALL -> new Call(in.readLong(), in.readBoolean(), in.readBytes());
+            case CALL_RESPONSE -> new CallResponse(in.readLong(), in.readInt(), in.readBytes());
             default -> throw new MalformedDataException("no signal of kind " + kind);
         };
     }
 
     private static Hello readHello(ByteReader in) throws MalformedDataException {
-        if (in.four() != MAGIC) {
+        if (in.readInt() != MAGIC) {
             throw new MalformedDataException("not a Hello of this system");
         }
-        short version = in.two();
+        short version = in.readShort();
         if (version != VERSION) {
             throw new MalformedDataException("version " + version + ", spoken here is " + VERSION);
         }
-        return new Hello(in.among(PARTS), in.eight(), in.text(), in.text(), in.text());
+        return new Hello(in.readConstant(ROLES), in.readLong(), in.readString(), in.readString(), in.readString());
     }
 
     private static void writeAnnounce(ByteWriter out, Announce s) {
-        out.one(ANNOUNCE).eight(s.term()).eight(s.rev());
+        out.writeByte(ANNOUNCE).writeLong(s.term()).writeLong(s.rev());
         writeVersion(out, s.hostListVersion());
-        out.flag(s.fresh()).flag(s.leader()).four(s.coreAddresses().size());
-        s.coreAddresses().forEach(out::text);
-        out.four(s.edgeCount());
+        out.writeBoolean(s.fresh())
+                .writeBoolean(s.leader())
+                .writeInt(s.coreAddresses().size());
+        s.coreAddresses().forEach(out::writeString);
+        out.writeInt(s.edgeCount());
     }
 
     private static Announce readAnnounce(ByteReader in) throws MalformedDataException {
-        return new Announce(in.eight(), in.eight(), readVersion(in), in.flag(), in.flag(), readTexts(in), in.four());
+        return new Announce(
+                in.readLong(),
+                in.readLong(),
+                readVersion(in),
+                in.readBoolean(),
+                in.readBoolean(),
+                readStrings(in),
+                in.readInt());
     }
 
-    private static List<String> readTexts(ByteReader in) throws MalformedDataException {
+    private static List<String> readStrings(ByteReader in) throws MalformedDataException {
         List<String> texts = new ArrayList<>();
-        for (int i = in.count(Integer.BYTES); i > 0; i--) {
-            texts.add(in.text());
+        for (int i = in.readCount(Integer.BYTES); i > 0; i--) {
+            texts.add(in.readString());
         }
         return texts;
     }
 
     private static void writeVersion(ByteWriter out, HostListVersion version) {
-        out.eight(version.term()).eight(version.count());
+        out.writeLong(version.term()).writeLong(version.count());
     }
 
     private static HostListVersion readVersion(ByteReader in) {
-        return new HostListVersion(in.eight(), in.eight());
+        return new HostListVersion(in.readLong(), in.readLong());
     }
 
     private static void writeHosts(ByteWriter out, List<HostList.Host> hosts) {
-        out.four(hosts.size());
+        out.writeInt(hosts.size());
         for (HostList.Host host : hosts) {
-            out.text(host.id())
-                    .text(host.service())
-                    .text(host.address())
-                    .text(host.zone())
-                    .four(host.slots())
-                    .flag(host.draining())
-                    .eight(host.warmupMs());
+            out.writeString(host.id())
+                    .writeString(host.service())
+                    .writeString(host.address())
+                    .writeString(host.zone())
+                    .writeInt(host.slots())
+                    .writeBoolean(host.draining())
+                    .writeLong(host.warmupMs());
         }
     }
 
     private static List<HostList.Host> readHosts(ByteReader in) throws MalformedDataException {
         List<HostList.Host> hosts = new ArrayList<>();
-        for (int i = in.count(5 * Integer.BYTES + 1 + Long.BYTES); i > 0; i--) {
-            hosts.add(new HostList.Host(in.text(), in.text(), in.text(), in.text(), in.four(), in.flag(), in.eight()));
+        for (int i = in.readCount(5 * Integer.BYTES + 1 + Long.BYTES); i > 0; i--) {
+            hosts.add(new HostList.Host(
+                    in.readString(),
+                    in.readString(),
+                    in.readString(),
+                    in.readString(),
+                    in.readInt(),
+                    in.readBoolean(),
+                    in.readLong()));
         }
         return hosts;
     }
 
     private static void writeMessage(ByteWriter out, Message message) {
         if (message instanceof VoteRequest m) {
-            out.one(VOTE_REQUEST)
-                    .eight(m.term())
-                    .flag(m.preVote())
-                    .eight(m.lastIndex())
-                    .eight(m.lastTerm())
-                    .flag(m.leadershipTransfer());
+            out.writeByte(VOTE_REQUEST)
+                    .writeLong(m.term())
+                    .writeBoolean(m.preVote())
+                    .writeLong(m.lastIndex())
+                    .writeLong(m.lastTerm())
+                    .writeBoolean(m.leadershipTransfer());
         } else if (message instanceof VoteReply m) {
-            out.one(VOTE_REPLY).eight(m.term()).flag(m.preVote()).flag(m.granted());
+            out.writeByte(VOTE_REPLY)
+                    .writeLong(m.term())
+                    .writeBoolean(m.preVote())
+                    .writeBoolean(m.granted());
         } else if (message instanceof Append m) {
-            out.one(APPEND)
-                    .eight(m.term())
-                    .eight(m.previousIndex())
-                    .eight(m.previousTerm())
-                    .eight(m.leaderCommit())
-                    .eight(m.round())
-                    .eight(m.echo())
-                    .eight(m.leaseMillis())
-                    .four(m.entries().size());
+            out.writeByte(APPEND)
+                    .writeLong(m.term())
+                    .writeLong(m.previousIndex())
+                    .writeLong(m.previousTerm())
+                    .writeLong(m.leaderCommit())
+                    .writeLong(m.round())
+                    .writeLong(m.echo())
+                    .writeLong(m.leaseMillis())
+                    .writeInt(m.entries().size());
             m.entries()
-                    .forEach(e -> out.eight(e.index())
-                            .eight(e.term())
-                            .one((byte) e.kind().ordinal())
-                            .bytes(e.body()));
+                    .forEach(e -> out.writeLong(e.index())
+                            .writeLong(e.term())
+                            .writeByte((byte) e.kind().ordinal())
+                            .writeBytes(e.body()));
         } else if (message instanceof AppendReply m) {
-            out.one(APPEND_REPLY)
-                    .eight(m.term())
-                    .flag(m.success())
-                    .eight(m.index())
-                    .eight(m.round())
-                    .eight(m.sentAt());
+            out.writeByte(APPEND_REPLY)
+                    .writeLong(m.term())
+                    .writeBoolean(m.success())
+                    .writeLong(m.index())
+                    .writeLong(m.round())
+                    .writeLong(m.sentAt());
         } else if (message instanceof InstallSnapshot m) {
             Snapshot.Metadata label = m.metadata();
-            out.one(INSTALL)
-                    .eight(m.term())
-                    .eight(m.round())
-                    .eight(label.index())
-                    .eight(label.term())
-                    .bytes(MemberListCodec.encode(label.members()))
-                    .four(label.length())
-                    .four(label.checksum())
-                    .eight(m.sequence())
-                    .four(m.offset())
-                    .bytes(m.chunk());
+            out.writeByte(INSTALL_SNAPSHOT)
+                    .writeLong(m.term())
+                    .writeLong(m.round())
+                    .writeLong(label.index())
+                    .writeLong(label.term())
+                    .writeBytes(MemberListCodec.encode(label.members()))
+                    .writeInt(label.length())
+                    .writeInt(label.checksum())
+                    .writeLong(m.sequence())
+                    .writeInt(m.offset())
+                    .writeBytes(m.chunk());
         } else if (message instanceof InstallSnapshotReply m) {
-            out.one(INSTALL_REPLY)
-                    .eight(m.term())
-                    .eight(m.index())
-                    .four(m.offset())
-                    .eight(m.sequence())
-                    .eight(m.round());
+            out.writeByte(INSTALL_SNAPSHOT_REPLY)
+                    .writeLong(m.term())
+                    .writeLong(m.index())
+                    .writeInt(m.offset())
+                    .writeLong(m.sequence())
+                    .writeLong(m.round());
         } else if (message instanceof TimeoutNow m) {
-            out.one(HAND_OVER).eight(m.term());
+            out.writeByte(TIMEOUT_NOW).writeLong(m.term());
         } else if (message instanceof LeaseQuery m) {
-            out.one(LEASE_QUERY).eight(m.term()).eight(m.incarnation());
+            out.writeByte(LEASE_QUERY).writeLong(m.term()).writeLong(m.incarnation());
         } else if (message instanceof LeaseEnded m) {
-            out.one(LEASE_ENDED).eight(m.term()).eight(m.incarnation());
+            out.writeByte(LEASE_ENDED).writeLong(m.term()).writeLong(m.incarnation());
         }
     }
 
     private static Message readMessage(ByteReader in) throws MalformedDataException {
-        byte kind = in.one();
-        long term = in.eight();
+        byte kind = in.readByte();
+        long term = in.readLong();
         return switch (kind) {
-            case VOTE_REQUEST -> new VoteRequest(term, in.flag(), in.eight(), in.eight(), in.flag());
-            case VOTE_REPLY -> new VoteReply(term, in.flag(), in.flag());
+            case VOTE_REQUEST ->
+                new VoteRequest(term, in.readBoolean(), in.readLong(), in.readLong(), in.readBoolean());
+            case VOTE_REPLY -> new VoteReply(term, in.readBoolean(), in.readBoolean());
             case APPEND -> readAppend(in, term);
-            case APPEND_REPLY -> new AppendReply(term, in.flag(), in.eight(), in.eight(), in.eight());
-            case INSTALL -> readInstall(in, term);
-            case INSTALL_REPLY -> new InstallSnapshotReply(term, in.eight(), in.four(), in.eight(), in.eight());
-            case HAND_OVER -> new TimeoutNow(term);
-            case LEASE_QUERY -> new LeaseQuery(term, in.eight());
-            case LEASE_ENDED -> new LeaseEnded(term, in.eight());
+            case APPEND_REPLY -> new AppendReply(term, in.readBoolean(), in.readLong(), in.readLong(), in.readLong());
+            case INSTALL_SNAPSHOT -> readInstallSnapshot(in, term);
+            case INSTALL_SNAPSHOT_REPLY ->
+                new InstallSnapshotReply(term, in.readLong(), in.readInt(), in.readLong(), in.readLong());
+            case TIMEOUT_NOW -> new TimeoutNow(term);
+            case LEASE_QUERY -> new LeaseQuery(term, in.readLong());
+            case LEASE_ENDED -> new LeaseEnded(term, in.readLong());
             default -> throw new MalformedDataException("no message of kind " + kind);
         };
     }
 
     private static Append readAppend(ByteReader in, long term) throws MalformedDataException {
-        long previousIndex = in.eight();
-        long previousTerm = in.eight();
-        long commit = in.eight();
-        long round = in.eight();
-        long echo = in.eight();
-        long leaseMillis = in.eight();
+        long previousIndex = in.readLong();
+        long previousTerm = in.readLong();
+        long commit = in.readLong();
+        long round = in.readLong();
+        long echo = in.readLong();
+        long leaseMillis = in.readLong();
         return new Append(term, previousIndex, previousTerm, commit, round, readEntries(in), echo, leaseMillis);
     }
 
     private static List<Entry> readEntries(ByteReader in) throws MalformedDataException {
         List<Entry> entries = new ArrayList<>();
-        for (int i = in.count(2 * Long.BYTES + 1 + Integer.BYTES); i > 0; i--) {
-            entries.add(new Entry(in.eight(), in.eight(), in.among(KINDS), in.bytes()));
+        for (int i = in.readCount(2 * Long.BYTES + 1 + Integer.BYTES); i > 0; i--) {
+            entries.add(new Entry(in.readLong(), in.readLong(), in.readConstant(ENTRY_KINDS), in.readBytes()));
         }
         return entries;
     }
 
-    private static InstallSnapshot readInstall(ByteReader in, long term) throws MalformedDataException {
-        long round = in.eight();
-        long index = in.eight();
-        long itsTerm = in.eight();
-        Snapshot.Metadata label =
-                new Snapshot.Metadata(index, itsTerm, MemberListCodec.decode(in.bytes()), in.four(), in.four());
-        long number = in.eight();
-        return new InstallSnapshot(term, label, in.four(), in.bytes(), number, round);
+    private static InstallSnapshot readInstallSnapshot(ByteReader in, long term) throws MalformedDataException {
+        long round = in.readLong();
+        long index = in.readLong();
+        long itsTerm = in.readLong();
+        Snapshot.Metadata label = new Snapshot.Metadata(
+                index, itsTerm, MemberListCodec.decode(in.readBytes()), in.readInt(), in.readInt());
+        long number = in.readLong();
+        return new InstallSnapshot(term, label, in.readInt(), in.readBytes(), number, round);
     }
 }
--- a/src/main/java/tinworks/channel/TcpConnectionManager.java
+++ b/src/main/java/tinworks/channel/TcpConnectionManager.java
@@ -27,24 +27,24 @@
  * grows and is drawn by chance, for as long as it is wanted. Can also take connections. All on one event loop.
  */
 public final class TcpConnectionManager implements ConnectionManager {
-    static final int DIAL_MILLIS = 1_000;
-    private static final int BACKLOG = 128;
-    static final long FIRST_PAUSE_MILLIS = 100;
-    static final long LONGEST_PAUSE_MILLIS = 400;
+    static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+    private static final int ACCEPT_BACKLOG = 128;
+    static final long INITIAL_BACKOFF_MILLIS = 100;
+    static final long MAX_BACKOFF_MILLIS = 400;
 
     private final EventLoop loop;
-    private final Hello own;
+    private final Hello localHello;
     private final PeerConnection.Listener listener;
     private final SplittableRandom random;
     private final Map<String, Link> links = new HashMap<>();
-    private Channel acceptor;
+    private Channel serverChannel;
     private int accepted;
     private boolean closed;
 
     /** Nothing is dialled yet. */
     public TcpConnectionManager(EventLoop loop, Hello own, PeerConnection.Listener listener) {
         this.loop = loop;
-        this.own = own;
+        this.localHello = own;
         this.listener = listener;
         random = new SplittableRandom(own.id());
     }
@@ -57,7 +57,7 @@
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -68,21 +68,21 @@
                         }
                         accepted++;
                         channel.closeFuture().addListener(done -> accepted--);
-                        channel.pipeline().addLast(new TcpPeerConnection(own, false, listener));
+                        channel.pipeline().addLast(new TcpPeerConnection(localHello, false, listener));
                     }
                 })
                 .bind(address);
-        acceptor = bound.channel();
+        serverChannel = bound.channel();
         return bound;
     }
 
     @Override
     public void setAddresses(Collection<String> addresses) {
         Set<String> wanted = new HashSet<>(addresses);
-        wanted.remove(own.address());
+        wanted.remove(localHello.address());
         for (String old : List.copyOf(links.keySet())) {
             if (!wanted.contains(old)) {
-                links.remove(old).end();
+                links.remove(old).stop();
             }
         }
         for (String address : wanted) {
@@ -93,7 +93,7 @@
     @Override
     public List<PeerConnection> openConnections() {
         List<PeerConnection> open = new ArrayList<>();
-        links.values().stream().filter(Link::isOpen).forEach(link -> open.add(link.conversation));
+        links.values().stream().filter(Link::isOpen).forEach(link -> open.add(link.connection));
         return open;
     }
 
@@ -101,36 +101,36 @@
     public void close() {
         closed = true;
         setAddresses(List.of());
-        if (acceptor != null) {
-            acceptor.close();
+        if (serverChannel != null) {
+            serverChannel.close();
         }
     }
 
     private final class Link {
         private final String address;
-        private TcpPeerConnection conversation;
+        private TcpPeerConnection connection;
         private Channel channel;
-        private long pause = FIRST_PAUSE_MILLIS;
+        private long backoffMillis = INITIAL_BACKOFF_MILLIS;
         private boolean started;
-        private boolean ended;
+        private boolean stopped;
 
         Link(String address) {
             this.address = address;
         }
 
         boolean isOpen() {
-            return conversation != null && conversation.isOpen();
+            return connection != null && connection.isOpen();
         }
 
         void start() {
             if (!started) {
                 started = true;
-                dial();
+                connect();
             }
         }
 
-        private void dial() {
-            if (ended || closed) {
+        private void connect() {
+            if (stopped || closed) {
                 return;
             }
             InetSocketAddress target;
@@ -140,26 +140,26 @@
                 listener.log("can't dial: " + e.getMessage());
                 return;
             }
-            conversation = new TcpPeerConnection(own, true, listener);
+            connection = new TcpPeerConnection(localHello, true, listener);
             channel = new Bootstrap()
                     .group(loop)
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MILLIS)
-                    .handler(conversation)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
+                    .handler(connection)
                     .connect(target)
                     .channel();
-            channel.closeFuture().addListener(done -> loop.execute(this::again));
+            channel.closeFuture().addListener(done -> loop.execute(this::scheduleReconnect));
         }
 
-        private void again() {
-            boolean wasOpen = conversation.peer() != null;
-            pause = wasOpen ? FIRST_PAUSE_MILLIS : Math.min(LONGEST_PAUSE_MILLIS, pause * 2);
-            loop.schedule(this::dial, pause / 2 + random.nextLong(pause), TimeUnit.MILLISECONDS);
+        private void scheduleReconnect() {
+            boolean wasOpen = connection.peer() != null;
+            backoffMillis = wasOpen ? INITIAL_BACKOFF_MILLIS : Math.min(MAX_BACKOFF_MILLIS, backoffMillis * 2);
+            loop.schedule(this::connect, backoffMillis / 2 + random.nextLong(backoffMillis), TimeUnit.MILLISECONDS);
         }
 
-        void end() {
-            ended = true;
+        void stop() {
+            stopped = true;
             if (channel != null) {
                 channel.close();
             }
--- a/src/main/java/tinworks/channel/TcpPeerConnection.java
+++ b/src/main/java/tinworks/channel/TcpPeerConnection.java
@@ -15,36 +15,36 @@
 
 /**
  * A conversation over TCP. A frame is a length (4 bytes) and as many bytes of a {@link PeerMessage}; a frame that can't
- * be read closes the connection and harms nothing else. Each side says something once a {@link #PING_MILLIS}, and
- * closes when it has heard nothing for {@link #SILENCE_MILLIS}: a machine without power sends no end of a connection.
- * All on one event loop.
+ * be read closes the connection and harms nothing else. Each side says something once a {@link #PING_INTERVAL_MILLIS},
+ * and closes when it has heard nothing for {@link #PEER_TIMEOUT_MILLIS}: a machine without power sends no end of a
+ * connection. All on one event loop.
  */
 public final class TcpPeerConnection extends ByteToMessageDecoder implements PeerConnection {
-    static final long PING_MILLIS = 1_000;
-    static final long SILENCE_MILLIS = 2_600;
+    static final long PING_INTERVAL_MILLIS = 1_000;
+    static final long PEER_TIMEOUT_MILLIS = 2_600;
     /**
      * What a far side that doesn't read may pile up here before something else is said: a tenth of a core machine's
      * heap.
      */
-    static final int MOST_WAITING = 4 << 20;
+    static final int MAX_PENDING_WRITE_BYTES = 4 << 20;
     /** A Hello has three texts of 4,096 bytes at most. */
-    static final int LONGEST_HELLO = 16 << 10;
+    static final int MAX_HELLO_FRAME_BYTES = 16 << 10;
     /** What edges say is short: only core machines send entries, snapshots and calls of operators to each other. */
-    static final int LONGEST_OF_EDGE = 64 << 10;
+    static final int MAX_EDGE_FRAME_BYTES = 64 << 10;
 
-    private final Hello own;
-    private final boolean dialled;
+    private final Hello localHello;
+    private final boolean outbound;
     private final Listener listener;
     private Channel channel;
     private Hello peer;
-    private long openedAt;
-    private long heardAt;
-    private long saidAt;
+    private long openedMillis;
+    private long lastReceivedMillis;
+    private long lastSentMillis;
     private boolean closed;
 
     TcpPeerConnection(Hello own, boolean dialled, Listener listener) {
-        this.own = own;
-        this.dialled = dialled;
+        this.localHello = own;
+        this.outbound = dialled;
         this.listener = listener;
     }
 
@@ -55,7 +55,7 @@
 
     @Override
     public boolean isOutbound() {
-        return dialled;
+        return outbound;
     }
 
     @Override
@@ -69,64 +69,64 @@
             return;
         }
         if (channel.unsafe().outboundBuffer() != null
-                && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MOST_WAITING) {
+                && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_PENDING_WRITE_BYTES) {
             close("the far side doesn't read");
             return;
         }
         ByteBuffer bytes = PeerMessageCodec.write(signal);
         ByteBuf frame = Unpooled.wrappedBuffer(Unpooled.copyInt(bytes.remaining()), Unpooled.wrappedBuffer(bytes));
-        saidAt = MonotonicTime.millis();
+        lastSentMillis = MonotonicTime.millis();
         channel.writeAndFlush(frame, channel.voidPromise());
     }
 
     @Override
     public void close(String why) {
         if (!closed && channel != null && channel.isActive()) {
-            listener.log("closing the connection with " + name() + ": " + why);
+            listener.log("closing the connection with " + peerName() + ": " + why);
         }
         if (channel != null) {
             channel.close();
         }
     }
 
-    private String name() {
+    private String peerName() {
         return peer == null ? String.valueOf(channel.remoteAddress()) : peer.node();
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        openedAt = MonotonicTime.millis();
-        heardAt = openedAt;
-        send(own);
-        channel.eventLoop().schedule(this::watch, PING_MILLIS, TimeUnit.MILLISECONDS);
+        openedMillis = MonotonicTime.millis();
+        lastReceivedMillis = openedMillis;
+        send(localHello);
+        channel.eventLoop().schedule(this::checkLiveness, PING_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void watch() {
+    private void checkLiveness() {
         if (!channel.isActive()) {
             return;
         }
         long now = MonotonicTime.millis();
-        if (now - heardAt > SILENCE_MILLIS) {
-            close("silent for " + (now - heardAt) + " ms");
+        if (now - lastReceivedMillis > PEER_TIMEOUT_MILLIS) {
+            close("silent for " + (now - lastReceivedMillis) + " ms");
             return;
         }
-        if (peer == null && now - openedAt > SILENCE_MILLIS) {
+        if (peer == null && now - openedMillis > PEER_TIMEOUT_MILLIS) {
             close("no Hello");
             return;
         }
-        if (now - saidAt >= PING_MILLIS) {
+        if (now - lastSentMillis >= PING_INTERVAL_MILLIS) {
             send(new Ping());
         }
-        channel.eventLoop().schedule(this::watch, PING_MILLIS, TimeUnit.MILLISECONDS);
+        channel.eventLoop().schedule(this::checkLiveness, PING_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
-        heardAt = MonotonicTime.millis();
+        lastReceivedMillis = MonotonicTime.millis();
         while (in.readableBytes() >= Integer.BYTES && channel.isActive()) {
             int length = in.getInt(in.readerIndex());
-            if (length <= 0 || length > longest()) {
+            if (length <= 0 || length > maxFrameBytes()) {
                 in.skipBytes(in.readableBytes());
                 close("a frame of " + length + " bytes");
                 return;
@@ -137,23 +137,23 @@
             in.skipBytes(Integer.BYTES);
             byte[] bytes = new byte[length];
             in.readBytes(bytes);
-            take(ByteBuffer.wrap(bytes));
+            handleFrame(ByteBuffer.wrap(bytes));
         }
     }
 
     /** Guards against a memory full of frames that aren't whole yet, of peers who need none as long. */
-    private int longest() {
+    private int maxFrameBytes() {
         if (peer == null) {
-            return LONGEST_HELLO;
+            return MAX_HELLO_FRAME_BYTES;
         }
-        return peer.role() == NodeRole.EDGE ? LONGEST_OF_EDGE : PeerMessageCodec.LONGEST;
+        return peer.role() == NodeRole.EDGE ? MAX_EDGE_FRAME_BYTES : PeerMessageCodec.MAX_FRAME_BYTES;
     }
 
-    private void take(ByteBuffer bytes) {
+    private void handleFrame(ByteBuffer bytes) {
         try {
             PeerMessage signal = PeerMessageCodec.read(bytes);
             if (peer == null) {
-                greeted(signal);
+                handleHello(signal);
             } else if (!(signal instanceof Ping)) {
                 listener.received(this, signal);
             }
@@ -162,7 +162,7 @@
         }
     }
 
-    private void greeted(PeerMessage signal) throws MalformedDataException {
+    private void handleHello(PeerMessage signal) throws MalformedDataException {
         if (!(signal instanceof Hello hello)) {
             throw new MalformedDataException("no Hello at the start");
         }
@@ -172,15 +172,15 @@
 
     @Override
     protected void handlerRemoved0(ChannelHandlerContext ctx) {
-        ended();
+        notifyClosed();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        ended();
+        notifyClosed();
     }
 
-    private void ended() {
+    private void notifyClosed() {
         if (!closed) {
             closed = true;
             if (peer != null) {
@@ -192,7 +192,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         Fatal.pass(cause);
-        listener.log("the connection with " + name() + " broke: " + cause);
+        listener.log("the connection with " + peerName() + " broke: " + cause);
         ctx.close();
     }
 }
--- a/src/main/java/tinworks/store/CoreStore.java
+++ b/src/main/java/tinworks/store/CoreStore.java
@@ -50,21 +50,21 @@
         }
     }
 
-    private static final String FOUNDING = "founding.mv";
-    private static final String ASIDE = "damaged-";
-    private static final Pattern STATE = Pattern.compile("state(?:-([0-9]{1,9}))?[.]mv");
-    private static final String IDENTITY = "identity";
-    private static final String HARD = "hard";
-    private static final String SNAPSHOT = "snapshot";
-    private static final String SUM = "sum";
-    private static final Entry.Kind[] KINDS = Entry.Kind.values();
+    private static final String INITIALIZING_FILE = "founding.mv";
+    private static final String QUARANTINE_PREFIX = "damaged-";
+    private static final Pattern STATE_FILE = Pattern.compile("state(?:-([0-9]{1,9}))?[.]mv");
+    private static final String IDENTITY_KEY = "identity";
+    private static final String HARD_STATE_KEY = "hard";
+    private static final String SNAPSHOT_KEY = "snapshot";
+    private static final String CHECKSUM_KEY = "sum";
+    private static final Entry.Kind[] ENTRY_KINDS = Entry.Kind.values();
     private static final int CACHE_MB = 1;
-    private static final long SPARE_BYTES = 16 << 20;
+    private static final long REWRITE_SLACK_BYTES = 16 << 20;
     /** How much of a new file is written at a time. */
-    private static final int COPY_BYTES = 2 << 20;
+    private static final int COPY_BATCH_BYTES = 2 << 20;
 
     /** An open file. */
-    private record Records(MVStore store, MVMap<Long, byte[]> log, MVMap<String, byte[]> meta) {
+    private record StoreFile(MVStore store, MVMap<Long, byte[]> log, MVMap<String, byte[]> meta) {
         void commit() {
             store.commit();
         }
@@ -84,21 +84,21 @@
         }
     }
 
-    private final StoreDirectory folder;
-    private final long spareBytes;
+    private final StoreDirectory directory;
+    private final long rewriteSlackBytes;
     /** The number of the file that is in use; -1 before the store is founded. */
-    private int number = -1;
+    private int fileNumber = -1;
 
-    private Records records;
+    private StoreFile storeFile;
     /** Over the keys and checksums of all records, in any order. */
-    private int sum;
+    private int checksum;
 
     private long liveBytes;
-    private long renewAt;
+    private long rewriteAboveBytes;
 
     private CoreStore(StoreDirectory folder, long spareBytes) {
-        this.folder = folder;
-        this.spareBytes = spareBytes;
+        this.directory = folder;
+        this.rewriteSlackBytes = spareBytes;
     }
 
     /**
@@ -114,7 +114,7 @@
      * nothing is said of the store.
      */
     public static CoreStore open(StoreDirectory folder) throws IOException, CorruptStoreException {
-        return open(folder, SPARE_BYTES);
+        return open(folder, REWRITE_SLACK_BYTES);
     }
 
     /** The same; a file is written anew once it is longer than twice what is live in it and this many bytes. */
@@ -123,7 +123,7 @@
         CoreStore opened = new CoreStore(folder, spareBytes);
         boolean found = false;
         try {
-            opened.find();
+            opened.recover();
             found = true;
             return opened;
         } finally {
@@ -140,14 +140,14 @@
      */
     public static String quarantine(StoreDirectory folder, String date) throws IOException {
         List<String> files = folder.files();
-        String name = ASIDE + date;
+        String name = QUARANTINE_PREFIX + date;
         for (int i = 2; files.contains(name) || files.contains(name + ".mv"); i++) {
-            name = ASIDE + date + "-" + i;
+            name = QUARANTINE_PREFIX + date + "-" + i;
         }
         String aside = name + ".mv";
         folder.createFile(name);
         folder.sync();
-        folder.rename(name(numbers(files).first()), aside);
+        folder.rename(fileName(fileNumbers(files).first()), aside);
         folder.sync();
         folder.delete(name);
         return aside;
@@ -155,7 +155,7 @@
 
     /** Whether nothing has ever been founded in the folder, nor set aside in it. */
     public boolean isPristine() throws IOException {
-        return number < 0 && folder.files().stream().noneMatch(file -> file.startsWith(ASIDE));
+        return fileNumber < 0 && directory.files().stream().noneMatch(file -> file.startsWith(QUARANTINE_PREFIX));
     }
 
     /**
@@ -165,7 +165,7 @@
     public void reopen() throws CorruptStoreException {
         close();
         try {
-            find();
+            recover();
         } catch (IOException e) {
             close();
         }
@@ -175,33 +175,33 @@
      * Opens what is there. Of two files the older one counts, as nothing is acknowledged in a newer one before the
      * older is gone for good; without any, a founding that was cut short before its name was sure is finished.
      */
-    private void find() throws IOException, CorruptStoreException {
-        List<String> files = folder.files();
-        NavigableSet<Integer> numbers = numbers(files);
-        if (numbers.isEmpty() && files.contains(FOUNDING) && isWhole(FOUNDING)) {
-            folder.rename(FOUNDING, name(0));
+    private void recover() throws IOException, CorruptStoreException {
+        List<String> files = directory.files();
+        NavigableSet<Integer> numbers = fileNumbers(files);
+        if (numbers.isEmpty() && files.contains(INITIALIZING_FILE) && isIntact(INITIALIZING_FILE)) {
+            directory.rename(INITIALIZING_FILE, fileName(0));
             numbers.add(0);
-        } else if (files.contains(FOUNDING)) {
-            folder.delete(FOUNDING);
+        } else if (files.contains(INITIALIZING_FILE)) {
+            directory.delete(INITIALIZING_FILE);
         }
-        number = numbers.isEmpty() ? -1 : numbers.first();
-        if (number >= 0) {
-            records = openFile(name(number));
-            check(name(number));
+        fileNumber = numbers.isEmpty() ? -1 : numbers.first();
+        if (fileNumber >= 0) {
+            storeFile = openFile(fileName(fileNumber));
+            verify(fileName(fileNumber));
             // What a killed process left may not be synced yet, and this one acts on it.
-            records.store.sync();
+            storeFile.store.sync();
         }
-        for (int newer : numbers.tailSet(number, false)) {
-            folder.delete(name(newer));
+        for (int newer : numbers.tailSet(fileNumber, false)) {
+            directory.delete(fileName(newer));
         }
-        folder.sync();
+        directory.sync();
     }
 
-    private boolean isWhole(String file) throws IOException {
+    private boolean isIntact(String file) throws IOException {
         try {
-            records = openFile(file);
-            check(file);
-            records.store.sync();
+            storeFile = openFile(file);
+            verify(file);
+            storeFile.store.sync();
             return true;
         } catch (CorruptStoreException e) {
             return false;
@@ -210,10 +210,10 @@
         }
     }
 
-    private static NavigableSet<Integer> numbers(List<String> files) {
+    private static NavigableSet<Integer> fileNumbers(List<String> files) {
         NavigableSet<Integer> numbers = new TreeSet<>();
         for (String file : files) {
-            Matcher matcher = STATE.matcher(file);
+            Matcher matcher = STATE_FILE.matcher(file);
             if (matcher.matches()) {
                 numbers.add(matcher.group(1) == null ? 0 : Integer.parseInt(matcher.group(1)));
             }
@@ -221,16 +221,16 @@
         return numbers;
     }
 
-    private static String name(int number) {
+    private static String fileName(int number) {
         return number == 0 ? "state.mv" : "state-" + number + ".mv";
     }
 
-    private Records openFile(String file) throws IOException, CorruptStoreException {
+    private StoreFile openFile(String file) throws IOException, CorruptStoreException {
         MVStore store = null;
         try {
             // Commits happen where they are asked for alone: a thread of the library's would sync at times of its own.
             store = new MVStore.Builder()
-                    .fileName(OrderedFile.path(folder.path(file)))
+                    .fileName(OrderedFile.path(directory.path(file)))
                     .autoCommitDisabled()
                     .autoCommitBufferSize(0)
                     .cacheSize(CACHE_MB)
@@ -238,7 +238,7 @@
             // Nothing in a file is ever overwritten, so that what was synced stays; the time of day decides nothing.
             store.getFileStore().setReuseSpace(false);
             store.setRetentionTime(-1);
-            return new Records(
+            return new StoreFile(
                     store,
                     store.openMap(
                             "log",
@@ -254,7 +254,7 @@
             if (store != null) {
                 store.closeImmediately();
             }
-            throw unreadable(e);
+            throw classifyFailure(e);
         }
     }
 
@@ -262,7 +262,7 @@
      * What became of reading a file: the disk's fault, or the file's. An {@link Error} is neither, but for MVStore's
      * asserts.
      */
-    private static CorruptStoreException unreadable(Throwable e) throws IOException {
+    private static CorruptStoreException classifyFailure(Throwable e) throws IOException {
         IOException disk = null;
         for (Throwable cause = e; cause != null; cause = cause.getCause()) {
             if (cause instanceof Error error && !(cause instanceof AssertionError)) {
@@ -283,102 +283,102 @@
 
     /** Who this machine is for as long as its disk lives, 0 where the disk is new. */
     public long identity() throws CorruptStoreException {
-        byte[] record = number < 0 ? null : records.meta.get(IDENTITY);
-        return record == null ? 0 : unsealed(record, IDENTITY).getLong();
+        byte[] record = fileNumber < 0 ? null : storeFile.meta.get(IDENTITY_KEY);
+        return record == null ? 0 : contentsOf(record, IDENTITY_KEY).getLong();
     }
 
     /** Makes an empty store this machine's; returns once it outlasts a loss of power. */
     public void initialize(long id, HardState hard, Snapshot first) {
         try {
-            if (folder.files().contains(FOUNDING)) {
-                folder.delete(FOUNDING);
+            if (directory.files().contains(INITIALIZING_FILE)) {
+                directory.delete(INITIALIZING_FILE);
             }
-            records = openFile(FOUNDING);
-            sum = 0;
+            storeFile = openFile(INITIALIZING_FILE);
+            checksum = 0;
             liveBytes = 0;
-            putMeta(IDENTITY, sealed(record(Long.BYTES).putLong(id)));
-            writeHard(hard);
+            putMeta(IDENTITY_KEY, withChecksum(allocateRecord(Long.BYTES).putLong(id)));
+            writeHardState(hard);
             writeSnapshot(first);
             sync();
-            folder.sync();
-            folder.rename(FOUNDING, name(0));
-            folder.sync();
-            number = 0;
-            renewAt = 2 * liveBytes + spareBytes;
+            directory.sync();
+            directory.rename(INITIALIZING_FILE, fileName(0));
+            directory.sync();
+            fileNumber = 0;
+            rewriteAboveBytes = 2 * liveBytes + rewriteSlackBytes;
         } catch (IOException | CorruptStoreException e) {
             throw new IllegalStateException("the disk refuses a new store: " + e.getMessage(), e);
         } catch (MVStoreException e) {
-            throw refused(e);
+            throw rethrowError(e);
         }
     }
 
     /** All that has been synced. */
     public PersistentState load() throws CorruptStoreException {
-        if (number < 0) {
+        if (fileNumber < 0) {
             return PersistentState.EMPTY;
         }
         try {
-            HardState hard = hard();
-            Snapshot snapshot = snapshot();
+            HardState hard = readHardState();
+            Snapshot snapshot = readSnapshot();
             List<Entry> entries = new ArrayList<>();
-            for (Cursor<Long, byte[]> each = records.log.cursor(null); each.hasNext(); ) {
+            for (Cursor<Long, byte[]> each = storeFile.log.cursor(null); each.hasNext(); ) {
                 long index = each.next();
                 if (index > snapshot.index()) {
-                    entries.add(entry(index, each.getValue()));
+                    entries.add(decodeEntry(index, each.getValue()));
                 }
             }
-            checkOrder(snapshot, entries);
+            verifyContiguous(snapshot, entries);
             return new PersistentState(hard, snapshot, entries);
         } catch (RuntimeException | AssertionError e) {
-            throw damaged(e);
+            throw asCorrupt(e);
         }
     }
 
-    private static CorruptStoreException damaged(Throwable e) {
+    private static CorruptStoreException asCorrupt(Throwable e) {
         try {
-            return unreadable(e);
+            return classifyFailure(e);
         } catch (IOException io) {
             return new CorruptStoreException(io.getMessage(), io);
         }
     }
 
     /** Reads every record, and holds their sum against the one that was written with the last of them. */
-    private void check(String file) throws IOException, CorruptStoreException {
+    private void verify(String file) throws IOException, CorruptStoreException {
         try {
-            sum = 0;
+            checksum = 0;
             liveBytes = 0;
-            for (Cursor<Long, byte[]> each = records.log.cursor(null); each.hasNext(); ) {
+            for (Cursor<Long, byte[]> each = storeFile.log.cursor(null); each.hasNext(); ) {
                 long index = each.next();
-                unsealed(each.getValue(), "entry " + index);
-                count(Long.toString(index), null, each.getValue());
+                contentsOf(each.getValue(), "entry " + index);
+                updateTotals(Long.toString(index), null, each.getValue());
             }
-            for (Cursor<String, byte[]> each = records.meta.cursor(null); each.hasNext(); ) {
+            for (Cursor<String, byte[]> each = storeFile.meta.cursor(null); each.hasNext(); ) {
                 String name = each.next();
-                unsealed(each.getValue(), name);
-                if (!name.equals(SUM)) {
-                    count(name, null, each.getValue());
+                contentsOf(each.getValue(), name);
+                if (!name.equals(CHECKSUM_KEY)) {
+                    updateTotals(name, null, each.getValue());
                 }
             }
-            byte[] record = records.meta.get(SUM);
+            byte[] record = storeFile.meta.get(CHECKSUM_KEY);
             if (record == null) {
                 throw new CorruptStoreException("there is no sum of the records", null);
             }
-            if (unsealed(record, SUM).getInt() != sum) {
+            if (contentsOf(record, CHECKSUM_KEY).getInt() != checksum) {
                 throw new CorruptStoreException("the records don't match their sum", null);
             }
-            if (OrderedFile.newestVersion(folder.path(file)) != records.store.getCurrentVersion()) {
+            if (OrderedFile.newestVersion(directory.path(file)) != storeFile.store.getCurrentVersion()) {
                 throw new CorruptStoreException("what was written last can't be read", null);
             }
             if (identity() == 0) {
                 throw new CorruptStoreException("there is no identity in it", null);
             }
-            renewAt = 2 * liveBytes + spareBytes;
+            rewriteAboveBytes = 2 * liveBytes + rewriteSlackBytes;
         } catch (RuntimeException | AssertionError e) {
-            throw unreadable(e);
+            throw classifyFailure(e);
         }
     }
 
-    private static void checkOrder(Snapshot snapshot, List<Entry> entries) throws CorruptStoreException {
+    private static void verifyContiguous(Snapshot snapshot, List<Entry> entries) throws CorruptStoreException {
         long due = snapshot.index() + 1;
         for (Entry entry : entries) {
             if (entry.index() != due++) {
@@ -394,26 +394,26 @@
      * stays one.
      */
     public void write(Output output) {
-        if (number < 0 || records.store.isClosed()) {
+        if (fileNumber < 0 || storeFile.store.isClosed()) {
             throw new IllegalStateException("the store isn't open");
         }
         try {
             if (output.hardState() != null) {
-                writeHard(output.hardState());
+                writeHardState(output.hardState());
             }
             if (output.snapshot() != null) {
                 writeSnapshot(output.snapshot());
             }
             if (output.truncateFrom() > 0) {
-                for (Long last = records.log.lastKey();
+                for (Long last = storeFile.log.lastKey();
                         last != null && last >= output.truncateFrom();
-                        last = records.log.lastKey()) {
+                        last = storeFile.log.lastKey()) {
                     removeEntry(last);
                 }
                 for (Entry entry : output.entries()) {
                     putEntry(
                             entry.index(),
-                            sealed(record(Long.BYTES + 1 + entry.body().length)
+                            withChecksum(allocateRecord(Long.BYTES + 1 + entry.body().length)
                                     .putLong(entry.term())
                                     .put((byte) entry.kind().ordinal())
                                     .put(entry.body())));
@@ -421,15 +421,15 @@
             }
             sync();
         } catch (MVStoreException e) {
-            throw refused(e);
+            throw rethrowError(e);
         }
-        if (records.length() > renewAt) {
-            renew();
+        if (storeFile.length() > rewriteAboveBytes) {
+            rewrite();
         }
     }
 
     /** MVStore passes an {@link Error} on as one of its own exceptions. */
-    private static MVStoreException refused(MVStoreException e) {
+    private static MVStoreException rethrowError(MVStoreException e) {
         for (Throwable cause = e; cause != null; cause = cause.getCause()) {
             if (cause instanceof Error error) {
                 throw error;
@@ -439,53 +439,53 @@
     }
 
     /** Writes what is live to a new file and removes the old one, which counts for as long as it is there. */
-    private void renew() {
-        Records made;
+    private void rewrite() {
+        StoreFile made;
         try {
-            made = copy(name(number + 1));
+            made = copyTo(fileName(fileNumber + 1));
         } catch (MVStoreException | IOException | CorruptStoreException e) {
             if (e instanceof MVStoreException failed) {
-                refused(failed);
+                rethrowError(failed);
             }
             // There is no room for it, say. The old file still holds all.
-            renewAt = records.length() + spareBytes / 2;
+            rewriteAboveBytes = storeFile.length() + rewriteSlackBytes / 2;
             return;
         }
-        records.close();
-        records = made;
+        storeFile.close();
+        storeFile = made;
         try {
-            folder.delete(name(number));
-            folder.sync();
-            number++;
-            renewAt = 2 * liveBytes + spareBytes;
+            directory.delete(fileName(fileNumber));
+            directory.sync();
+            fileNumber++;
+            rewriteAboveBytes = 2 * liveBytes + rewriteSlackBytes;
         } catch (IOException e) {
-            records.close();
+            storeFile.close();
             throw new IllegalStateException("the old file can't be removed: " + e.getMessage(), e);
         }
     }
 
-    private Records copy(String file) throws IOException, CorruptStoreException {
-        if (folder.files().contains(file)) {
-            folder.delete(file);
+    private StoreFile copyTo(String file) throws IOException, CorruptStoreException {
+        if (directory.files().contains(file)) {
+            directory.delete(file);
         }
-        Records made = openFile(file);
+        StoreFile made = openFile(file);
         boolean done = false;
         try {
             long waiting = 0;
-            for (Cursor<Long, byte[]> each = records.log.cursor(null); each.hasNext(); ) {
+            for (Cursor<Long, byte[]> each = storeFile.log.cursor(null); each.hasNext(); ) {
                 made.log.put(each.next(), each.getValue());
                 waiting += each.getValue().length;
-                if (waiting > COPY_BYTES) {
+                if (waiting > COPY_BATCH_BYTES) {
                     made.commit();
                     waiting = 0;
                 }
             }
             made.commit();
-            for (Cursor<String, byte[]> each = records.meta.cursor(null); each.hasNext(); ) {
+            for (Cursor<String, byte[]> each = storeFile.meta.cursor(null); each.hasNext(); ) {
                 made.meta.put(each.next(), each.getValue());
             }
             made.sync();
-            folder.sync();
+            directory.sync();
             done = true;
             return made;
         } finally {
@@ -495,10 +495,10 @@
         }
     }
 
-    private void writeHard(HardState hard) {
+    private void writeHardState(HardState hard) {
         putMeta(
-                HARD,
-                sealed(record(3 * Long.BYTES)
+                HARD_STATE_KEY,
+                withChecksum(allocateRecord(3 * Long.BYTES)
                         .putLong(hard.term())
                         .putLong(hard.votedFor())
                         .putLong(hard.lastLeader())));
@@ -507,75 +507,76 @@
     private void writeSnapshot(Snapshot snapshot) {
         byte[] members = MemberListCodec.encode(snapshot.members());
         putMeta(
-                SNAPSHOT,
-                sealed(record(2 * Long.BYTES + Integer.BYTES + members.length + snapshot.state().length)
+                SNAPSHOT_KEY,
+                withChecksum(allocateRecord(2 * Long.BYTES + Integer.BYTES + members.length + snapshot.state().length)
                         .putLong(snapshot.index())
                         .putLong(snapshot.term())
                         .putInt(members.length)
                         .put(members)
                         .put(snapshot.state())));
-        for (Long first = records.log.firstKey();
+        for (Long first = storeFile.log.firstKey();
                 first != null && first <= snapshot.index();
-                first = records.log.firstKey()) {
+                first = storeFile.log.firstKey()) {
             removeEntry(first);
         }
     }
 
     private void putMeta(String name, byte[] record) {
-        count(name, records.meta.put(name, record), record);
+        updateTotals(name, storeFile.meta.put(name, record), record);
     }
 
     private void putEntry(long index, byte[] record) {
-        count(Long.toString(index), records.log.put(index, record), record);
+        updateTotals(Long.toString(index), storeFile.log.put(index, record), record);
     }
 
     private void removeEntry(long index) {
-        count(Long.toString(index), records.log.remove(index), null);
+        updateTotals(Long.toString(index), storeFile.log.remove(index), null);
     }
 
-    private void count(String key, byte[] before, byte[] record) {
+    private void updateTotals(String key, byte[] before, byte[] record) {
         for (byte[] each : new byte[][] {before, record}) {
             if (each != null) {
                 byte[] name = key.getBytes(StandardCharsets.UTF_8);
                 CRC32C crc = new CRC32C();
                 crc.update(name);
                 crc.update(each, 0, Integer.BYTES);
-                sum ^= (int) crc.getValue();
+                checksum ^= (int) crc.getValue();
                 liveBytes += each == record ? each.length : -each.length;
             }
         }
     }
 
     private void sync() {
-        records.meta.put(SUM, sealed(record(Integer.BYTES).putInt(sum)));
-        records.sync();
+        storeFile.meta.put(
+                CHECKSUM_KEY, withChecksum(allocateRecord(Integer.BYTES).putInt(checksum)));
+        storeFile.sync();
     }
 
     /** Lets go of the file. There is nothing to write: all that counts is synced. */
     @Override
     public void close() {
-        if (records != null) {
-            records.close();
+        if (storeFile != null) {
+            storeFile.close();
         }
     }
 
-    private HardState hard() throws CorruptStoreException {
-        byte[] record = records.meta.get(HARD);
+    private HardState readHardState() throws CorruptStoreException {
+        byte[] record = storeFile.meta.get(HARD_STATE_KEY);
         if (record == null) {
             return HardState.NONE;
         }
-        ByteBuffer in = unsealed(record, HARD);
+        ByteBuffer in = contentsOf(record, HARD_STATE_KEY);
         long term = in.getLong();
         long votedFor = in.getLong();
         return new HardState(term, votedFor, in.hasRemaining() ? in.getLong() : 0);
     }
 
-    private Snapshot snapshot() throws CorruptStoreException {
-        byte[] record = records.meta.get(SNAPSHOT);
+    private Snapshot readSnapshot() throws CorruptStoreException {
+        byte[] record = storeFile.meta.get(SNAPSHOT_KEY);
         if (record == null) {
             return Snapshot.NONE;
         }
-        ByteBuffer in = unsealed(record, SNAPSHOT);
+        ByteBuffer in = contentsOf(record, SNAPSHOT_KEY);
         long index = in.getLong();
         long term = in.getLong();
         byte[] members = new byte[in.getInt()];
@@ -585,32 +586,32 @@
         return new Snapshot(index, term, MemberListCodec.decode(members), state);
     }
 
-    private static Entry entry(long index, byte[] record) throws CorruptStoreException {
-        ByteBuffer in = unsealed(record, "entry " + index);
+    private static Entry decodeEntry(long index, byte[] record) throws CorruptStoreException {
+        ByteBuffer in = contentsOf(record, "entry " + index);
         long term = in.getLong();
         int kind = in.get();
-        if (kind < 0 || kind >= KINDS.length) {
+        if (kind < 0 || kind >= ENTRY_KINDS.length) {
             throw new CorruptStoreException("entry " + index + " is of no known kind", null);
         }
         byte[] body = new byte[in.remaining()];
         in.get(body);
-        return new Entry(index, term, KINDS[kind], body);
+        return new Entry(index, term, ENTRY_KINDS[kind], body);
     }
 
     /** Room for contents of this length behind their checksum. */
-    private static ByteBuffer record(int length) {
+    private static ByteBuffer allocateRecord(int length) {
         return ByteBuffer.allocate(Integer.BYTES + length).position(Integer.BYTES);
     }
 
     /** The record, full to its end, with its checksum. */
     @SuppressWarnings("ByteBufferBackingArray") // record() allocates each of them, whole and without an offset.
-    private static byte[] sealed(ByteBuffer record) {
+    private static byte[] withChecksum(ByteBuffer record) {
         CRC32C sum = new CRC32C();
         sum.update(record.array(), Integer.BYTES, record.capacity() - Integer.BYTES);
         return record.putInt(0, (int) sum.getValue()).array();
     }
 
-    private static ByteBuffer unsealed(byte[] record, String what) throws CorruptStoreException {
+    private static ByteBuffer contentsOf(byte[] record, String what) throws CorruptStoreException {
         if (record.length < Integer.BYTES) {
             throw new CorruptStoreException(what + " is cut short", null);
         }
--- a/src/main/java/tinworks/store/DiskStoreDirectory.java
+++ b/src/main/java/tinworks/store/DiskStoreDirectory.java
@@ -11,12 +11,12 @@
 /**
  * A folder of the machine's disk.
  *
- * @param place where it is
+ * @param location where it is
  */
-public record DiskStoreDirectory(Path place) implements StoreDirectory {
+public record DiskStoreDirectory(Path location) implements StoreDirectory {
     @Override
     public void createDirectories() throws IOException {
-        make(place.toAbsolutePath());
+        make(location.toAbsolutePath());
     }
 
     /** A folder that is new is only there for good once the one that it stands in is synced. */
@@ -30,34 +30,34 @@
 
     @Override
     public String path(String file) {
-        return place.resolve(file).toString();
+        return location.resolve(file).toString();
     }
 
     @Override
     public List<String> files() throws IOException {
-        try (Stream<Path> files = Files.list(place)) {
+        try (Stream<Path> files = Files.list(location)) {
             return files.map(file -> file.getFileName().toString()).toList();
         }
     }
 
     @Override
     public void createFile(String file) throws IOException {
-        Files.createFile(place.resolve(file));
+        Files.createFile(location.resolve(file));
     }
 
     @Override
     public void rename(String file, String to) throws IOException {
-        Files.move(place.resolve(file), place.resolve(to));
+        Files.move(location.resolve(file), location.resolve(to));
     }
 
     @Override
     public void delete(String file) throws IOException {
-        Files.delete(place.resolve(file));
+        Files.delete(location.resolve(file));
     }
 
     @Override
     public void sync() throws IOException {
-        sync(place);
+        sync(location);
     }
 
     private static void sync(Path folder) throws IOException {
--- a/src/main/java/tinworks/store/OrderedFile.java
+++ b/src/main/java/tinworks/store/OrderedFile.java
@@ -22,15 +22,15 @@
     /** What stands before a file's path. */
     static final String SCHEME = "ordered";
 
-    private static final int FOOTER = 128;
-    private static final int BLOCK = 4096;
-    private static final int HEADER = 2 * BLOCK;
-    private static final int RADIX = 16;
+    private static final int FOOTER_BYTES = 128;
+    private static final int BLOCK_BYTES = 4096;
+    private static final int HEADER_BYTES = 2 * BLOCK_BYTES;
+    private static final int HEX_RADIX = 16;
     /**
      * As MVStore reads it, which passes over what is no more than blank at the end: of a torn footer that is whole
      * enough.
      */
-    private static final Pattern FOOTER_TEXT = Pattern.compile(
+    private static final Pattern FOOTER_PATTERN = Pattern.compile(
             "(chunk:[0-9a-f]{1,8},len:[0-9a-f]{1,8},version:([0-9a-f]{1,15})),fletcher:([0-9a-f]{1,8})[\\x00-\\x20]*");
 
     static {
@@ -43,7 +43,7 @@
     }
 
     /** Where a chunk ends, and its version; 0 both where there is none. */
-    private record Footer(long end, long version) {}
+    private record Footer(long endOffset, long version) {}
 
     /**
      * The version of the last chunk that was ever whole, by its footer, 0 where there is none. As a file is only added
@@ -56,17 +56,17 @@
     }
 
     private static Footer lastFooter(FileChannel file) throws IOException {
-        ByteBuffer footer = ByteBuffer.allocate(FOOTER);
-        for (long end = file.size() / BLOCK * BLOCK; end > HEADER; end -= BLOCK) {
+        ByteBuffer footer = ByteBuffer.allocate(FOOTER_BYTES);
+        for (long end = file.size() / BLOCK_BYTES * BLOCK_BYTES; end > HEADER_BYTES; end -= BLOCK_BYTES) {
             footer.clear();
             for (int count = 0; footer.hasRemaining() && count >= 0; ) {
-                count = file.read(footer, end - FOOTER + footer.position());
+                count = file.read(footer, end - FOOTER_BYTES + footer.position());
             }
-            Matcher matcher = FOOTER_TEXT.matcher(new String(footer.array(), StandardCharsets.ISO_8859_1));
+            Matcher matcher = FOOTER_PATTERN.matcher(new String(footer.array(), StandardCharsets.ISO_8859_1));
             if (matcher.matches()
                     && DataUtils.getFletcher32(footer.array(), 0, matcher.end(1))
-                            == Integer.parseUnsignedInt(matcher.group(3), RADIX)) {
-                return new Footer(end, Long.parseUnsignedLong(matcher.group(2), RADIX));
+                            == Integer.parseUnsignedInt(matcher.group(3), HEX_RADIX)) {
+                return new Footer(end, Long.parseUnsignedLong(matcher.group(2), HEX_RADIX));
             }
         }
         return new Footer(0, 0);
@@ -94,7 +94,7 @@
         public int write(ByteBuffer from, long position) throws IOException {
             int length = from.remaining();
             if (position > 0) {
-                ByteBuffer body = from.slice(from.position(), length - FOOTER);
+                ByteBuffer body = from.slice(from.position(), length - FOOTER_BYTES);
                 writeAll(body, position);
                 from.position(from.position() + body.limit());
             }
@@ -158,7 +158,7 @@
         @Override
         public FileLock tryLock(long position, long size, boolean shared) throws IOException {
             FileLock lock = file.tryLock(position, size, shared);
-            long end = lock == null ? 0 : lastFooter(file).end;
+            long end = lock == null ? 0 : lastFooter(file).endOffset;
             if (end > 0 && end < file.size()) {
                 // What a torn write left may hold part of a footer, which must not come to stand behind another chunk's
                 // head.
--- a/src/test/java/tinworks/channel/SimulatedNetwork.java
+++ b/src/test/java/tinworks/channel/SimulatedNetwork.java
@@ -272,7 +272,7 @@
 
         void begin() {
             send(own);
-            machine.schedule(TcpPeerConnection.PING_MILLIS, this::watch);
+            machine.schedule(TcpPeerConnection.PING_INTERVAL_MILLIS, this::watch);
         }
 
         private void watch() {
@@ -280,14 +280,14 @@
                 return;
             }
             long now = machine.millis();
-            if (now - heardAt > TcpPeerConnection.SILENCE_MILLIS) {
+            if (now - heardAt > TcpPeerConnection.PEER_TIMEOUT_MILLIS) {
                 close("silent for " + (now - heardAt) + " ms");
                 return;
             }
-            if (now - saidAt >= TcpPeerConnection.PING_MILLIS) {
+            if (now - saidAt >= TcpPeerConnection.PING_INTERVAL_MILLIS) {
                 send(new Ping());
             }
-            machine.schedule(TcpPeerConnection.PING_MILLIS, this::watch);
+            machine.schedule(TcpPeerConnection.PING_INTERVAL_MILLIS, this::watch);
         }
 
         @Override
@@ -315,7 +315,7 @@
             written.get(frame);
             saidAt = machine.millis();
             out.push(frame);
-            if (out.bytes > TcpPeerConnection.MOST_WAITING) {
+            if (out.bytes > TcpPeerConnection.MAX_PENDING_WRITE_BYTES) {
                 close("the far side doesn't read");
             }
         }
@@ -414,7 +414,7 @@
         private final class Link {
             private final String address;
             private End end;
-            private long pause = TcpConnectionManager.FIRST_PAUSE_MILLIS;
+            private long pause = TcpConnectionManager.INITIAL_BACKOFF_MILLIS;
             private boolean ended;
             private long dials;
 
@@ -430,7 +430,7 @@
                 long dial = ++dials;
                 long life = machine.life();
                 Machine far = machines.get(address);
-                machine.schedule(TcpConnectionManager.DIAL_MILLIS, () -> failed(dial));
+                machine.schedule(TcpConnectionManager.CONNECT_TIMEOUT_MILLIS, () -> failed(dial));
                 world.later(delay(), () -> {
                     if (far == null || !far.powered() || isPartitioned(machine, far) || isPartitioned(far, machine)) {
                         return;
@@ -477,8 +477,8 @@
                 dials++;
                 boolean wasOpen = end != null && end.peer != null;
                 pause = wasOpen
-                        ? TcpConnectionManager.FIRST_PAUSE_MILLIS
-                        : Math.min(TcpConnectionManager.LONGEST_PAUSE_MILLIS, pause * 2);
+                        ? TcpConnectionManager.INITIAL_BACKOFF_MILLIS
+                        : Math.min(TcpConnectionManager.MAX_BACKOFF_MILLIS, pause * 2);
                 machine.schedule(pause / 2 + random.nextLong(pause), this::dial);
             }
 
