--- a/src/test/java/tinworks/channel/HostListHistoryTest.java
+++ b/src/test/java/tinworks/channel/HostListHistoryTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void whoeverHoldsAnOlderListComesToTheNewestByItsChanges() {
+    void changesLeadFromAnyOlderListToTheNewest() {
         SplittableRandom random = new SplittableRandom(5);
         HostListHistory history = new HostListHistory();
         List<HostList> all = new ArrayList<>();
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void whoHoldsNoneOrOneThatNobodyRemembersIsToldTheWholeList() {
+    void unknownVersionGetsTheWholeList() {
         HostListHistory history = new HostListHistory();
         for (int i = 1; i <= 100; i++) {
             history.advance(list(1, i, 0, i));
@@ -73,7 +73,7 @@
      * edges.
      */
     @Test
-    void aChangedHostCostsItsOwnSizeAndAnAnnouncementTheSameForAnyNumberOfEdges() {
+    void messageSizesDoNotGrowWithHostsOrEdges() {
         for (int hosts : new int[] {30, 250, 2_000}) {
             HostListHistory history = new HostListHistory();
             HostList first = list(1, 1, 0, hosts);
--- a/src/test/java/tinworks/channel/PeerMessageCodecTest.java
+++ b/src/test/java/tinworks/channel/PeerMessageCodecTest.java
@@ -17,7 +17,7 @@
 /** Signals between processes are read as they were written, and damaged bytes are refused. */
 class PeerMessageCodecTest {
     private static final Member MEMBER = new Member(-5, "10.1.0.9:7540");
-    private static final List<PeerMessage> ALL = List.of(
+    private static final List<PeerMessage> MESSAGES = List.of(
             new PeerMessage.Hello(NodeRole.EDGE, 7, "", "edge-1", "zone"),
             new PeerMessage.Ping(),
             new PeerMessage.Join(MEMBER),
@@ -37,19 +37,19 @@
             new PeerMessage.Leave(7),
             new PeerMessage.Call(3, false, new byte[] {5}),
             new PeerMessage.CallResponse(3, 412, new byte[] {6}),
-            agreement(new Message.VoteRequest(4, true, 5, 6, false)),
-            agreement(new Message.VoteReply(4, false, true)),
-            agreement(new Message.Append(
+            raftMessage(new Message.VoteRequest(4, true, 5, 6, false)),
+            raftMessage(new Message.VoteReply(4, false, true)),
+            raftMessage(new Message.Append(
                     4, 1, 2, 3, 4, List.of(new Entry(2, 4, Entry.Kind.COMMAND, new byte[] {8})), 7, 9)),
-            agreement(new Message.AppendReply(4, true, 5, 6, 7)),
-            agreement(new Message.TimeoutNow(4)),
-            agreement(new Message.LeaseQuery(4, 5)),
-            agreement(new Message.LeaseEnded(4, 5)),
-            agreement(new Message.InstallSnapshot(
+            raftMessage(new Message.AppendReply(4, true, 5, 6, 7)),
+            raftMessage(new Message.TimeoutNow(4)),
+            raftMessage(new Message.LeaseQuery(4, 5)),
+            raftMessage(new Message.LeaseEnded(4, 5)),
+            raftMessage(new Message.InstallSnapshot(
                     4, new Snapshot.Metadata(9, 3, List.of(MEMBER), 7, -1), 5, new byte[] {1, 2}, 6, 2)),
-            agreement(new Message.InstallSnapshotReply(4, 9, 5, 6, 2)));
+            raftMessage(new Message.InstallSnapshotReply(4, 9, 5, 6, 2)));
 
-    private static PeerMessage agreement(Message message) {
+    private static PeerMessage raftMessage(Message message) {
         return new PeerMessage.RaftMessage(1, 2, message);
     }
 
@@ -61,8 +61,8 @@
     }
 
     @Test
-    void everySignalComesBackAsItWasWritten() throws MalformedDataException {
-        for (PeerMessage signal : ALL) {
+    void everyMessageRoundTrips() throws MalformedDataException {
+        for (PeerMessage signal : MESSAGES) {
             byte[] bytes = bytes(signal);
             PeerMessage read = PeerMessageCodec.read(ByteBuffer.wrap(bytes));
             assertTrue(read.getClass() == signal.getClass());
@@ -71,9 +71,9 @@
     }
 
     @Test
-    void bytesThatAreCutOrSpoiltAreRefusedWithoutHarm() {
+    void truncatedOrCorruptBytesAreRejected() {
         SplittableRandom random = new SplittableRandom(3);
-        for (PeerMessage signal : ALL) {
+        for (PeerMessage signal : MESSAGES) {
             byte[] bytes = bytes(signal);
             for (int i = 0; i < bytes.length; i++) {
                 byte[] cut = java.util.Arrays.copyOf(bytes, i);
--- a/src/test/java/tinworks/channel/SimulatedNetwork.java
+++ b/src/test/java/tinworks/channel/SimulatedNetwork.java
@@ -25,23 +25,23 @@
  * {@link PeerMessageCodec}'s bytes.
  */
 public final class SimulatedNetwork {
-    private static final int DELAY_MICROS = 1_400;
+    private static final int MIN_LATENCY_MICROS = 1_400;
     private static final int JITTER_MICROS = 600;
-    private static final int FAST_BYTES_PER_MILLI = 125_000;
-    private static final long RETRANSMIT_MICROS = 400_000;
+    private static final int DEFAULT_BYTES_PER_MILLI = 125_000;
+    private static final long MAX_RETRANSMIT_MICROS = 400_000;
 
     private final World world;
-    private final Map<String, Listening> listening = new HashMap<>();
-    private final Set<List<Machine>> cuts = new HashSet<>();
-    private final Set<Machine> slow = new HashSet<>();
-    private final Set<Pipe> waiting = new LinkedHashSet<>();
+    private final Map<String, Acceptor> acceptors = new HashMap<>();
+    private final Set<List<Machine>> partitions = new HashSet<>();
+    private final Set<Machine> throttled = new HashSet<>();
+    private final Set<Pipe> blockedPipes = new LinkedHashSet<>();
     /** Those with frames on their way. */
-    private final Set<Pipe> loaded = new LinkedHashSet<>();
+    private final Set<Pipe> busyPipes = new LinkedHashSet<>();
 
     private final Set<Connection> connections = new LinkedHashSet<>();
-    private long slowBytesPerMilli = FAST_BYTES_PER_MILLI;
+    private long throttledBytesPerMilli = DEFAULT_BYTES_PER_MILLI;
 
-    private record Listening(Machine machine, long life, Hello own, PeerConnection.Listener listener) {}
+    private record Acceptor(Machine machine, long life, Hello localHello, PeerConnection.Listener listener) {}
 
     /** A network without anyone on it. */
     public SimulatedNetwork(World world) {
@@ -52,43 +52,43 @@
 
     /** Nothing gets from one machine to the other, and nobody is told. */
     public void partition(Machine from, Machine to) {
-        cuts.add(List.of(from, to));
+        partitions.add(List.of(from, to));
     }
 
     /** Ends a cut: what was held up comes within a while. */
     public void heal(Machine from, Machine to) {
-        cuts.remove(List.of(from, to));
-        List.copyOf(waiting).forEach(pipe -> {
+        partitions.remove(List.of(from, to));
+        List.copyOf(blockedPipes).forEach(pipe -> {
             if (pipe.from == from && pipe.to == to) {
-                waiting.remove(pipe);
-                world.later(world.random().nextLong(RETRANSMIT_MICROS), pipe::pump);
+                blockedPipes.remove(pipe);
+                world.later(world.random().nextLong(MAX_RETRANSMIT_MICROS), pipe::deliverDueFrames);
             }
         });
     }
 
     /** Whether anything gets from one machine to the other. */
     public boolean isPartitioned(Machine from, Machine to) {
-        return cuts.contains(List.of(from, to));
+        return partitions.contains(List.of(from, to));
     }
 
     /** Links with a machine take so many bytes a millisecond. */
     public void throttle(Machine machine, long bytesPerMilli) {
-        slow.add(machine);
-        slowBytesPerMilli = bytesPerMilli;
+        throttled.add(machine);
+        throttledBytesPerMilli = bytesPerMilli;
     }
 
     /** Links with a machine are as fast as ever, also for what is on its way. */
     public void unthrottle(Machine machine) {
-        slow.remove(machine);
-        loaded.stream()
+        throttled.remove(machine);
+        busyPipes.stream()
                 .filter(pipe -> pipe.from == machine || pipe.to == machine)
-                .forEach(Pipe::hurry);
+                .forEach(Pipe::reschedule);
     }
 
     /** Resets the connections between two machines; what is on its way is lost. */
     public void resetConnections(Machine one, Machine other) {
         List.copyOf(connections).forEach(c -> {
-            if (c.between(one, other)) {
+            if (c.isBetween(one, other)) {
                 c.reset();
             }
         });
@@ -96,20 +96,20 @@
 
     /** The process of a machine is gone: its kernel ends the connections. */
     public void processKilled(Machine machine) {
-        listening.values().removeIf(l -> l.machine == machine);
-        List.copyOf(connections).forEach(c -> c.killed(machine));
+        acceptors.values().removeIf(l -> l.machine == machine);
+        List.copyOf(connections).forEach(c -> c.processKilled(machine));
     }
 
     /** A machine is dark: nobody is told. */
     public void powerOff(Machine machine) {
-        listening.values().removeIf(l -> l.machine == machine);
+        acceptors.values().removeIf(l -> l.machine == machine);
     }
 
     // ---- what processes ask for
 
     /** Takes connections at the machine's address. */
     public void listen(Machine machine, Hello own, PeerConnection.Listener listener) {
-        listening.put(machine.address(), new Listening(machine, machine.life(), own, listener));
+        acceptors.put(machine.address(), new Acceptor(machine, machine.life(), own, listener));
     }
 
     /** The connections that a process dials. */
@@ -118,8 +118,8 @@
         return new SimulatedConnectionManager(machine, machines, own, listener);
     }
 
-    private long delay() {
-        return (long) DELAY_MICROS + world.random().nextInt(JITTER_MICROS);
+    private long randomLatencyMicros() {
+        return (long) MIN_LATENCY_MICROS + world.random().nextInt(JITTER_MICROS);
     }
 
     // ---- connections
@@ -129,12 +129,12 @@
         private final Machine from;
         private final Machine to;
         private final ArrayDeque<Frame> frames = new ArrayDeque<>();
-        private long lastDue;
-        private int bytes;
-        private End end;
+        private long transmittedMicros;
+        private int pendingBytes;
+        private Endpoint receiver;
 
         /** Null bytes end the connection. */
-        private record Frame(long due, byte[] bytes) {}
+        private record Frame(long dueMicros, byte[] bytes) {}
 
         Pipe(Connection connection, Machine from, Machine to) {
             this.connection = connection;
@@ -142,152 +142,155 @@
             this.to = to;
         }
 
-        void push(byte[] frame) {
-            lastDue = Math.max(lastDue, world.micros()) + micros(frame);
-            long due = lastDue + delay();
+        void enqueue(byte[] frame) {
+            transmittedMicros = Math.max(transmittedMicros, world.micros()) + transmissionMicros(frame);
+            long due = transmittedMicros + randomLatencyMicros();
             frames.add(new Frame(due, frame));
-            loaded.add(this);
-            bytes += frame == null ? 0 : frame.length;
-            world.later(due - world.micros(), this::pump);
+            busyPipes.add(this);
+            pendingBytes += frame == null ? 0 : frame.length;
+            world.later(due - world.micros(), this::deliverDueFrames);
         }
 
-        private long micros(byte[] frame) {
-            long rate = slow.contains(from) || slow.contains(to) ? slowBytesPerMilli : FAST_BYTES_PER_MILLI;
+        private long transmissionMicros(byte[] frame) {
+            long rate = throttled.contains(from) || throttled.contains(to)
+                    ? throttledBytesPerMilli
+                    : DEFAULT_BYTES_PER_MILLI;
             return frame == null ? 0 : frame.length * 1_000L / rate;
         }
 
         /**
          * The link has become faster: what is on its way comes at the present rate, and no later than it would have.
          */
-        void hurry() {
+        void reschedule() {
             List<Frame> onTheirWay = List.copyOf(frames);
             frames.clear();
-            lastDue = world.micros();
+            transmittedMicros = world.micros();
             for (Frame frame : onTheirWay) {
-                lastDue += micros(frame.bytes);
-                long due = Math.min(frame.due, lastDue + DELAY_MICROS);
+                transmittedMicros += transmissionMicros(frame.bytes);
+                long due = Math.min(frame.dueMicros, transmittedMicros + MIN_LATENCY_MICROS);
                 frames.add(new Frame(due, frame.bytes));
-                world.later(Math.max(0, due - world.micros()), this::pump);
+                world.later(Math.max(0, due - world.micros()), this::deliverDueFrames);
             }
         }
 
-        void pump() {
-            while (!frames.isEmpty() && frames.peek().due <= world.micros()) {
+        void deliverDueFrames() {
+            while (!frames.isEmpty() && frames.peek().dueMicros <= world.micros()) {
                 if (isPartitioned(from, to)) {
-                    waiting.add(this);
+                    blockedPipes.add(this);
                     return;
                 }
                 Frame frame = frames.poll();
-                bytes -= frame.bytes == null ? 0 : frame.bytes.length;
+                pendingBytes -= frame.bytes == null ? 0 : frame.bytes.length;
                 deliver(frame.bytes);
             }
             if (frames.isEmpty()) {
-                loaded.remove(this);
+                busyPipes.remove(this);
             }
         }
 
         private void deliver(byte[] frame) {
-            if (end == null || connection.broken) {
+            if (receiver == null || connection.wasReset) {
                 return;
             }
-            if (end.life == to.life() && to.running()) {
-                to.arrive(end.life, () -> end.took(frame));
+            if (receiver.life == to.life() && to.running()) {
+                to.arrive(receiver.life, () -> receiver.receive(frame));
             } else if (to.powered() && frame != null) {
                 // Whoever came after knows nothing of the connection.
-                connection.back(this).push(null);
+                connection.opposite(this).enqueue(null);
             }
         }
     }
 
     private final class Connection {
-        private final Pipe there;
-        private final Pipe back;
-        private boolean broken;
+        private final Pipe forward;
+        private final Pipe reverse;
+        private boolean wasReset;
 
         Connection(Machine dialling, Machine accepting) {
-            there = new Pipe(this, dialling, accepting);
-            back = new Pipe(this, accepting, dialling);
+            forward = new Pipe(this, dialling, accepting);
+            reverse = new Pipe(this, accepting, dialling);
             connections.add(this);
         }
 
-        Pipe back(Pipe pipe) {
-            return pipe == there ? back : there;
+        Pipe opposite(Pipe pipe) {
+            return pipe == forward ? reverse : forward;
         }
 
-        boolean between(Machine one, Machine other) {
-            return (there.from == one && there.to == other) || (there.from == other && there.to == one);
+        boolean isBetween(Machine one, Machine other) {
+            return (forward.from == one && forward.to == other) || (forward.from == other && forward.to == one);
         }
 
         void reset() {
-            broken = true;
+            wasReset = true;
             connections.remove(this);
-            for (Pipe pipe : List.of(there, back)) {
-                End end = pipe.end;
+            for (Pipe pipe : List.of(forward, reverse)) {
+                Endpoint end = pipe.receiver;
                 if (end != null) {
-                    pipe.to.arrive(end.life, end::ended);
+                    pipe.to.arrive(end.life, end::notifyClosed);
                 }
             }
         }
 
-        void killed(Machine machine) {
-            for (Pipe pipe : List.of(there, back)) {
+        void processKilled(Machine machine) {
+            for (Pipe pipe : List.of(forward, reverse)) {
                 if (pipe.from == machine) {
                     if (world.random().nextBoolean()) {
                         pipe.frames.clear();
                     }
-                    pipe.push(null);
+                    pipe.enqueue(null);
                 }
             }
         }
     }
 
     /** One side of a connection. */
-    private final class End implements PeerConnection {
+    private final class Endpoint implements PeerConnection {
         private final Machine machine;
         private final long life;
-        private final boolean dialled;
-        private final Hello own;
+        private final boolean outbound;
+        private final Hello localHello;
         private final Listener listener;
         private final Connection connection;
-        private final Pipe out;
-        private final Runnable onEnd;
+        private final Pipe outgoing;
+        private final Runnable onClosed;
         private Hello peer;
         private boolean closing;
         private boolean closed;
-        private long heardAt;
-        private long saidAt;
+        private long lastReceivedMillis;
+        private long lastSentMillis;
 
-        End(Machine machine, boolean dialled, Hello own, Listener listener, Connection connection, Runnable onEnd) {
+        Endpoint(
+                Machine machine, boolean dialled, Hello own, Listener listener, Connection connection, Runnable onEnd) {
             this.machine = machine;
             life = machine.life();
-            this.dialled = dialled;
-            this.own = own;
+            this.outbound = dialled;
+            this.localHello = own;
             this.listener = listener;
             this.connection = connection;
-            this.onEnd = onEnd;
-            out = dialled ? connection.there : connection.back;
-            connection.back(out).end = this;
-            heardAt = machine.millis();
+            this.onClosed = onEnd;
+            outgoing = dialled ? connection.forward : connection.reverse;
+            connection.opposite(outgoing).receiver = this;
+            lastReceivedMillis = machine.millis();
         }
 
-        void begin() {
-            send(own);
-            machine.schedule(TcpPeerConnection.PING_INTERVAL_MILLIS, this::watch);
+        void start() {
+            send(localHello);
+            machine.schedule(TcpPeerConnection.PING_INTERVAL_MILLIS, this::checkLiveness);
         }
 
-        private void watch() {
+        private void checkLiveness() {
             if (closing || closed) {
                 return;
             }
             long now = machine.millis();
-            if (now - heardAt > TcpPeerConnection.PEER_TIMEOUT_MILLIS) {
-                close("silent for " + (now - heardAt) + " ms");
+            if (now - lastReceivedMillis > TcpPeerConnection.PEER_TIMEOUT_MILLIS) {
+                close("silent for " + (now - lastReceivedMillis) + " ms");
                 return;
             }
-            if (now - saidAt >= TcpPeerConnection.PING_INTERVAL_MILLIS) {
+            if (now - lastSentMillis >= TcpPeerConnection.PING_INTERVAL_MILLIS) {
                 send(new Ping());
             }
-            machine.schedule(TcpPeerConnection.PING_INTERVAL_MILLIS, this::watch);
+            machine.schedule(TcpPeerConnection.PING_INTERVAL_MILLIS, this::checkLiveness);
         }
 
         @Override
@@ -297,7 +300,7 @@
 
         @Override
         public boolean isOutbound() {
-            return dialled;
+            return outbound;
         }
 
         @Override
@@ -313,9 +316,9 @@
             ByteBuffer written = PeerMessageCodec.write(signal);
             byte[] frame = new byte[written.remaining()];
             written.get(frame);
-            saidAt = machine.millis();
-            out.push(frame);
-            if (out.bytes > TcpPeerConnection.MAX_PENDING_WRITE_BYTES) {
+            lastSentMillis = machine.millis();
+            outgoing.enqueue(frame);
+            if (outgoing.pendingBytes > TcpPeerConnection.MAX_PENDING_WRITE_BYTES) {
                 close("the far side doesn't read");
             }
         }
@@ -324,20 +327,20 @@
         public void close(String why) {
             if (!closing && !closed) {
                 closing = true;
-                out.push(null);
-                machine.schedule(0, this::ended);
+                outgoing.enqueue(null);
+                machine.schedule(0, this::notifyClosed);
             }
         }
 
-        void took(byte[] frame) {
+        void receive(byte[] frame) {
             if (closing || closed) {
                 return;
             }
             if (frame == null) {
-                ended();
+                notifyClosed();
                 return;
             }
-            heardAt = machine.millis();
+            lastReceivedMillis = machine.millis();
             try {
                 PeerMessage signal = PeerMessageCodec.read(ByteBuffer.wrap(frame));
                 if (peer == null) {
@@ -351,7 +354,7 @@
             }
         }
 
-        void ended() {
+        void notifyClosed() {
             if (closed) {
                 return;
             }
@@ -360,7 +363,7 @@
             if (peer != null) {
                 listener.closed(this);
             }
-            onEnd.run();
+            onClosed.run();
         }
     }
 
@@ -368,7 +371,7 @@
     public final class SimulatedConnectionManager implements ConnectionManager {
         private final Machine machine;
         private final Map<String, Machine> machines;
-        private final Hello own;
+        private final Hello localHello;
         private final PeerConnection.Listener listener;
         private final SplittableRandom random;
         private final Map<String, Link> links = new LinkedHashMap<>();
@@ -377,7 +380,7 @@
                 Machine machine, Map<String, Machine> machines, Hello own, PeerConnection.Listener listener) {
             this.machine = machine;
             this.machines = machines;
-            this.own = own;
+            this.localHello = own;
             this.listener = listener;
             random = new SplittableRandom(own.id());
         }
@@ -385,17 +388,17 @@
         @Override
         public void setAddresses(Collection<String> addresses) {
             Set<String> wanted = new TreeSet<>(addresses);
-            wanted.remove(own.address());
+            wanted.remove(localHello.address());
             for (String old : List.copyOf(links.keySet())) {
                 if (!wanted.contains(old)) {
-                    links.remove(old).end();
+                    links.remove(old).stop();
                 }
             }
             for (String address : wanted) {
                 if (!links.containsKey(address)) {
                     Link link = new Link(address);
                     links.put(address, link);
-                    link.dial();
+                    link.connect();
                 }
             }
         }
@@ -404,8 +407,8 @@
         public List<PeerConnection> openConnections() {
             List<PeerConnection> open = new ArrayList<>();
             for (Link link : links.values()) {
-                if (link.end != null && link.end.isOpen()) {
-                    open.add(link.end);
+                if (link.endpoint != null && link.endpoint.isOpen()) {
+                    open.add(link.endpoint);
                 }
             }
             return open;
@@ -413,79 +416,81 @@
 
         private final class Link {
             private final String address;
-            private End end;
-            private long pause = TcpConnectionManager.INITIAL_BACKOFF_MILLIS;
-            private boolean ended;
-            private long dials;
+            private Endpoint endpoint;
+            private long backoffMillis = TcpConnectionManager.INITIAL_BACKOFF_MILLIS;
+            private boolean stopped;
+            private long attempts;
 
             Link(String address) {
                 this.address = address;
             }
 
-            private void dial() {
-                if (ended) {
+            private void connect() {
+                if (stopped) {
                     return;
                 }
-                end = null;
-                long dial = ++dials;
+                endpoint = null;
+                long dial = ++attempts;
                 long life = machine.life();
                 Machine far = machines.get(address);
-                machine.schedule(TcpConnectionManager.CONNECT_TIMEOUT_MILLIS, () -> failed(dial));
-                world.later(delay(), () -> {
+                machine.schedule(TcpConnectionManager.CONNECT_TIMEOUT_MILLIS, () -> connectFailed(dial));
+                world.later(randomLatencyMicros(), () -> {
                     if (far == null || !far.powered() || isPartitioned(machine, far) || isPartitioned(far, machine)) {
                         return;
                     }
-                    Listening there = listening.get(address);
+                    Acceptor there = acceptors.get(address);
                     if (there == null) {
-                        world.later(delay(), () -> machine.arrive(life, () -> failed(dial)));
+                        world.later(randomLatencyMicros(), () -> machine.arrive(life, () -> connectFailed(dial)));
                         return;
                     }
                     if (machine.life() != life) {
                         return;
                     }
                     Connection connection = new Connection(machine, far);
-                    End accepted = new End(far, false, there.own, there.listener, connection, () -> {});
-                    End dialling = new End(machine, true, own, listener, connection, this::again);
-                    long back = delay();
+                    Endpoint accepted =
+                            new Endpoint(far, false, there.localHello, there.listener, connection, () -> {});
+                    Endpoint dialling =
+                            new Endpoint(machine, true, localHello, listener, connection, this::scheduleReconnect);
+                    long back = randomLatencyMicros();
                     // What the far side says comes behind its consent.
-                    connection.back.lastDue = world.micros() + back;
-                    far.arrive(there.life, accepted::begin);
+                    connection.reverse.transmittedMicros = world.micros() + back;
+                    far.arrive(there.life, accepted::start);
                     world.later(back, () -> machine.arrive(life, () -> connected(dial, dialling)));
                 });
             }
 
-            private void connected(long dial, End opened) {
-                if (dial != dials || ended) {
+            private void connected(long dial, Endpoint opened) {
+                if (dial != attempts || stopped) {
                     opened.close("too late");
                     return;
                 }
-                dials++;
-                end = opened;
-                end.begin();
+                attempts++;
+                endpoint = opened;
+                endpoint.start();
             }
 
-            private void failed(long dial) {
-                if (dial == dials) {
-                    again();
+            private void connectFailed(long dial) {
+                if (dial == attempts) {
+                    scheduleReconnect();
                 }
             }
 
-            private void again() {
-                if (ended) {
+            private void scheduleReconnect() {
+                if (stopped) {
                     return;
                 }
-                dials++;
-                boolean wasOpen = end != null && end.peer != null;
-                pause = wasOpen
+                attempts++;
+                boolean wasOpen = endpoint != null && endpoint.peer != null;
+                backoffMillis = wasOpen
                         ? TcpConnectionManager.INITIAL_BACKOFF_MILLIS
-                        : Math.min(TcpConnectionManager.MAX_BACKOFF_MILLIS, pause * 2);
-                machine.schedule(pause / 2 + random.nextLong(pause), this::dial);
+                        : Math.min(TcpConnectionManager.MAX_BACKOFF_MILLIS, backoffMillis * 2);
+                machine.schedule(backoffMillis / 2 + random.nextLong(backoffMillis), this::connect);
             }
 
-            void end() {
-                ended = true;
-                if (end != null) {
-                    end.close("not wanted");
+            void stop() {
+                stopped = true;
+                if (endpoint != null) {
+                    endpoint.close("not wanted");
                 }
             }
         }
--- a/src/test/java/tinworks/channel/SimulatedNetworkTest.java
+++ b/src/test/java/tinworks/channel/SimulatedNetworkTest.java
@@ -16,15 +16,15 @@
 
 /** What the simulated days rest on: links that are slow for a while. */
 class SimulatedNetworkTest {
-    private static final int SLOW_BYTES_PER_MILLI = 1;
-    private static final int SIGNALS = 1_000;
+    private static final int THROTTLED_BYTES_PER_MILLI = 1;
+    private static final int MESSAGES = 1_000;
 
     private final World world = new World(1);
     private final SimulatedNetwork network = new SimulatedNetwork(world);
     private final Map<String, Machine> machines = new HashMap<>();
     private final Machine one = machine("10.0.0.1:1");
     private final Machine other = machine("10.0.0.2:1");
-    private PeerConnection dialled;
+    private PeerConnection outbound;
     private int received;
 
     private Machine machine(String address) {
@@ -34,10 +34,10 @@
         return machine;
     }
 
-    private final class Counting implements PeerConnection.Listener {
+    private final class CountingListener implements PeerConnection.Listener {
         @Override
         public void opened(PeerConnection conversation) {
-            dialled = conversation.isOutbound() ? conversation : dialled;
+            outbound = conversation.isOutbound() ? conversation : outbound;
         }
 
         @Override
@@ -62,17 +62,18 @@
 
     /** What was sent over a slow link comes at the rate of the moment, in order, and not at that of its sending. */
     @Test
-    void aLinkThatIsNoLongerSlowIsFastForWhatIsOnItsWayToo() {
-        network.listen(other, hello(other, 2), new Counting());
-        network.connectionManager(one, machines, hello(one, 1), new Counting()).setAddresses(Set.of(other.address()));
+    void removingAThrottleAlsoSpeedsUpFramesInFlight() {
+        network.listen(other, hello(other, 2), new CountingListener());
+        network.connectionManager(one, machines, hello(one, 1), new CountingListener())
+                .setAddresses(Set.of(other.address()));
         world.run(1_000);
-        network.throttle(other, SLOW_BYTES_PER_MILLI);
-        Collections.nCopies(SIGNALS, new Leave(1)).forEach(dialled::send);
+        network.throttle(other, THROTTLED_BYTES_PER_MILLI);
+        Collections.nCopies(MESSAGES, new Leave(1)).forEach(outbound::send);
         world.run(1_500);
         int before = received;
-        assertTrue(before < SIGNALS / 5, before + " came over the slow link");
+        assertTrue(before < MESSAGES / 5, before + " came over the slow link");
         network.unthrottle(other);
         world.run(1_520);
-        assertEquals(SIGNALS, received);
+        assertEquals(MESSAGES, received);
     }
 }
--- a/src/test/java/tinworks/channel/UntrustedPeersTest.java
+++ b/src/test/java/tinworks/channel/UntrustedPeersTest.java
@@ -30,18 +30,18 @@
  */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class UntrustedPeersTest {
-    private static final int MOST = 4;
-    private static final int SOON_MILLIS = 2_000;
+    private static final int MAX_ACCEPTED = 4;
+    private static final int PROMPT_MILLIS = 2_000;
     /** A second more than the silence after which a link is given up. */
-    private static final int GIVEN_UP_MILLIS = 5_000;
+    private static final int TIMEOUT_DETECTED_MILLIS = 5_000;
 
     private final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final CountDownLatch greeted = new CountDownLatch(1);
+    private final CountDownLatch opened = new CountDownLatch(1);
     private final PeerConnection.Listener listener = new PeerConnection.Listener() {
         @Override
         public void opened(PeerConnection conversation) {
-            greeted.countDown();
+            opened.countDown();
         }
 
         @Override
@@ -67,7 +67,7 @@
     @BeforeEach
     void listen() {
         address = (InetSocketAddress) NodeProcess.call(
-                        loop, () -> links.listen(new InetSocketAddress("127.0.0.1", 0), MOST))
+                        loop, () -> links.listen(new InetSocketAddress("127.0.0.1", 0), MAX_ACCEPTED))
                 .syncUninterruptibly()
                 .channel()
                 .localAddress();
@@ -85,19 +85,19 @@
     private Socket connect() throws IOException {
         Socket socket = new Socket();
         sockets.add(socket);
-        socket.connect(address, SOON_MILLIS);
+        socket.connect(address, PROMPT_MILLIS);
         return socket;
     }
 
-    private static void announce(Socket socket, int frameBytes) throws IOException {
+    private static void writeFrameLength(Socket socket, int frameBytes) throws IOException {
         new DataOutputStream(socket.getOutputStream()).writeInt(frameBytes);
     }
 
-    private static void greet(Socket socket, NodeRole part) throws IOException {
+    private static void writeHello(Socket socket, NodeRole part) throws IOException {
         ByteBuffer hello = PeerMessageCodec.write(new Hello(part, 2, "", "peer", "z"));
         byte[] bytes = new byte[hello.remaining()];
         hello.get(bytes);
-        announce(socket, bytes.length);
+        writeFrameLength(socket, bytes.length);
         socket.getOutputStream().write(bytes);
     }
 
@@ -117,31 +117,31 @@
     }
 
     @Test
-    void aLongFrameBeforeTheHelloIsNotAwaited() throws IOException {
+    void longFrameBeforeHelloClosesTheConnection() throws IOException {
         Socket stray = connect();
-        announce(stray, 15 << 20);
-        assertTrue(isClosed(stray, SOON_MILLIS));
+        writeFrameLength(stray, 15 << 20);
+        assertTrue(isClosed(stray, PROMPT_MILLIS));
     }
 
     @Test
-    void aLongFrameOfAnEdgeIsNotAwaitedAndOneOfACoreMachineIs() throws Exception {
+    void longFrameIsRejectedFromAnEdgeAndAcceptedFromACoreNode() throws Exception {
         Socket edge = connect();
-        greet(edge, NodeRole.EDGE);
-        announce(edge, 15 << 20);
-        assertTrue(isClosed(edge, SOON_MILLIS));
+        writeHello(edge, NodeRole.EDGE);
+        writeFrameLength(edge, 15 << 20);
+        assertTrue(isClosed(edge, PROMPT_MILLIS));
         Socket core = connect();
-        greet(core, NodeRole.CORE);
-        assertTrue(greeted.await(SOON_MILLIS, TimeUnit.MILLISECONDS));
-        announce(core, 15 << 20);
+        writeHello(core, NodeRole.CORE);
+        assertTrue(opened.await(PROMPT_MILLIS, TimeUnit.MILLISECONDS));
+        writeFrameLength(core, 15 << 20);
         assertEquals(false, isClosed(core, 500));
     }
 
     @Test
-    void whoDripsAndSaysNoHelloIsClosed() throws Exception {
+    void slowSenderWithoutHelloIsClosed() throws Exception {
         Socket drip = connect();
         Thread dripping = new Thread(() -> {
             try {
-                announce(drip, 10_000);
+                writeFrameLength(drip, 10_000);
                 while (true) {
                     drip.getOutputStream().write(1);
                     TimeUnit.MILLISECONDS.sleep(300);
@@ -152,14 +152,14 @@
         });
         dripping.setDaemon(true);
         dripping.start();
-        assertTrue(isClosed(drip, GIVEN_UP_MILLIS));
+        assertTrue(isClosed(drip, TIMEOUT_DETECTED_MILLIS));
     }
 
     @Test
-    void moreThanSoManyAreNotTaken() throws IOException {
-        for (int i = 0; i < MOST; i++) {
+    void connectionsAboveTheLimitAreClosed() throws IOException {
+        for (int i = 0; i < MAX_ACCEPTED; i++) {
             connect();
         }
-        assertTrue(isClosed(connect(), SOON_MILLIS));
+        assertTrue(isClosed(connect(), PROMPT_MILLIS));
     }
 }
--- a/src/test/java/tinworks/store/CoreStoreTest.java
+++ b/src/test/java/tinworks/store/CoreStoreTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void whatWasWrittenIsThereAfterTheProcessEnds() throws Exception {
+    void writtenStateSurvivesAKilledProcess() throws Exception {
         Snapshot first = new Snapshot(0, 0, List.of(new Member(3, "10.0.0.1:7")), new byte[0]);
         CoreStore store = CoreStore.open(folder);
         store.initialize(42, HardState.NONE, first);
@@ -65,7 +65,7 @@
      * chunk's footer is written once all before it is synced, so some of the chunk is missing, or some of its footer.
      */
     @Test
-    void tornWritesBehindTheLastSyncLeaveWhatWasSynced() throws Exception {
+    void tornWritesAfterTheLastSyncKeepSyncedState() throws Exception {
         CoreStore store = CoreStore.open(folder);
         store.initialize(42, HardState.NONE, Snapshot.NONE);
         store.write(output(new HardState(1, 1), null, 1, entry(1, 1)));
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void aStoreThatCantBeTrustedIsSetAsideUnderADatedName() throws Exception {
+    void corruptStoreIsQuarantinedUnderADatedName() throws Exception {
         Files.write(folder.resolve("state.mv"), new byte[20_000]);
         assertThrows(CoreStore.CorruptStoreException.class, () -> CoreStore.open(folder));
         assertEquals(
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void aFolderIsMadeWithAllAboveItAndOneThatCantBeReadIsAnError() throws Exception {
+    void missingDirectoriesAreCreatedAndAnUnreadableOneFails() throws Exception {
         Path place = folder.resolve("a").resolve("b");
         CoreStore store = CoreStore.open(place);
         assertTrue(store.isPristine());
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void aStoreThatIsOpenElsewhereIsNotADamagedOne() throws Exception {
+    void storeOpenInAnotherProcessIsNotCorrupt() throws Exception {
         CoreStore store = CoreStore.open(folder);
         store.initialize(7, HardState.NONE, Snapshot.NONE);
         assertThrows(IOException.class, () -> CoreStore.open(folder));
--- a/src/test/java/tinworks/store/CorruptionTest.java
+++ b/src/test/java/tinworks/store/CorruptionTest.java
@@ -28,9 +28,9 @@
     private static final String FILE = "state.mv";
     private static final int WRITES = 16;
     private static final int ROUNDS = 3_000;
-    private static final int SECTOR = 512;
-    private static final int HEADER = 8_192;
-    private static final int FOOTER = 128;
+    private static final int SECTOR_BYTES = 512;
+    private static final int HEADER_BYTES = 8_192;
+    private static final int FOOTER_BYTES = 128;
     private static final MVMap.Builder<Long, byte[]> LOG =
             new MVMap.Builder<Long, byte[]>().keyType(LongDataType.INSTANCE).valueType(ByteArrayDataType.INSTANCE);
     private static final MVMap.Builder<String, byte[]> META =
@@ -38,7 +38,7 @@
 
     private final List<String> states = new ArrayList<>();
 
-    private byte[] written() throws Exception {
+    private byte[] writeStore() throws Exception {
         SimulatedDisk disk = new SimulatedDisk(1);
         SplittableRandom random = new SplittableRandom(2);
         CoreStore store = CoreStore.open(disk.directory());
@@ -70,7 +70,7 @@
     }
 
     /** What a damaged file is read as: the number of the state, or -1 where it is found out. */
-    private int read(byte[] bytes, String how) {
+    private int readState(byte[] bytes, String how) {
         SimulatedDisk disk = new SimulatedDisk(3);
         disk.put(FILE, bytes);
         try (CoreStore store = CoreStore.open(disk.directory())) {
@@ -86,8 +86,8 @@
     }
 
     @Test
-    void flipsAndZeroesAreFoundOutOrChangeNothing() throws Exception {
-        byte[] whole = written();
+    void bitFlipsAndZeroedSectorsAreDetectedOrHarmless() throws Exception {
+        byte[] whole = writeStore();
         SplittableRandom random = new SplittableRandom(4);
         int found = 0;
         int before = 0;
@@ -95,40 +95,42 @@
             byte[] bytes = whole.clone();
             int at = random.nextInt(bytes.length);
             if (round % 3 == 0) {
-                Arrays.fill(bytes, at / SECTOR * SECTOR, at / SECTOR * SECTOR + SECTOR, (byte) 0);
+                Arrays.fill(
+                        bytes, at / SECTOR_BYTES * SECTOR_BYTES, at / SECTOR_BYTES * SECTOR_BYTES + SECTOR_BYTES, (byte)
+                                0);
             } else {
                 bytes[at] ^= (byte) (1 << random.nextInt(8));
             }
-            int state = read(bytes, "round " + round + " at byte " + at);
+            int state = readState(bytes, "round " + round + " at byte " + at);
             assertTrue(state < 0 || state >= WRITES - 1, "round " + round + " at byte " + at + ": state " + state);
             found += state < 0 ? 1 : 0;
             before += state == WRITES - 1 ? 1 : 0;
             // A footer that is gone looks like a write that power cut short.
-            assertTrue(state != WRITES - 1 || at >= bytes.length - SECTOR, "an older state at byte " + at);
+            assertTrue(state != WRITES - 1 || at >= bytes.length - SECTOR_BYTES, "an older state at byte " + at);
         }
         assertTrue(found > ROUNDS / 50, found + " found out");
         assertTrue(before > 0, "no round hit the last footer");
     }
 
     @Test
-    void aFileCutShortIsReadAsOneOfItsStatesOrFoundOut() throws Exception {
-        byte[] whole = written();
+    void truncatedFileIsDetectedOrReadAsAnEarlierState() throws Exception {
+        byte[] whole = writeStore();
         SplittableRandom random = new SplittableRandom(5);
         for (int round = 0; round < ROUNDS / 3; round++) {
             int length = random.nextInt(whole.length);
-            read(Arrays.copyOf(whole, length), "cut to " + length);
+            readState(Arrays.copyOf(whole, length), "cut to " + length);
         }
     }
 
     /** What a footer is torn into, over zeroes or over what an earlier torn write left, is no damage. */
     @Test
-    void aTornFooterIsReadAsTheStateBeforeOrAfter() throws Exception {
-        byte[] whole = written();
-        for (int kept = 0; kept < FOOTER; kept++) {
+    void tornFooterIsReadAsTheStateBeforeOrAfter() throws Exception {
+        byte[] whole = writeStore();
+        for (int kept = 0; kept < FOOTER_BYTES; kept++) {
             for (byte rest : new byte[] {0, ' ', 'x', '7'}) {
                 byte[] bytes = whole.clone();
-                Arrays.fill(bytes, bytes.length - FOOTER + kept, bytes.length, rest);
-                int state = read(bytes, kept + " bytes and " + rest);
+                Arrays.fill(bytes, bytes.length - FOOTER_BYTES + kept, bytes.length, rest);
+                int state = readState(bytes, kept + " bytes and " + rest);
                 assertTrue(state >= WRITES - 1, kept + " bytes and " + rest + ": " + state);
             }
         }
@@ -136,7 +138,7 @@
 
     /** Whatever the time of day does, as nothing but the file's header is ever written twice. */
     @Test
-    void nothingThatWasSyncedIsEverWrittenOver() throws Exception {
+    void syncedBytesAreNeverOverwritten() throws Exception {
         SimulatedDisk disk = new SimulatedDisk(6);
         CoreStore store = CoreStore.open(disk.directory());
         store.initialize(42, HardState.NONE, Snapshot.NONE);
@@ -159,8 +161,8 @@
             }
             byte[] after = disk.read(FILE);
             assertArrayEquals(
-                    Arrays.copyOfRange(before, HEADER, before.length),
-                    Arrays.copyOfRange(after, HEADER, before.length),
+                    Arrays.copyOfRange(before, HEADER_BYTES, before.length),
+                    Arrays.copyOfRange(after, HEADER_BYTES, before.length),
                     "write " + i);
             before = after;
         }
@@ -168,14 +170,14 @@
 
     /** Records that were changed behind the store's back, in a file that MVStore has nothing to say against. */
     @Test
-    void aRecordThatIsChangedMissingOrOldIsFoundOut() throws Exception {
+    void changedMissingOrStaleRecordIsDetected() throws Exception {
         List<BiConsumer<MVMap<Long, byte[]>, MVMap<String, byte[]>>> changes = List.of(
-                (log, meta) -> log.put((long) WRITES, changed(log.get((long) WRITES))),
+                (log, meta) -> log.put((long) WRITES, withLastByteChanged(log.get((long) WRITES))),
                 (log, meta) -> log.remove((long) WRITES),
                 (log, meta) -> log.put(WRITES + 1L, log.get((long) WRITES)),
                 (log, meta) -> meta.remove("hard"),
                 (log, meta) -> meta.remove("sum"));
-        byte[] whole = written();
+        byte[] whole = writeStore();
         for (int i = 0; i < changes.size(); i++) {
             SimulatedDisk disk = new SimulatedDisk(7);
             disk.put(FILE, whole);
@@ -187,12 +189,12 @@
             changes.get(i).accept(store.openMap("log", LOG), store.openMap("meta", META));
             store.commit();
             store.closeImmediately();
-            assertEquals(-1, read(disk.read(FILE), "change " + i), "change " + i);
+            assertEquals(-1, readState(disk.read(FILE), "change " + i), "change " + i);
         }
-        assertEquals(WRITES, read(whole, "unchanged"));
+        assertEquals(WRITES, readState(whole, "unchanged"));
     }
 
-    private static byte[] changed(byte[] record) {
+    private static byte[] withLastByteChanged(byte[] record) {
         byte[] changed = record.clone();
         changed[changed.length - 1]++;
         return changed;
--- a/src/test/java/tinworks/store/CrashRecoveryTest.java
+++ b/src/test/java/tinworks/store/CrashRecoveryTest.java
@@ -27,12 +27,13 @@
     private static final long ID = 42;
     private static final int WRITES = 14;
     /** So little that a file is written anew within a few writes. */
-    private static final long SPARE_BYTES = 60_000;
+    private static final long REWRITE_SLACK_BYTES = 60_000;
 
-    private static final Snapshot FIRST = new Snapshot(0, 0, List.of(new Member(ID, "10.0.0.1:7")), new byte[0]);
+    private static final Snapshot INITIAL_SNAPSHOT =
+            new Snapshot(0, 0, List.of(new Member(ID, "10.0.0.1:7")), new byte[0]);
 
     /** A machine's days: what it was told to write, what was acknowledged, and what must be on its disk. */
-    private static final class Machine {
+    private static final class CrashingNode {
         private final SplittableRandom random;
         private final SimulatedDisk disk;
         /** What the store holds after each write. */
@@ -41,7 +42,7 @@
         private CoreStore store;
         private int synced;
 
-        Machine(long seed) {
+        CrashingNode(long seed) {
             random = new SplittableRandom(seed);
             disk = new SimulatedDisk(seed);
         }
@@ -49,11 +50,11 @@
         /** Founds the store and writes; false where the disk refused or stopped. */
         boolean start() throws CoreStore.CorruptStoreException {
             states.clear();
-            states.add(new PersistentState(HardState.NONE, FIRST, List.of()));
+            states.add(new PersistentState(HardState.NONE, INITIAL_SNAPSHOT, List.of()));
             try {
-                store = CoreStore.open(disk.directory(), SPARE_BYTES);
+                store = CoreStore.open(disk.directory(), REWRITE_SLACK_BYTES);
                 if (store.identity() == 0) {
-                    store.initialize(ID, HardState.NONE, FIRST);
+                    store.initialize(ID, HardState.NONE, INITIAL_SNAPSHOT);
                 }
                 synced = 0;
                 return true;
@@ -64,8 +65,8 @@
 
         boolean write(int count) {
             for (int i = 0; i < count; i++) {
-                Output output = next(states.get(states.size() - 1));
-                states.add(after(states.get(states.size() - 1), output));
+                Output output = randomOutput(states.get(states.size() - 1));
+                states.add(stateAfter(states.get(states.size() - 1), output));
                 try {
                     store.write(output);
                     synced = states.size() - 1;
@@ -76,14 +77,14 @@
             return true;
         }
 
-        private Output next(PersistentState now) {
+        private Output randomOutput(PersistentState now) {
             List<Entry> entries = now.entries();
             long last = now.snapshot().index() + entries.size();
             HardState hard =
                     random.nextInt(3) == 0 ? new HardState(now.hardState().term() + 1, random.nextInt(9)) : null;
             if (entries.size() > 3 && random.nextInt(3) == 0) {
                 Entry upTo = entries.get(random.nextInt(entries.size()));
-                Snapshot snapshot = new Snapshot(upTo.index(), upTo.term(), FIRST.members(), bytes());
+                Snapshot snapshot = new Snapshot(upTo.index(), upTo.term(), INITIAL_SNAPSHOT.members(), randomBytes());
                 return new Output(1, hard, snapshot, 0, List.of(), last, List.of(), null, List.of(), List.of());
             }
             long from = entries.isEmpty() || random.nextInt(4) > 0
@@ -91,18 +92,18 @@
                     : entries.get(entries.size() - 1).index();
             List<Entry> more = new ArrayList<>();
             for (int i = 0; i <= random.nextInt(2); i++) {
-                more.add(new Entry(from + i, 1 + states.size(), Entry.Kind.COMMAND, bytes()));
+                more.add(new Entry(from + i, 1 + states.size(), Entry.Kind.COMMAND, randomBytes()));
             }
             return new Output(1, hard, null, from, more, from + more.size() - 1, List.of(), null, List.of(), List.of());
         }
 
-        private byte[] bytes() {
+        private byte[] randomBytes() {
             byte[] bytes = new byte[random.nextInt(4) == 0 ? random.nextInt(30_000) : random.nextInt(300)];
             random.nextBytes(bytes);
             return bytes;
         }
 
-        private static PersistentState after(PersistentState now, Output output) {
+        private static PersistentState stateAfter(PersistentState now, Output output) {
             Snapshot snapshot = output.snapshot() == null ? now.snapshot() : output.snapshot();
             List<Entry> entries = new ArrayList<>(now.entries());
             if (output.truncateFrom() > 0) {
@@ -115,18 +116,18 @@
         }
 
         /** Comes back and checks that all that was acknowledged is there, whole and in one piece. */
-        void comeBack(String when) throws IOException {
+        void restartAndVerify(String when) throws IOException {
             try {
-                store = CoreStore.open(disk.directory(), SPARE_BYTES);
+                store = CoreStore.open(disk.directory(), REWRITE_SLACK_BYTES);
                 long id = store.identity();
-                if (id == 0 && synced == 0 && !founded()) {
-                    store.initialize(ID, HardState.NONE, FIRST);
+                if (id == 0 && synced == 0 && !hasWritten()) {
+                    store.initialize(ID, HardState.NONE, INITIAL_SNAPSHOT);
                     return;
                 }
                 assertEquals(ID, id, "identity " + when);
                 PersistentState found = store.load();
                 for (int i = states.size() - 1; i >= synced; i--) {
-                    if (same(states.get(i), found)) {
+                    if (sameState(states.get(i), found)) {
                         states.subList(i + 1, states.size()).clear();
                         synced = i;
                         return;
@@ -139,12 +140,12 @@
             }
         }
 
-        private boolean founded() {
+        private boolean hasWritten() {
             return states.size() > 1;
         }
     }
 
-    private static boolean same(PersistentState one, PersistentState other) {
+    private static boolean sameState(PersistentState one, PersistentState other) {
         return one.hardState().equals(other.hardState())
                 && one.entries().equals(other.entries())
                 && one.snapshot().index() == other.snapshot().index()
@@ -159,75 +160,75 @@
 
     /** A name that was never synced with its folder is lost by itself, and all of a founded store with it. */
     @Test
-    void aFoundedStoreOutlastsTheFirstLossOfPower() throws Exception {
+    void initializedStoreSurvivesTheFirstPowerLoss() throws Exception {
         for (int seed = 0; seed < 20; seed++) {
-            Machine machine = new Machine(seed);
+            CrashingNode machine = new CrashingNode(seed);
             assertTrue(machine.start());
             assertTrue(machine.write(3));
             machine.disk.powerLoss();
-            machine.comeBack("after the first loss of power, seed " + seed);
+            machine.restartAndVerify("after the first loss of power, seed " + seed);
         }
     }
 
     /** Power goes at every operation of the disk in turn; the machine comes back, goes on and loses it once more. */
     @Test
-    void whatWasAcknowledgedOutlastsALossOfPowerAtEveryOperation() throws Exception {
+    void acknowledgedWritesSurvivePowerLossAtEveryOperation() throws Exception {
         for (int seed = 0; seed < 6; seed++) {
             boolean cut = true;
             for (int after = 0; cut; after++) {
-                Machine machine = new Machine(seed);
+                CrashingNode machine = new CrashingNode(seed);
                 machine.disk.failAfter(after);
                 cut = !(machine.start() && machine.write(WRITES));
                 machine.disk.powerLoss();
                 String when = "after operation " + after + ", seed " + seed;
-                machine.comeBack(when);
+                machine.restartAndVerify(when);
                 machine.disk.failAfter(machine.random.nextInt(20));
                 machine.write(4);
                 machine.disk.powerLoss();
-                machine.comeBack("again " + when);
+                machine.restartAndVerify("again " + when);
             }
         }
     }
 
     /** What a killed process left unsynced is read by the next one, which acts on it: power may go right then. */
     @Test
-    void whatIsReadAfterAKillOutlastsALossOfPower() throws Exception {
+    void stateReadAfterAKillSurvivesPowerLoss() throws Exception {
         for (int seed = 0; seed < 60; seed++) {
-            Machine machine = new Machine(seed);
+            CrashingNode machine = new CrashingNode(seed);
             assertTrue(machine.start());
             machine.disk.failAfter(1 + seed % 40);
             machine.write(WRITES);
             machine.disk.crash();
-            machine.comeBack("after a kill, seed " + seed);
+            machine.restartAndVerify("after a kill, seed " + seed);
             machine.disk.powerLoss();
-            machine.comeBack("after a kill and a loss of power, seed " + seed);
+            machine.restartAndVerify("after a kill and a loss of power, seed " + seed);
         }
     }
 
     /** With any kind of sync taken out something is lost or damaged: each is there for a reason. */
     @ParameterizedTest
     @EnumSource(SimulatedDisk.SyncKind.class)
-    void withoutAnyKindOfSyncSomethingIsLost(SimulatedDisk.SyncKind kind) {
+    void skippingAnyKindOfSyncLosesData(SimulatedDisk.SyncKind kind) {
         assertThrows(AssertionError.class, () -> {
             for (int seed = 0; seed < 4_000; seed++) {
-                Machine machine = new Machine(seed);
+                CrashingNode machine = new CrashingNode(seed);
                 machine.disk.skipSyncs(Set.of(kind));
                 machine.disk.failAfter(20 + machine.random.nextInt(40));
                 if (machine.start()) {
                     machine.write(WRITES);
                 }
                 machine.disk.powerLoss();
-                machine.comeBack("without the sync of " + kind + ", seed " + seed);
+                machine.restartAndVerify("without the sync of " + kind + ", seed " + seed);
             }
         });
     }
 
     /** The disk is full at every operation in turn; the same write is tried again until it takes it. */
     @Test
-    void aWriteThatWasRefusedLosesNothing() throws Exception {
+    void rejectedWriteLosesNothing() throws Exception {
         for (int seed = 0; seed < 6; seed++) {
             for (int after = 0; after < 60; after++) {
-                Machine machine = new Machine(seed);
+                CrashingNode machine = new CrashingNode(seed);
                 assertTrue(machine.start());
                 machine.disk.becomeFullAfter(after);
                 boolean all = machine.write(WRITES);
@@ -236,20 +237,20 @@
                     machine.disk.setFull(false);
                     machine.store.reopen();
                     String when = "after " + after + " writes, seed " + seed;
-                    machine.comeBack("refused " + when);
+                    machine.restartAndVerify("refused " + when);
                     assertTrue(machine.write(4), when);
                 }
                 machine.disk.powerLoss();
-                machine.comeBack("after " + after + " writes and a loss of power, seed " + seed);
+                machine.restartAndVerify("after " + after + " writes and a loss of power, seed " + seed);
             }
         }
     }
 
     /** MVStore wraps what it meets; a full heap is neither a full disk nor a damaged store. */
     @Test
-    void anErrorIsThrownAsItIsAndLosesNothing() throws Exception {
+    void errorIsRethrownUnwrappedAndLosesNothing() throws Exception {
         for (int sync = 0; sync < 4; sync++) {
-            Machine machine = new Machine(sync);
+            CrashingNode machine = new CrashingNode(sync);
             assertTrue(machine.start());
             assertTrue(machine.write(3));
             int last = sync;
@@ -262,7 +263,7 @@
             assertThrows(OutOfMemoryError.class, () -> machine.write(4));
             machine.disk.onSync(() -> {});
             machine.disk.crash();
-            machine.comeBack("after an error at sync " + sync);
+            machine.restartAndVerify("after an error at sync " + sync);
             assertTrue(machine.write(1));
         }
     }
--- a/src/test/java/tinworks/store/DiskUseTest.java
+++ b/src/test/java/tinworks/store/DiskUseTest.java
@@ -23,18 +23,18 @@
 class DiskUseTest {
     private static final int WRITES = 200;
     private static final int BODY_BYTES = 204_000;
-    private static final int KEPT = 20;
-    private static final long MOST_BYTES = 40 << 20;
-    private static final long SLOWEST_OPENING_MILLIS = 2_000;
+    private static final int ENTRIES_PER_SNAPSHOT = 20;
+    private static final long MAX_DISK_BYTES = 40 << 20;
+    private static final long MAX_OPEN_MILLIS = 2_000;
 
     @TempDir
     private Path folder;
 
     /** What one run came to. */
-    private record Figures(
-            long mostBytes, long lastBytes, long slowestWriteMillis, long openingMillis, PersistentState found) {}
+    private record Measurements(
+            long maxBytes, long finalBytes, long slowestWriteMillis, long openMillis, PersistentState loaded) {}
 
-    private static Figures run(Path folder, int writes, int bodyBytes, int kept)
+    private static Measurements run(Path folder, int writes, int bodyBytes, int kept)
             throws IOException, CoreStore.CorruptStoreException {
         CoreStore store = CoreStore.open(folder);
         store.initialize(1, HardState.NONE, Snapshot.NONE);
@@ -53,7 +53,7 @@
                 entries.clear();
             }
             slowest = Math.max(slowest, System.nanoTime() - begun);
-            most = Math.max(most, bytes(folder));
+            most = Math.max(most, directoryBytes(folder));
         }
         store.close();
         long begun = System.nanoTime();
@@ -62,14 +62,14 @@
         PersistentState found = again.load();
         again.close();
         assertEquals(entries, found.entries());
-        return new Figures(most, bytes(folder), slowest / 1_000_000, opening / 1_000_000, found);
+        return new Measurements(most, directoryBytes(folder), slowest / 1_000_000, opening / 1_000_000, found);
     }
 
     private static Output output(Snapshot snapshot, long from, List<Entry> entries) {
         return new Output(1, null, snapshot, from, entries, from, List.of(), null, List.of(), List.of());
     }
 
-    private static long bytes(Path folder) throws IOException {
+    private static long directoryBytes(Path folder) throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             long bytes = 0;
             for (Path file : files.toList()) {
@@ -80,19 +80,21 @@
     }
 
     @Test
-    void diskAndOpeningStayBoundedHoweverMuchIsWritten() throws Exception {
-        Figures figures = run(folder, WRITES, BODY_BYTES, KEPT);
-        assertTrue(figures.mostBytes < MOST_BYTES, figures.mostBytes + " bytes at most");
-        assertTrue(figures.openingMillis < SLOWEST_OPENING_MILLIS, figures.openingMillis + " ms to open");
-        assertEquals(WRITES / (KEPT + 1) * (KEPT + 1), figures.found.snapshot().index());
+    void diskUseAndOpenTimeStayBounded() throws Exception {
+        Measurements figures = run(folder, WRITES, BODY_BYTES, ENTRIES_PER_SNAPSHOT);
+        assertTrue(figures.maxBytes < MAX_DISK_BYTES, figures.maxBytes + " bytes at most");
+        assertTrue(figures.openMillis < MAX_OPEN_MILLIS, figures.openMillis + " ms to open");
+        assertEquals(
+                WRITES / (ENTRIES_PER_SNAPSHOT + 1) * (ENTRIES_PER_SNAPSHOT + 1),
+                figures.loaded.snapshot().index());
     }
 
     /** By hand, for figures: folder, writes, bytes of each, entries kept before a snapshot. */
     public static void main(String[] args) throws Exception {
-        Figures figures =
+        Measurements figures =
                 run(Path.of(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]), Integer.parseInt(args[3]));
         System.out.printf(
                 "at most %d MB, in the end %d MB, slowest write %d ms, opening %d ms%n",
-                figures.mostBytes >> 20, figures.lastBytes >> 20, figures.slowestWriteMillis, figures.openingMillis);
+                figures.maxBytes >> 20, figures.finalBytes >> 20, figures.slowestWriteMillis, figures.openMillis);
     }
 }
--- a/src/test/java/tinworks/store/SimulatedDisk.java
+++ b/src/test/java/tinworks/store/SimulatedDisk.java
@@ -31,9 +31,9 @@
     /** Where the simulation's own file system hangs in MVStore's. */
     private static final String SCHEME = "simdisk";
 
-    private static final int SECTOR = 512;
+    private static final int SECTOR_BYTES = 512;
     private static final Map<Long, WeakReference<SimulatedDisk>> DISKS = new ConcurrentHashMap<>();
-    private static final AtomicLong NEXT = new AtomicLong();
+    private static final AtomicLong NEXT_ID = new AtomicLong();
 
     static {
         FilePath.register(new SimulatedPath());
@@ -49,59 +49,59 @@
         FILE
     }
 
-    private final long number = NEXT.incrementAndGet();
+    private final long id = NEXT_ID.incrementAndGet();
     private final SplittableRandom random;
-    private final Map<String, Contents> names = new TreeMap<>();
-    private final Map<String, Contents> syncedNames = new TreeMap<>();
+    private final Map<String, FileContents> entries = new TreeMap<>();
+    private final Map<String, FileContents> syncedEntries = new TreeMap<>();
     private Runnable onSync = () -> {};
-    private Set<SyncKind> left = EnumSet.noneOf(SyncKind.class);
-    private int life;
+    private Set<SyncKind> skippedSyncs = EnumSet.noneOf(SyncKind.class);
+    private int generation;
     private long operations;
     private long syncs;
-    private long passing = Long.MAX_VALUE;
-    private boolean late;
-    private long taken = Long.MAX_VALUE;
-    private boolean inPart;
+    private long operationsLeft = Long.MAX_VALUE;
+    private boolean failed;
+    private long writesLeft = Long.MAX_VALUE;
+    private boolean partialWrite;
 
     /** An empty disk; the seed decides what losses of power leave. */
     public SimulatedDisk(long seed) {
         random = new SplittableRandom(seed);
         DISKS.values().removeIf(disk -> disk.get() == null);
-        DISKS.put(number, new WeakReference<>(this));
+        DISKS.put(id, new WeakReference<>(this));
     }
 
     /** What a store is opened in; it holds on to this disk. */
     public StoreDirectory directory() {
-        return new SimulatedFolder();
+        return new SimulatedDirectory();
     }
 
     /** Power goes, and the process with it. */
     public synchronized void powerLoss() {
         crash();
-        Map<String, Contents> kept = namesLeft();
-        names.clear();
-        names.putAll(kept);
-        syncedNames.clear();
-        syncedNames.putAll(kept);
-        names.values().forEach(file -> file.loseWrites(random));
+        Map<String, FileContents> kept = entriesAfterPowerLoss();
+        entries.clear();
+        entries.putAll(kept);
+        syncedEntries.clear();
+        syncedEntries.putAll(kept);
+        entries.values().forEach(file -> file.loseWrites(random));
     }
 
-    private Map<String, Contents> namesLeft() {
-        Map<String, Contents> kept = new TreeMap<>();
+    private Map<String, FileContents> entriesAfterPowerLoss() {
+        Map<String, FileContents> kept = new TreeMap<>();
         boolean noneKept = random.nextInt(4) == 0;
-        Map<String, Contents> all = new TreeMap<>(syncedNames);
-        all.putAll(names);
+        Map<String, FileContents> all = new TreeMap<>(syncedEntries);
+        all.putAll(entries);
         for (String name : all.keySet()) {
-            Contents was = syncedNames.get(name);
-            Contents is = names.get(name);
-            Contents chosen = was == is || (!noneKept && random.nextBoolean()) ? is : was;
+            FileContents was = syncedEntries.get(name);
+            FileContents is = entries.get(name);
+            FileContents chosen = was == is || (!noneKept && random.nextBoolean()) ? is : was;
             if (chosen != null) {
                 kept.put(name, chosen);
             }
         }
         // A renamed file has its old name, its new one or none, but never both.
         kept.entrySet()
-                .removeIf(old -> names.get(old.getKey()) != old.getValue()
+                .removeIf(old -> entries.get(old.getKey()) != old.getValue()
                         && kept.entrySet().stream()
                                 .anyMatch(other -> other != old && other.getValue() == old.getValue()));
         return kept;
@@ -109,27 +109,27 @@
 
     /** The process is gone, and files stay as they were. */
     public synchronized void crash() {
-        life++;
-        passing = Long.MAX_VALUE;
+        generation++;
+        operationsLeft = Long.MAX_VALUE;
     }
 
     /** The machine comes back with an empty disk. */
     public synchronized void wipe() {
         crash();
-        names.clear();
-        syncedNames.clear();
+        entries.clear();
+        syncedEntries.clear();
     }
 
     /** A full disk refuses every write, and takes them again later. */
     public synchronized void setFull(boolean full) {
-        taken = full ? 0 : Long.MAX_VALUE;
-        inPart = false;
+        writesLeft = full ? 0 : Long.MAX_VALUE;
+        partialWrite = false;
     }
 
     /** Takes this many more writes and then is full; the first that is refused may have been written in part. */
     public synchronized void becomeFullAfter(long writes) {
-        taken = writes;
-        inPart = true;
+        writesLeft = writes;
+        partialWrite = true;
     }
 
     /**
@@ -137,13 +137,13 @@
      * come too late for the {@link #powerLoss} that the caller then makes.
      */
     public synchronized void failAfter(long more) {
-        passing = more;
-        late = false;
+        operationsLeft = more;
+        failed = false;
     }
 
     /** Whether an operation came too late for {@link #failAfter}. */
     public synchronized boolean hasFailed() {
-        return late;
+        return failed;
     }
 
     /** Called at each sync of a file or of the folder before it takes effect, on the thread that syncs. */
@@ -153,7 +153,7 @@
 
     /** Syncs of these kinds do nothing from now on, as if the store had never asked for them. */
     public synchronized void skipSyncs(Set<SyncKind> kinds) {
-        left = EnumSet.copyOf(kinds);
+        skippedSyncs = EnumSet.copyOf(kinds);
     }
 
     /** How many syncs there were. */
@@ -168,101 +168,102 @@
 
     /** The length of all files. */
     public synchronized long bytes() {
-        return names.values().stream().mapToLong(file -> file.length).sum();
+        return entries.values().stream().mapToLong(file -> file.length).sum();
     }
 
     /** The names of its files. */
     public synchronized List<String> files() {
-        return List.copyOf(names.keySet());
+        return List.copyOf(entries.keySet());
     }
 
     /** What a file holds now. */
     public synchronized byte[] read(String file) {
-        Contents contents = names.get(file);
-        return Arrays.copyOf(contents.now, contents.length);
+        FileContents contents = entries.get(file);
+        return Arrays.copyOf(contents.current, contents.length);
     }
 
     /** Puts a file there as if it had always been. */
     public synchronized void put(String file, byte[] bytes) {
-        Contents contents = new Contents();
-        contents.now = bytes.clone();
+        FileContents contents = new FileContents();
+        contents.current = bytes.clone();
         contents.length = bytes.length;
         contents.synced = bytes.clone();
         contents.syncedLength = bytes.length;
-        names.put(file, contents);
-        syncedNames.put(file, contents);
+        entries.put(file, contents);
+        syncedEntries.put(file, contents);
     }
 
     /** Counts an operation; false where the power is gone. */
-    private boolean passes() {
-        if (passing == 0) {
-            late = true;
+    private boolean countOperation() {
+        if (operationsLeft == 0) {
+            failed = true;
             return false;
         }
-        if (passing != Long.MAX_VALUE) {
-            passing--;
+        if (operationsLeft != Long.MAX_VALUE) {
+            operationsLeft--;
         }
         operations++;
         return true;
     }
 
-    private void change() throws IOException {
-        if (!passes()) {
+    private void requireOperation() throws IOException {
+        if (!countOperation()) {
             throw new IOException("the power is gone");
         }
     }
 
-    private Contents newFile(String file) throws IOException {
-        if (taken == 0) {
+    private FileContents newFile(String file) throws IOException {
+        if (writesLeft == 0) {
             throw new IOException("No space left on device");
         }
-        change();
-        Contents made = new Contents();
-        names.put(file, made);
+        requireOperation();
+        FileContents made = new FileContents();
+        entries.put(file, made);
         return made;
     }
 
-    private void synced() throws IOException {
+    private void beginSync() throws IOException {
         Runnable hook;
         synchronized (this) {
-            change();
+            requireOperation();
             syncs++;
             hook = onSync;
         }
         hook.run();
     }
 
-    private record Written(int at, byte[] bytes) {}
+    private record PendingWrite(int at, byte[] bytes) {}
 
-    /** A file; a {@link Written} without bytes cut it to a length. */
-    private static final class Contents {
-        private final List<Written> unsynced = new ArrayList<>();
-        private byte[] now = new byte[0];
+    /** A file; a {@link PendingWrite} without bytes cut it to a length. */
+    private static final class FileContents {
+        private final List<PendingWrite> unsynced = new ArrayList<>();
+        private byte[] current = new byte[0];
         private int length;
         private byte[] synced = new byte[0];
         private int syncedLength;
 
         void write(int at, byte[] bytes) {
-            unsynced.add(new Written(at, bytes));
-            now = Arrays.copyOf(now, Math.max(now.length, grown(now.length, at + bytes.length)));
-            System.arraycopy(bytes, 0, now, at, bytes.length);
+            unsynced.add(new PendingWrite(at, bytes));
+            current =
+                    Arrays.copyOf(current, Math.max(current.length, grownCapacity(current.length, at + bytes.length)));
+            System.arraycopy(bytes, 0, current, at, bytes.length);
             length = Math.max(length, at + bytes.length);
         }
 
-        void cut(int to) {
+        void truncate(int to) {
             if (to < length) {
-                unsynced.add(new Written(to, null));
-                Arrays.fill(now, to, length, (byte) 0);
+                unsynced.add(new PendingWrite(to, null));
+                Arrays.fill(current, to, length, (byte) 0);
                 length = to;
             }
         }
 
         void sync() {
-            unsynced.forEach(this::settle);
+            unsynced.forEach(this::applyToSynced);
             unsynced.clear();
         }
 
-        private void settle(Written write) {
+        private void applyToSynced(PendingWrite write) {
             if (write.bytes == null) {
                 if (write.at < syncedLength) {
                     Arrays.fill(synced, write.at, syncedLength, (byte) 0);
@@ -270,59 +271,60 @@
                 }
                 return;
             }
-            synced =
-                    Arrays.copyOf(synced, Math.max(synced.length, grown(synced.length, write.at + write.bytes.length)));
+            synced = Arrays.copyOf(
+                    synced, Math.max(synced.length, grownCapacity(synced.length, write.at + write.bytes.length)));
             System.arraycopy(write.bytes, 0, synced, write.at, write.bytes.length);
             syncedLength = Math.max(syncedLength, write.at + write.bytes.length);
         }
 
-        private static int grown(int capacity, int wanted) {
+        private static int grownCapacity(int capacity, int wanted) {
             return wanted <= capacity ? capacity : Math.max(wanted, capacity + capacity / 2);
         }
 
         void loseWrites(SplittableRandom random) {
             boolean noneKept = random.nextInt(4) == 0;
-            for (Written write : unsynced) {
+            for (PendingWrite write : unsynced) {
                 int fate = random.nextInt(3);
                 if (noneKept || fate == 0) {
                     continue;
                 }
                 if (fate == 1 || write.bytes == null) {
-                    settle(write);
+                    applyToSynced(write);
                 } else {
-                    tear(write, random);
+                    applyTorn(write, random);
                 }
             }
             unsynced.clear();
-            now = Arrays.copyOf(synced, synced.length);
+            current = Arrays.copyOf(synced, synced.length);
             length = syncedLength;
         }
 
         /** Either a first part alone, at any byte, or some of the sectors. */
-        private void tear(Written write, SplittableRandom random) {
+        private void applyTorn(PendingWrite write, SplittableRandom random) {
             if (random.nextBoolean()) {
-                settle(new Written(write.at, Arrays.copyOf(write.bytes, random.nextInt(write.bytes.length + 1))));
+                applyToSynced(
+                        new PendingWrite(write.at, Arrays.copyOf(write.bytes, random.nextInt(write.bytes.length + 1))));
                 return;
             }
-            for (int from = 0; from < write.bytes.length; from += SECTOR) {
+            for (int from = 0; from < write.bytes.length; from += SECTOR_BYTES) {
                 if (random.nextBoolean()) {
-                    settle(new Written(
+                    applyToSynced(new PendingWrite(
                             write.at + from,
-                            Arrays.copyOfRange(write.bytes, from, Math.min(write.bytes.length, from + SECTOR))));
+                            Arrays.copyOfRange(write.bytes, from, Math.min(write.bytes.length, from + SECTOR_BYTES))));
                 }
             }
         }
     }
 
-    private final class SimulatedFolder implements StoreDirectory {
-        private final int born = life;
+    private final class SimulatedDirectory implements StoreDirectory {
+        private final int createdIn = generation;
 
         @Override
         public void createDirectories() {}
 
         @Override
         public String path(String file) {
-            return SCHEME + ":" + number + "/" + file;
+            return SCHEME + ":" + id + "/" + file;
         }
 
         @Override
@@ -333,8 +335,8 @@
         @Override
         public void createFile(String file) throws IOException {
             synchronized (SimulatedDisk.this) {
-                alive();
-                if (names.containsKey(file)) {
+                requireLiveProcess();
+                if (entries.containsKey(file)) {
                     throw new IOException("there is " + file + " already");
                 }
                 newFile(file);
@@ -344,21 +346,21 @@
         @Override
         public void rename(String file, String to) throws IOException {
             synchronized (SimulatedDisk.this) {
-                alive();
-                change();
-                if (!names.containsKey(file) || names.containsKey(to)) {
+                requireLiveProcess();
+                requireOperation();
+                if (!entries.containsKey(file) || entries.containsKey(to)) {
                     throw new IOException("can't rename " + file + " to " + to);
                 }
-                names.put(to, names.remove(file));
+                entries.put(to, entries.remove(file));
             }
         }
 
         @Override
         public void delete(String file) throws IOException {
             synchronized (SimulatedDisk.this) {
-                alive();
-                change();
-                if (names.remove(file) == null) {
+                requireLiveProcess();
+                requireOperation();
+                if (entries.remove(file) == null) {
                     throw new IOException("there is no " + file);
                 }
             }
@@ -366,19 +368,19 @@
 
         @Override
         public void sync() throws IOException {
-            alive();
-            synced();
+            requireLiveProcess();
+            beginSync();
             synchronized (SimulatedDisk.this) {
-                if (!left.contains(SyncKind.FOLDER)) {
-                    syncedNames.clear();
-                    syncedNames.putAll(names);
+                if (!skippedSyncs.contains(SyncKind.FOLDER)) {
+                    syncedEntries.clear();
+                    syncedEntries.putAll(entries);
                 }
             }
         }
 
-        private void alive() throws IOException {
+        private void requireLiveProcess() throws IOException {
             synchronized (SimulatedDisk.this) {
-                if (born != life) {
+                if (createdIn != generation) {
                     throw new IOException("the process is gone");
                 }
             }
@@ -386,16 +388,16 @@
     }
 
     /** A file opened by a process, until the process is gone. */
-    private final class Opened extends FileBaseDefault {
-        private final Contents contents;
-        private final int born = life;
+    private final class OpenFile extends FileBaseDefault {
+        private final FileContents contents;
+        private final int openedIn = generation;
 
-        Opened(Contents contents) {
+        OpenFile(FileContents contents) {
             this.contents = contents;
         }
 
-        private void alive() throws IOException {
-            if (born != life) {
+        private void requireLiveProcess() throws IOException {
+            if (openedIn != generation) {
                 throw new IOException("the process is gone");
             }
         }
@@ -411,12 +413,12 @@
         @Override
         public int read(ByteBuffer into, long position) throws IOException {
             synchronized (SimulatedDisk.this) {
-                alive();
+                requireLiveProcess();
                 int count = (int) Math.min(into.remaining(), contents.length - position);
                 if (count <= 0) {
                     return into.hasRemaining() ? -1 : 0;
                 }
-                into.put(contents.now, (int) position, count);
+                into.put(contents.current, (int) position, count);
                 return count;
             }
         }
@@ -425,12 +427,12 @@
         @Override
         public int write(ByteBuffer from, long position) throws IOException {
             synchronized (SimulatedDisk.this) {
-                alive();
-                change();
-                if (taken == 0) {
-                    refuse(from, (int) position);
+                requireLiveProcess();
+                requireOperation();
+                if (writesLeft == 0) {
+                    rejectWrite(from, (int) position);
                 }
-                taken -= taken == Long.MAX_VALUE ? 0 : 1;
+                writesLeft -= writesLeft == Long.MAX_VALUE ? 0 : 1;
                 byte[] bytes = new byte[from.remaining()];
                 from.get(bytes);
                 contents.write((int) position, bytes);
@@ -438,13 +440,13 @@
             }
         }
 
-        private void refuse(ByteBuffer from, int position) throws IOException {
-            if (inPart && from.hasRemaining()) {
+        private void rejectWrite(ByteBuffer from, int position) throws IOException {
+            if (partialWrite && from.hasRemaining()) {
                 byte[] part = new byte[random.nextInt(from.remaining())];
                 from.get(part);
                 contents.write(position, part);
             }
-            inPart = false;
+            partialWrite = false;
             throw new IOException("No space left on device");
         }
 
@@ -452,8 +454,8 @@
         @Override
         protected void implTruncate(long size) throws IOException {
             synchronized (SimulatedDisk.this) {
-                if (born == life && passes()) {
-                    contents.cut((int) size);
+                if (openedIn == generation && countOperation()) {
+                    contents.truncate((int) size);
                 }
             }
         }
@@ -461,12 +463,12 @@
         @Override
         public void force(boolean lengthToo) throws IOException {
             synchronized (SimulatedDisk.this) {
-                alive();
+                requireLiveProcess();
             }
-            synced();
+            beginSync();
             synchronized (SimulatedDisk.this) {
-                alive();
-                if (!left.contains(lengthToo ? SyncKind.FILE : SyncKind.CONTENTS)) {
+                requireLiveProcess();
+                if (!skippedSyncs.contains(lengthToo ? SyncKind.FILE : SyncKind.CONTENTS)) {
                     contents.sync();
                 }
             }
@@ -489,7 +491,7 @@
 
     /** Names of files on simulated disks: the disk's number, a slash and the file. */
     private static final class SimulatedPath extends FilePath {
-        private static SimulatedPath of(String path) {
+        private static SimulatedPath forName(String path) {
             SimulatedPath made = new SimulatedPath();
             made.name = path;
             return made;
@@ -517,8 +519,8 @@
         public FileChannel open(String mode) throws IOException {
             SimulatedDisk disk = disk();
             synchronized (disk) {
-                Contents contents = disk.names.get(file());
-                return disk.new Opened(contents == null ? disk.newFile(file()) : contents);
+                FileContents contents = disk.entries.get(file());
+                return disk.new OpenFile(contents == null ? disk.newFile(file()) : contents);
             }
         }
 
@@ -536,13 +538,13 @@
         public boolean isRegularFile() {
             SimulatedDisk disk = disk();
             synchronized (disk) {
-                return disk.names.containsKey(file());
+                return disk.entries.containsKey(file());
             }
         }
 
         @Override
         public FilePath getParent() {
-            return isDirectory() ? null : of(SCHEME + ":" + parts()[0]);
+            return isDirectory() ? null : forName(SCHEME + ":" + parts()[0]);
         }
 
         @Override
@@ -567,14 +569,14 @@
 
         @Override
         public FilePath getPath(String path) {
-            return of(path);
+            return forName(path);
         }
 
         @Override
         public long size() {
             SimulatedDisk disk = disk();
             synchronized (disk) {
-                Contents contents = disk.names.get(file());
+                FileContents contents = disk.entries.get(file());
                 return contents == null ? 0 : contents.length;
             }
         }
--- a/src/test/java/tinworks/store/SimulatedDiskTest.java
+++ b/src/test/java/tinworks/store/SimulatedDiskTest.java
@@ -20,9 +20,9 @@
 
 /** The simulated disk keeps and loses what the real one may. */
 class SimulatedDiskTest {
-    private static final int DAYS = 40;
-    private static final int LIVES = 6;
-    private static final int WRITES = 20;
+    private static final int SEEDS = 40;
+    private static final int RESTARTS = 6;
+    private static final int WRITES_PER_RESTART = 20;
 
     private static FileChannel open(SimulatedDisk disk, String name) throws IOException {
         return FilePath.get(disk.directory().path(name)).open("rw");
@@ -32,14 +32,14 @@
         file.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)), at);
     }
 
-    private static String left(SimulatedDisk disk, String name) {
+    private static String contentsOf(SimulatedDisk disk, String name) {
         return disk.files().contains(name)
                 ? new String(disk.read(name), StandardCharsets.UTF_8).replace('\0', '.')
                 : "none";
     }
 
     @Test
-    void aLossOfPowerKeepsWhatWasSyncedAndAnyPartOfTheRest() throws IOException {
+    void powerLossKeepsSyncedBytesAndAnyPartOfTheRest() throws IOException {
         Set<String> seen = new TreeSet<>();
         for (int seed = 0; seed < 400; seed++) {
             SimulatedDisk disk = new SimulatedDisk(seed);
@@ -51,7 +51,7 @@
             write(file, 4, "ef");
             file.truncate(5);
             disk.powerLoss();
-            seen.add(left(disk, "f"));
+            seen.add(contentsOf(disk, "f"));
             assertThrows(IOException.class, () -> write(file, 0, "zz"), "a process that is gone writes");
         }
         assertTrue(seen.containsAll(Set.of("ab", "abcd", "abcde", "abcdef", "ab..ef", "abc")), seen.toString());
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void namesWithoutASyncedFolderAreKeptOrLostByThemselves() throws IOException {
+    void unsyncedDirectoryEntriesAreKeptOrLostIndependently() throws IOException {
         Set<String> seen = new TreeSet<>();
         for (int seed = 0; seed < 200; seed++) {
             SimulatedDisk disk = new SimulatedDisk(seed);
@@ -69,18 +69,18 @@
             write(file, 0, "n");
             file.force(true);
             disk.powerLoss();
-            seen.add(left(disk, "old") + " " + left(disk, "aside") + " " + left(disk, "new"));
+            seen.add(contentsOf(disk, "old") + " " + contentsOf(disk, "aside") + " " + contentsOf(disk, "new"));
         }
         assertEquals(
                 Set.of("o none none", "o none n", "none o none", "none o n", "none none none", "none none n"), seen);
     }
 
     @Test
-    void aStoreLivesOnItThroughManyShortLives() throws Exception {
-        for (int day = 0; day < DAYS; day++) {
+    void storeSurvivesRepeatedPowerLoss() throws Exception {
+        for (int day = 0; day < SEEDS; day++) {
             SimulatedDisk disk = new SimulatedDisk(day);
             int index = 0;
-            for (int life = 0; life < LIVES; life++) {
+            for (int life = 0; life < RESTARTS; life++) {
                 CoreStore store = CoreStore.open(disk.directory());
                 if (life == 0) {
                     store.initialize(day + 1, HardState.NONE, Snapshot.NONE);
@@ -88,7 +88,7 @@
                 }
                 assertEquals(day + 1, store.identity());
                 assertEquals(index, store.load().entries().size());
-                for (int i = 0; i < WRITES; i++) {
+                for (int i = 0; i < WRITES_PER_RESTART; i++) {
                     index++;
                     store.write(new Output(
                             1,
@@ -108,18 +108,18 @@
     }
 
     @Test
-    void afterACrashFilesStayAndAFullDiskRefusesEveryWrite() throws IOException {
+    void crashKeepsFilesAndAFullDiskRejectsEveryWrite() throws IOException {
         SimulatedDisk disk = new SimulatedDisk(1);
         write(open(disk, "f"), 0, "ab");
         disk.crash();
-        assertEquals("ab", left(disk, "f"));
+        assertEquals("ab", contentsOf(disk, "f"));
         disk.setFull(true);
         assertThrows(IOException.class, () -> write(open(disk, "f"), 2, "cd"));
         assertThrows(IOException.class, () -> open(disk, "g"));
-        assertEquals("ab", left(disk, "f"));
+        assertEquals("ab", contentsOf(disk, "f"));
         disk.setFull(false);
         write(open(disk, "f"), 2, "cd");
-        assertEquals("abcd", left(disk, "f"));
+        assertEquals("abcd", contentsOf(disk, "f"));
         disk.wipe();
         assertEquals(0, disk.bytes());
     }
