--- a/src/main/java/tinworks/control/ConfigurationFeed.java
+++ b/src/main/java/tinworks/control/ConfigurationFeed.java
@@ -19,31 +19,31 @@
 final class ConfigurationFeed {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigurationFeed.class);
     /** Versions come seconds apart; an edge that was away for longer is told the whole. */
-    private static final int MOST_CHANGES = 16;
+    private static final int MAX_CHANGES = 16;
     /** What the changes may take as bytes together; the oldest go first. */
-    static final int MOST_BYTES = 256 << 10;
+    static final int MAX_CHANGES_BYTES = 256 << 10;
 
     /** A change, and what it takes as bytes. */
-    private record Kept(ConfigurationChange change, int bytes) {}
+    private record EncodedChange(ConfigurationChange change, int bytes) {}
 
-    private final ArrayDeque<Kept> changes = new ArrayDeque<>();
+    private final ArrayDeque<EncodedChange> changes = new ArrayDeque<>();
     private int changesBytes;
     private Configuration newest;
     /** The last version that was looked at, whether or not it could be read. */
-    private long followed;
+    private long followedRev;
 
-    private PeerMessage whole;
-    private PeerMessage.ConfigurationChanged lastAsked;
+    private PeerMessage fullMessage;
+    private PeerMessage.ConfigurationChanged lastChangeMessage;
 
     /**
      * Follows the history. Its versions were checked before they were taken; one that this program can't read all the
      * same, since another one took it, is left out, and edges go on with the one before.
      */
     void follow(ConfigurationHistory history) {
-        if (history.rev() == followed) {
+        if (history.rev() == followedRev) {
             return;
         }
-        followed = history.rev();
+        followedRev = history.rev();
         Configuration next;
         try {
             next = ConfigurationReader.read(CompressedBytes.open(history.packed()));
@@ -52,25 +52,25 @@
             return;
         }
         if (newest != null) {
-            keep(ConfigurationChange.between(newest, next));
+            retain(ConfigurationChange.between(newest, next));
         }
         newest = next;
-        whole = null;
-        lastAsked = null;
+        fullMessage = null;
+        lastChangeMessage = null;
     }
 
     /** Guards against changes of everything, each of which is as long as the whole and is of use to few. */
-    private void keep(ConfigurationChange change) {
+    private void retain(ConfigurationChange change) {
         int bytes = ConfigurationCodec.write(change).length;
-        changes.addLast(new Kept(change, bytes));
+        changes.addLast(new EncodedChange(change, bytes));
         changesBytes += bytes;
-        while (changes.size() > MOST_CHANGES || changesBytes > MOST_BYTES) {
+        while (changes.size() > MAX_CHANGES || changesBytes > MAX_CHANGES_BYTES) {
             changesBytes -= changes.removeFirst().bytes();
         }
     }
 
     /** How many changes are kept. */
-    int changes() {
+    int retainedChanges() {
         return changes.size();
     }
 
@@ -79,11 +79,11 @@
         if (newest == null || held >= newest.rev()) {
             return null;
         }
-        if (lastAsked != null && lastAsked.base() == held) {
-            return lastAsked;
+        if (lastChangeMessage != null && lastChangeMessage.base() == held) {
+            return lastChangeMessage;
         }
         ConfigurationChange all = null;
-        for (Kept kept : changes) {
+        for (EncodedChange kept : changes) {
             ConfigurationChange change = kept.change();
             if (all != null) {
                 all = all.then(change);
@@ -92,14 +92,14 @@
             }
         }
         if (all != null) {
-            lastAsked = new PeerMessage.ConfigurationChanged(
+            lastChangeMessage = new PeerMessage.ConfigurationChanged(
                     held, newest.rev(), CompressedBytes.pack(ConfigurationCodec.write(all)));
-            return lastAsked;
+            return lastChangeMessage;
         }
-        if (whole == null) {
-            whole = new PeerMessage.ConfigurationBody(
+        if (fullMessage == null) {
+            fullMessage = new PeerMessage.ConfigurationBody(
                     newest.rev(), CompressedBytes.pack(ConfigurationCodec.write(newest)));
         }
-        return whole;
+        return fullMessage;
     }
 }
--- a/src/main/java/tinworks/control/Core.java
+++ b/src/main/java/tinworks/control/Core.java
@@ -26,9 +26,9 @@
 /** The process of a core machine: its disk, its start and its end. */
 public final class Core {
     private static final Logger LOG = LoggerFactory.getLogger(Core.class);
-    static final long RETIRE_MILLIS = 1_500;
-    static final long RETIRE_AGAIN_MILLIS = 50;
-    static final long CLOSE_MILLIS = 2_000;
+    static final long SHUTDOWN_PREPARATION_MILLIS = 1_500;
+    static final long SHUTDOWN_POLL_MILLIS = 50;
+    static final long DISK_CLOSE_TIMEOUT_MILLIS = 2_000;
 
     private Core() {}
 
@@ -46,8 +46,8 @@
             long id = identity(store, settings);
             PersistentState stored = store.load();
             CoreNode node = process.call(() -> new CoreNode(process.loop(), settings, store, id, stored));
-            process.onChange(node::changed);
-            process.onEnd(() -> end(process, node));
+            process.onChange(node::settingsChanged);
+            process.onEnd(() -> shutDown(process, node));
             List<ChannelFuture> bound = process.call(node::start);
             process.awaitBound(bound);
         } catch (IOException | CoreStore.CorruptStoreException e) {
@@ -95,24 +95,24 @@
             return known;
         }
         boolean first = bootstrap && seeds.contains(address) && store.isPristine();
-        long id = first ? firstId(address) : newId;
+        long id = first ? bootstrapId(address) : newId;
         try {
-            store.initialize(id, HardState.NONE, first ? firstVoters(seeds) : Snapshot.NONE);
+            store.initialize(id, HardState.NONE, first ? bootstrapVoters(seeds) : Snapshot.NONE);
         } catch (IllegalStateException | MVStoreException e) {
             throw new IOException(e.getMessage(), e);
         }
         return id;
     }
 
-    static Snapshot firstVoters(List<String> seeds) {
+    static Snapshot bootstrapVoters(List<String> seeds) {
         return new Snapshot(
                 0,
                 0,
-                seeds.stream().map(seed -> new Member(firstId(seed), seed)).toList(),
+                seeds.stream().map(seed -> new Member(bootstrapId(seed), seed)).toList(),
                 new byte[0]);
     }
 
-    static long firstId(String address) {
+    static long bootstrapId(String address) {
         CRC32C sum = new CRC32C();
         sum.update(address.getBytes(StandardCharsets.UTF_8));
         return sum.getValue() + 1;
@@ -124,12 +124,12 @@
         return (new SplittableRandom(seed).nextLong() | 1L << 62) & Long.MAX_VALUE;
     }
 
-    private static void end(NodeProcess process, CoreNode node) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RETIRE_MILLIS);
-        while (!NodeProcess.call(process.loop(), node::retire) && System.nanoTime() < until) {
-            TimeUnit.MILLISECONDS.sleep(RETIRE_AGAIN_MILLIS);
+    private static void shutDown(NodeProcess process, CoreNode node) throws InterruptedException {
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(SHUTDOWN_PREPARATION_MILLIS);
+        while (!NodeProcess.call(process.loop(), node::prepareShutdown) && System.nanoTime() < until) {
+            TimeUnit.MILLISECONDS.sleep(SHUTDOWN_POLL_MILLIS);
         }
         NodeProcess.run(process.loop(), node::close);
-        node.awaitClosed(CLOSE_MILLIS);
+        node.awaitClosed(DISK_CLOSE_TIMEOUT_MILLIS);
     }
 }
--- a/src/main/java/tinworks/control/CoreNode.java
+++ b/src/main/java/tinworks/control/CoreNode.java
@@ -23,64 +23,64 @@
 public final class CoreNode implements CoreMachine.Environment {
     private static final Logger LOG = LoggerFactory.getLogger(CoreNode.class);
 
-    private static final int OTHER_DESCRIPTORS = 512;
+    private static final int RESERVED_DESCRIPTORS = 512;
 
     private final EventLoop loop;
     private final BootSettings settings;
     private final DiskThread disk;
     private final CoreMachine machine;
-    private final TcpConnectionManager links;
+    private final TcpConnectionManager connectionManager;
     private final HostPoller poller;
     private final OperatorServer operator;
-    private final StallWatch stalls = new StallWatch(CoreMachine.TICK_MILLIS);
-    private BootSettings current;
+    private final StallWatch stallWatch = new StallWatch(CoreMachine.TICK_MILLIS);
+    private BootSettings currentSettings;
 
     /** A machine with what its disk holds. */
     public CoreNode(EventLoop loop, BootSettings settings, CoreStore store, long id, PersistentState stored) {
         this.loop = loop;
         this.settings = settings;
-        current = settings;
+        currentSettings = settings;
         MonotonicClock clock = new MonotonicClock();
-        disk = new DiskThread(work -> loop.execute(() -> orEnd(work)), store, this::log);
+        disk = new DiskThread(work -> loop.execute(() -> runOrExit(work)), store, this::log);
         machine = new CoreMachine(
                 new CoreMachine.Identity(id, settings.innerAddress(), settings.losses()), stored, disk, this);
-        links = new TcpConnectionManager(
+        connectionManager = new TcpConnectionManager(
                 loop, new Hello(NodeRole.CORE, id, settings.innerAddress(), settings.node(), settings.zone()), machine);
-        poller = new HostPoller(loop, clock, settings.provider(), id, machine::listed, this::log);
-        operator = new OperatorServer(loop, clock, settings.node(), machine, stalls);
+        poller = new HostPoller(loop, clock, settings.provider(), id, machine::hostsFetched, this::log);
+        operator = new OperatorServer(loop, clock, settings.node(), machine, stallWatch);
         LOG.info(
                 "core {} of id {} starts: term {}, {} entries, voters {}",
                 settings.node(),
                 Long.toHexString(id),
-                machine.agreement().raft().term(),
-                machine.agreement().raft().lastIndex(),
-                machine.agreement().raft().voters().size());
+                machine.raftDriver().raft().term(),
+                machine.raftDriver().raft().lastIndex(),
+                machine.raftDriver().raft().voters().size());
     }
 
     /** Starts to listen and to dial; on the event loop. */
     public List<ChannelFuture> start() {
         List<ChannelFuture> bound =
-                List.of(links.listen(settings.inner(), mostLinks()), operator.listen(settings.ctl()));
+                List.of(connectionManager.listen(settings.inner(), maxConnections()), operator.listen(settings.ctl()));
         tick();
         return bound;
     }
 
     /** All descriptors but some for operators, the platform and the dialled links. */
-    private int mostLinks() {
-        return settings.descriptors() - Math.min(OTHER_DESCRIPTORS, settings.descriptors() / 2);
+    private int maxConnections() {
+        return settings.descriptors() - Math.min(RESERVED_DESCRIPTORS, settings.descriptors() / 2);
     }
 
     private void tick() {
         loop.schedule(this::tick, CoreMachine.TICK_MILLIS, TimeUnit.MILLISECONDS);
-        long late = stalls.came(millis());
+        long late = stallWatch.came(millis());
         if (late > 0) {
             LOG.warn("the event loop stood still for {} ms", late);
         }
-        orEnd(machine::tick);
+        runOrExit(machine::tick);
     }
 
     /** Guards against going on after an error that the event loop would only log. */
-    private static void orEnd(Runnable work) {
+    private static void runOrExit(Runnable work) {
         try {
             work.run();
         } catch (Error e) {
@@ -90,20 +90,20 @@
     }
 
     /** Follows changed settings; on the event loop. */
-    public void changed(BootSettings changed) {
-        current = changed;
+    public void settingsChanged(BootSettings changed) {
+        currentSettings = changed;
         poller.moveTo(changed.provider());
     }
 
     /** Gets ready to end, and tells whether nothing is left to do; on the event loop. */
-    public boolean retire() {
-        return machine.retire();
+    public boolean prepareShutdown() {
+        return machine.prepareShutdown();
     }
 
     /** Ends; on the event loop. */
     public void close() {
         operator.close();
-        links.close();
+        connectionManager.close();
         machine.close();
         disk.close();
     }
@@ -121,17 +121,17 @@
     }
 
     @Override
-    public ConnectionManager links() {
-        return links;
+    public ConnectionManager connectionManager() {
+        return connectionManager;
     }
 
     @Override
     public List<String> seeds() {
-        return current.seeds();
+        return currentSettings.seeds();
     }
 
     @Override
-    public void fetchList(boolean wanted) {
+    public void setHostPolling(boolean wanted) {
         poller.turn(wanted);
     }
 
--- a/src/main/java/tinworks/control/DiskThread.java
+++ b/src/main/java/tinworks/control/DiskThread.java
@@ -14,7 +14,7 @@
 final class DiskThread implements Disk {
     private static final long RETRY_MILLIS = 200;
 
-    private final Executor owner;
+    private final Executor callbackExecutor;
     private final CoreStore store;
     private final Consumer<String> log;
     private final ExecutorService thread = Executors.newSingleThreadExecutor(work -> new Thread(work, "disk"));
@@ -22,7 +22,7 @@
 
     /** What is done is told on the owner's thread, and so are lines for the operators. */
     DiskThread(Executor owner, CoreStore store, Consumer<String> log) {
-        this.owner = owner;
+        this.callbackExecutor = owner;
         this.store = store;
         this.log = log;
     }
@@ -38,7 +38,7 @@
         while (!closed) {
             try {
                 store.write(output);
-                owner.execute(done);
+                callbackExecutor.execute(done);
                 return;
             } catch (MVStoreException | IllegalStateException e) {
                 Error fatal = Fatal.in(e);
@@ -49,7 +49,7 @@
                 }
                 if (!complained) {
                     complained = true;
-                    tell("the disk doesn't take the log, trying again: " + e.getMessage());
+                    report("the disk doesn't take the log, trying again: " + e.getMessage());
                 }
                 recover();
             }
@@ -64,12 +64,12 @@
             Thread.currentThread().interrupt();
             closed = true;
         } catch (CoreStore.CorruptStoreException e) {
-            tell("the store can't be opened again yet: " + e.getMessage());
+            report("the store can't be opened again yet: " + e.getMessage());
         }
     }
 
-    private void tell(String line) {
-        owner.execute(() -> log.accept(line));
+    private void report(String line) {
+        callbackExecutor.execute(() -> log.accept(line));
     }
 
     /** Ends the thread once what it has begun is written, and closes the store. */
--- a/src/main/java/tinworks/control/OperatorCalls.java
+++ b/src/main/java/tinworks/control/OperatorCalls.java
@@ -31,48 +31,48 @@
 class OperatorCalls {
     private static final Logger LOG = LoggerFactory.getLogger(OperatorCalls.class);
     /** The header that names the version which a change builds on. */
-    static final String BASE = "Base-Rev";
+    static final String BASE_REV_HEADER = "Base-Rev";
 
     static final int OK = 200;
-    static final int UNCLEAR = 503;
+    static final int OUTCOME_UNKNOWN = 503;
     private static final int CONFLICT = 412;
     private static final int INVALID = 400;
     private static final int NOT_FOUND = 404;
-    private static final int TOO_LONG = 413;
+    private static final int TOO_LARGE = 413;
     /**
      * What a command may take: eight times what 14,000 routes come to. Guards against a log, and frames, of any length.
      */
-    static final int LONGEST_COMMAND = 2 << 20;
+    static final int MAX_COMMAND_BYTES = 2 << 20;
     /** What a configuration may take in the memory of any machine. */
-    private static final long MOST_WEIGHT = ConfigurationWeight.mostByHeap();
+    private static final long MAX_WEIGHT_BYTES = ConfigurationWeight.mostByHeap();
     /** What calls without an answer may take at one machine, the first always. */
-    static final int MOST_HELD = 4 << 20;
+    static final int MAX_PENDING_BYTES = 4 << 20;
     /** Callers move on after a second of silence. */
-    private static final long ANSWER_MILLIS = 850;
+    private static final long RESPONSE_TIMEOUT_MILLIS = 850;
 
     private final CoreMachine machine;
     private final LongSupplier clock;
-    private final Map<Long, Waiting> waiting = new HashMap<>();
-    private long held;
+    private final Map<Long, PendingCall> pending = new HashMap<>();
+    private long pendingBytes;
     /** The newest version that was acknowledged or shown here. */
-    private long newestTold;
+    private long newestReportedRev;
 
-    private long calls;
+    private long lastNumber;
 
     /** A call that has no answer yet; it has been passed on where {@code passedTo} is not null. */
-    private static final class Waiting {
+    private static final class PendingCall {
         final boolean read;
         final byte[] command;
-        final Consumer<CallResponse> told;
-        final long until;
-        PeerConnection passedTo;
-        boolean atWork;
+        final Consumer<CallResponse> callback;
+        final long deadlineMillis;
+        PeerConnection forwardedTo;
+        boolean inProgress;
 
-        Waiting(boolean read, byte[] command, Consumer<CallResponse> told, long until) {
+        PendingCall(boolean read, byte[] command, Consumer<CallResponse> told, long until) {
             this.read = read;
             this.command = command;
-            this.told = told;
-            this.until = until;
+            this.callback = told;
+            this.deadlineMillis = until;
         }
     }
 
@@ -82,12 +82,12 @@
     }
 
     /** How many calls have no answer yet. */
-    int waiting() {
-        return waiting.size();
+    int pendingCount() {
+        return pending.size();
     }
 
     /** A call that was checked: the command that it comes to, or else the answer why there is none. */
-    record Checked(byte[] command, CallResponse refusal) {
+    record ValidatedChange(byte[] command, CallResponse rejection) {
         @Override
         public String toString() {
             return command == null
@@ -101,28 +101,30 @@
      * Checks a whole configuration, with what the header says that it builds on. Takes long and holds much memory;
      * needs nothing of the machine, so it may be done on another thread, one at a time.
      */
-    static Checked check(List<String> bases, InputStream json, ByteBuffer... body) {
+    static ValidatedChange validate(List<String> bases, InputStream json, ByteBuffer... body) {
         try {
-            long base = base(bases);
-            long rev = ConfigurationReader.read(json, MOST_WEIGHT).rev();
+            long base = parseBaseRev(bases);
+            long rev = ConfigurationReader.read(json, MAX_WEIGHT_BYTES).rev();
             byte[] command = ConfigurationHistory.command(base, rev, body);
-            return command.length <= LONGEST_COMMAND
-                    ? new Checked(command, null)
-                    : new Checked(
+            return command.length <= MAX_COMMAND_BYTES
+                    ? new ValidatedChange(command, null)
+                    : new ValidatedChange(
                             null,
                             new CallResponse(
-                                    0, TOO_LONG, error("", "over " + LONGEST_COMMAND + " bytes when it is packed")));
+                                    0,
+                                    TOO_LARGE,
+                                    errorBody("", "over " + MAX_COMMAND_BYTES + " bytes when it is packed")));
         } catch (InvalidConfiguration e) {
             LOG.info("refused a configuration: {}", e.getMessage());
-            int status = e.isTooLarge() ? TOO_LONG : INVALID;
-            return new Checked(null, new CallResponse(0, status, error(e.where(), e.getMessage())));
+            int status = e.isTooLarge() ? TOO_LARGE : INVALID;
+            return new ValidatedChange(null, new CallResponse(0, status, errorBody(e.where(), e.getMessage())));
         }
     }
 
     /** A whole configuration that was checked; the answer's number means nothing. */
-    void replace(Checked call, Consumer<CallResponse> told) {
-        if (call.refusal() != null) {
-            told.accept(call.refusal());
+    void replace(ValidatedChange call, Consumer<CallResponse> told) {
+        if (call.rejection() != null) {
+            told.accept(call.rejection());
         } else {
             submit(false, call.command(), told);
         }
@@ -130,7 +132,7 @@
 
     /** A whole configuration, with what the header says that it builds on; the answer's number means nothing. */
     void replace(List<String> bases, byte[] body, Consumer<CallResponse> told) {
-        replace(check(bases, new ByteArrayInputStream(body), ByteBuffer.wrap(body)), told);
+        replace(validate(bases, new ByteArrayInputStream(body), ByteBuffer.wrap(body)), told);
     }
 
     /** The newest configuration, {@link CompressedBytes} where the status is {@link #OK}. */
@@ -138,47 +140,48 @@
         submit(true, new byte[0], told);
     }
 
-    private static long base(List<String> values) throws InvalidConfiguration {
+    private static long parseBaseRev(List<String> values) throws InvalidConfiguration {
         try {
             long base = values.size() == 1 ? Long.parseLong(values.get(0).trim()) : -1;
             if (base >= 0) {
                 return base;
             }
         } catch (NumberFormatException e) {
-            LOG.debug("a {} that is no number", BASE, e);
+            LOG.debug("a {} that is no number", BASE_REV_HEADER, e);
         }
-        throw new InvalidConfiguration(BASE, "wanted the header once, with the number of the version built on");
+        throw new InvalidConfiguration(
+                BASE_REV_HEADER, "wanted the header once, with the number of the version built on");
     }
 
     // ---- calls, from the operator or passed on by another machine
 
     /** A call that another machine has passed on. */
-    void called(Call call, Consumer<CallResponse> told) {
-        if (machine.agreement().raft().role() == Raft.Role.LEADER) {
+    void receivedCall(Call call, Consumer<CallResponse> told) {
+        if (machine.raftDriver().raft().role() == Raft.Role.LEADER) {
             submit(call.read(), call.body(), a -> told.accept(new CallResponse(call.number(), a.status(), a.body())));
         } else {
-            told.accept(new CallResponse(call.number(), UNCLEAR, error("", "not the leader")));
+            told.accept(new CallResponse(call.number(), OUTCOME_UNKNOWN, errorBody("", "not the leader")));
         }
     }
 
     /** The leader's answer to a call that was passed on. */
-    void answered(PeerConnection from, CallResponse answer) {
-        Waiting call = waiting.get(answer.number());
-        if (call != null && !isAsked(call.passedTo, from)) {
+    void receivedResponse(PeerConnection from, CallResponse answer) {
+        PendingCall call = pending.get(answer.number());
+        if (call != null && !isExpectedResponder(call.forwardedTo, from)) {
             return;
         }
-        if (call != null && answer.status() == UNCLEAR) {
+        if (call != null && answer.status() == OUTCOME_UNKNOWN) {
             // Perhaps another leads by now; until its time is over the call goes on.
-            call.atWork = false;
-            call.passedTo = null;
+            call.inProgress = false;
+            call.forwardedTo = null;
         } else if (call != null) {
             remove(answer.number());
-            call.told.accept(answer);
+            call.callback.accept(answer);
         }
     }
 
     /** Guards against an answer to another call of the same number: numbers begin anew with each life of a process. */
-    boolean isAsked(PeerConnection passedTo, PeerConnection from) {
+    boolean isExpectedResponder(PeerConnection passedTo, PeerConnection from) {
         return passedTo == from;
     }
 
@@ -186,152 +189,154 @@
      * Guards against calls that together are more than the memory; each is told to come back, and nothing became of it.
      */
     private void submit(boolean read, byte[] command, Consumer<CallResponse> told) {
-        if (!waiting.isEmpty() && held + command.length > MOST_HELD) {
-            told.accept(new CallResponse(0, UNCLEAR, error("", "too many calls at once")));
+        if (!pending.isEmpty() && pendingBytes + command.length > MAX_PENDING_BYTES) {
+            told.accept(new CallResponse(0, OUTCOME_UNKNOWN, errorBody("", "too many calls at once")));
             return;
         }
-        held += command.length;
-        Waiting call = new Waiting(read, command, told, clock.getAsLong() + ANSWER_MILLIS);
-        long number = ++calls;
-        waiting.put(number, call);
-        work(number, call);
+        pendingBytes += command.length;
+        PendingCall call = new PendingCall(read, command, told, clock.getAsLong() + RESPONSE_TIMEOUT_MILLIS);
+        long number = ++lastNumber;
+        pending.put(number, call);
+        process(number, call);
     }
 
     /** Gives up calls whose time is over, and takes on those that found no leader. */
     void tick() {
-        if (waiting.isEmpty()) {
+        if (pending.isEmpty()) {
             return;
         }
         long now = clock.getAsLong();
-        for (Map.Entry<Long, Waiting> entry : List.copyOf(waiting.entrySet())) {
-            Waiting call = entry.getValue();
-            if (now >= call.until) {
+        for (Map.Entry<Long, PendingCall> entry : List.copyOf(pending.entrySet())) {
+            PendingCall call = entry.getValue();
+            if (now >= call.deadlineMillis) {
                 remove(entry.getKey());
-                call.told.accept(
-                        new CallResponse(entry.getKey(), UNCLEAR, error("", "no answer from a leader in time")));
+                call.callback.accept(new CallResponse(
+                        entry.getKey(), OUTCOME_UNKNOWN, errorBody("", "no answer from a leader in time")));
             } else {
-                call.atWork &= call.passedTo == null || call.passedTo.isOpen();
-                work(entry.getKey(), call);
+                call.inProgress &= call.forwardedTo == null || call.forwardedTo.isOpen();
+                process(entry.getKey(), call);
             }
         }
     }
 
     private void remove(long number) {
-        held -= waiting.remove(number).command.length;
+        pendingBytes -= pending.remove(number).command.length;
     }
 
-    private void work(long number, Waiting call) {
-        if (call.atWork) {
+    private void process(long number, PendingCall call) {
+        if (call.inProgress) {
             return;
         }
-        Agreement agreement = machine.agreement();
+        RaftDriver agreement = machine.raftDriver();
         if (agreement.raft().role() == Raft.Role.LEADER) {
-            call.atWork = true;
+            call.inProgress = true;
             if (call.read) {
-                confirm(agreement, may -> done(number, may ? show() : null));
+                confirmRead(agreement, may -> complete(number, may ? show() : null));
             } else {
-                change(number, call, agreement);
+                proposeChange(number, call, agreement);
             }
-        } else if (machine.leader() != null) {
-            call.atWork = true;
-            call.passedTo = machine.leader();
-            call.passedTo.send(new Call(number, call.read, call.command));
+        } else if (machine.leaderConnection() != null) {
+            call.inProgress = true;
+            call.forwardedTo = machine.leaderConnection();
+            call.forwardedTo.send(new Call(number, call.read, call.command));
         }
     }
 
     /**
      * Guards against showing what a later leader has gone beyond: told true once a majority has answered a round since.
      */
-    void confirm(Agreement agreement, Consumer<Boolean> told) {
+    void confirmRead(RaftDriver agreement, Consumer<Boolean> told) {
         agreement.read(told);
     }
 
-    private void change(long number, Waiting call, Agreement agreement) {
+    private void proposeChange(long number, PendingCall call, RaftDriver agreement) {
         ConfigurationHistory history = agreement.history();
         long base = ConfigurationHistory.base(call.command);
         long rev = ConfigurationHistory.rev(call.command);
         Verdict now = history.judge(base, rev, call.command);
-        if (isSettled(now, base, rev, history.rev())) {
-            done(number, verdict(now, rev));
-        } else if (now == Verdict.FORGOTTEN || isAhead(base, history.rev())) {
-            done(number, null);
+        if (isFinal(now, base, rev, history.rev())) {
+            complete(number, responseFor(now, rev));
+        } else if (now == Verdict.FORGOTTEN || isBaseUnknown(base, history.rev())) {
+            complete(number, null);
         } else if (!agreement.raft().fitsUncommittedLimit(call.command.length)) {
             // Until what is written before it is committed, or its time is over.
-            call.atWork = false;
+            call.inProgress = false;
         } else {
-            agreement.propose(call.command, verdict -> done(number, verdict == null ? null : verdict(verdict, rev)));
+            agreement.propose(
+                    call.command, verdict -> complete(number, verdict == null ? null : responseFor(verdict, rev)));
         }
     }
 
     /** Whether a verdict is true for good, whoever leads: a version that was taken, or passed, stays so. */
-    boolean isSettled(Verdict verdict, long base, long rev, long current) {
+    boolean isFinal(Verdict verdict, long base, long rev, long current) {
         return (verdict == Verdict.TAKEN && rev <= current)
                 || verdict == Verdict.NOT_ABOVE
-                || (verdict == Verdict.CONFLICT && base < current && mayRefuse());
+                || (verdict == Verdict.CONFLICT && base < current && mayReject());
     }
 
     /** Guards against a leader that was cut off and refuses with an old version at hand; then the log has to say so. */
-    boolean mayRefuse() {
-        return machine.leads();
+    boolean mayReject() {
+        return machine.holdsLeaderLease();
     }
 
     /**
      * Guards against refusing an order that may yet be taken: what it builds on may still be under way, or not be known
      * here yet, and another copy of it may wait elsewhere. It waits for its base, and nothing is proposed meanwhile.
      */
-    boolean isAhead(long base, long current) {
+    boolean isBaseUnknown(long base, long current) {
         return base > current;
     }
 
     /** Null where it is open: the call goes on until its time is over. */
-    private void done(long number, CallResponse answer) {
-        Waiting call = waiting.get(number);
+    private void complete(long number, CallResponse answer) {
+        PendingCall call = pending.get(number);
         if (call == null) {
             return;
         }
         if (answer == null) {
-            call.atWork = false;
+            call.inProgress = false;
         } else {
             remove(number);
-            call.told.accept(answer);
+            call.callback.accept(answer);
         }
     }
 
     /** Null where it is open. A repeat is confirmed under its own number, whatever has come on top of it since. */
-    private CallResponse verdict(Verdict verdict, long rev) {
-        long current = machine.agreement().history().rev();
+    private CallResponse responseFor(Verdict verdict, long rev) {
+        long current = machine.raftDriver().history().rev();
         if (verdict == Verdict.TAKEN) {
             Invariant.ACKNOWLEDGED_IS_APPLIED.check(rev <= current, () -> rev + " where " + current + " is applied");
-            newestTold = Math.max(newestTold, rev);
+            newestReportedRev = Math.max(newestReportedRev, rev);
         }
         return switch (verdict) {
             case TAKEN -> new CallResponse(0, OK, ("{\"rev\":" + rev + "}\n").getBytes(StandardCharsets.UTF_8));
-            case CONFLICT -> new CallResponse(0, CONFLICT, error(BASE, "the current version is " + current));
-            case NOT_ABOVE -> new CallResponse(0, INVALID, error("rev", "not above the version that it builds on"));
+            case CONFLICT ->
+                new CallResponse(0, CONFLICT, errorBody(BASE_REV_HEADER, "the current version is " + current));
+            case NOT_ABOVE -> new CallResponse(0, INVALID, errorBody("rev", "not above the version that it builds on"));
             case FORGOTTEN -> null;
         };
     }
 
     private CallResponse show() {
-        ConfigurationHistory history = machine.agreement().history();
+        ConfigurationHistory history = machine.raftDriver().history();
         Invariant.SHOWN_IS_NEWEST.check(
-                history.rev() >= newestTold, () -> history.rev() + " is shown after " + newestTold);
-        newestTold = Math.max(newestTold, history.rev());
+                history.rev() >= newestReportedRev, () -> history.rev() + " is shown after " + newestReportedRev);
+        newestReportedRev = Math.max(newestReportedRev, history.rev());
         return history.rev() == 0
-                ? new CallResponse(0, NOT_FOUND, error("", "no configuration yet"))
+                ? new CallResponse(0, NOT_FOUND, errorBody("", "no configuration yet"))
                 : new CallResponse(0, OK, history.packed());
     }
 
-    private static byte[] error(String where, String what) {
+    private static byte[] errorBody(String where, String what) {
         StringBuilder json =
-                new StringBuilder("{\"err\":\"").append(escaped(what)).append('"');
+                new StringBuilder("{\"err\":\"").append(escapeJson(what)).append('"');
         if (!where.isEmpty()) {
-            json.append(",\"field\":\"").append(escaped(where)).append('"');
+            json.append(",\"field\":\"").append(escapeJson(where)).append('"');
         }
         return json.append("}\n").toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    static String escaped(String text) {
+    static String escapeJson(String text) {
         return text.replaceAll("[\\p{Cntrl}]", " ").replace("\\", "\\\\").replace("\"", "\\\"");
     }
 }
--- a/src/main/java/tinworks/control/OperatorServer.java
+++ b/src/main/java/tinworks/control/OperatorServer.java
@@ -40,26 +40,27 @@
     private static final String STATUS = "/-/status";
     private static final String READYZ = "/-/readyz";
     private static final String METRICS = "/-/metrics";
-    private static final int CONNECTIONS = 128;
-    private static final int LONGEST_HEAD = 16_384;
+    private static final int MAX_CONNECTIONS = 128;
+    private static final int MAX_HEAD_BYTES = 16_384;
     /** Bodies on their way in or out: two of the longest, or seven of 14,000 routes. */
-    static final int MOST_BODIES = 2 * ConfigurationHistory.LONGEST_BODY;
+    static final int MAX_BODIES_BYTES = 2 * ConfigurationHistory.LONGEST_BODY;
 
-    private static final byte[] NO_ROOM = error("too many calls at once");
-    private static final byte[] ENDING = error("this machine ends");
-    private static final byte[] UNCHECKED = error("the configuration could not be checked");
-    private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+    private static final byte[] OVERLOADED_BODY = errorBody("too many calls at once");
+    private static final byte[] SHUTTING_DOWN_BODY = errorBody("this machine ends");
+    private static final byte[] VALIDATION_FAILED_BODY = errorBody("the configuration could not be checked");
+    private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
     private final EventLoop loop;
     private final String name;
     private final CoreMachine machine;
-    private final StallWatch stalls;
-    private final ByteBudget bodies = new ByteBudget(MOST_BODIES);
+    private final StallWatch stallWatch;
+    private final ByteBudget bodyBudget = new ByteBudget(MAX_BODIES_BYTES);
     private final ClientServer server;
-    private final ExecutorService checks = Executors.newSingleThreadExecutor(work -> new Thread(work, "configuration"));
+    private final ExecutorService validator =
+            Executors.newSingleThreadExecutor(work -> new Thread(work, "configuration"));
 
     OperatorServer(EventLoop loop, MonotonicClock clock, String name, CoreMachine machine, StallWatch stalls) {
-        this.stalls = stalls;
+        this.stallWatch = stalls;
         this.loop = loop;
         this.name = name;
         this.machine = machine;
@@ -68,17 +69,17 @@
                 Transport.TCP,
                 clock,
                 new ClientServer.Bounds(
-                        CONNECTIONS,
+                        MAX_CONNECTIONS,
                         TimeUnit.SECONDS.toNanos(10),
                         TimeUnit.SECONDS.toNanos(30),
-                        LONGEST_HEAD,
+                        MAX_HEAD_BYTES,
                         ConfigurationHistory.LONGEST_BODY,
                         READYZ),
-                bodies,
+                bodyBudget,
                 this);
     }
 
-    private static byte[] error(String what) {
+    private static byte[] errorBody(String what) {
         return ("{\"err\":\"" + what + "\"}\n").getBytes(StandardCharsets.UTF_8);
     }
 
@@ -88,28 +89,28 @@
 
     void close() {
         server.stopAccepting();
-        checks.shutdown();
+        validator.shutdown();
     }
 
     @Override
     public boolean ready() {
-        return machine.fresh();
+        return machine.isFresh();
     }
 
     @Override
     public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
         String path = request.uri().split("\\?", 2)[0];
         if (path.equals(REPLACE)) {
-            need(request, HttpMethod.POST);
+            requireMethod(request, HttpMethod.POST);
             replace(request, reply);
         } else if (path.equals(SHOW)) {
-            need(request, HttpMethod.GET);
+            requireMethod(request, HttpMethod.GET);
             machine.calls().show(answer -> show(reply, answer));
         } else if (path.equals(STATUS)) {
-            need(request, HttpMethod.GET);
+            requireMethod(request, HttpMethod.GET);
             write(reply, new CallResponse(0, OperatorCalls.OK, status().getBytes(StandardCharsets.UTF_8)));
         } else if (path.equals(METRICS)) {
-            need(request, HttpMethod.GET);
+            requireMethod(request, HttpMethod.GET);
             reply.write(
                     HttpResponseStatus.OK,
                     new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, MetricsPage.CONTENT_TYPE),
@@ -120,7 +121,7 @@
         }
     }
 
-    private static void need(FullHttpRequest request, HttpMethod method) throws BadRequest {
+    private static void requireMethod(FullHttpRequest request, HttpMethod method) throws BadRequest {
         if (!request.method().equals(method)) {
             throw new BadRequest(HttpResponseStatus.METHOD_NOT_ALLOWED, "wanted " + method);
         }
@@ -131,14 +132,14 @@
      * read.
      */
     private void replace(FullHttpRequest request, Reply reply) {
-        if (checks.isShutdown()) {
-            write(reply, new CallResponse(0, OperatorCalls.UNCLEAR, ENDING));
+        if (validator.isShutdown()) {
+            write(reply, new CallResponse(0, OperatorCalls.OUTCOME_UNKNOWN, SHUTTING_DOWN_BODY));
             return;
         }
         reply.retainRequest(request);
         long arrivedAt = MonotonicTime.millis();
-        checks.execute(() -> {
-            OperatorCalls.Checked checked = checked(request);
+        validator.execute(() -> {
+            OperatorCalls.ValidatedChange checked = validate(request);
             loop.execute(() -> {
                 reply.releaseRequest();
                 machine.calls().replace(checked, answer -> {
@@ -147,22 +148,25 @@
                             checked,
                             answer.status(),
                             MonotonicTime.millis() - arrivedAt,
-                            machine.leads() ? "this machine" : machine.leader() == null ? "nobody" : "another");
+                            machine.holdsLeaderLease()
+                                    ? "this machine"
+                                    : machine.leaderConnection() == null ? "nobody" : "another");
                     write(reply, answer);
                 });
             });
         });
     }
 
-    private static OperatorCalls.Checked checked(FullHttpRequest request) {
+    private static OperatorCalls.ValidatedChange validate(FullHttpRequest request) {
         try {
-            return OperatorCalls.check(
-                    request.headers().getAll(OperatorCalls.BASE),
+            return OperatorCalls.validate(
+                    request.headers().getAll(OperatorCalls.BASE_REV_HEADER),
                     new ByteBufInputStream(request.content().duplicate()),
                     request.content().nioBuffers());
         } catch (IllegalArgumentException | IllegalStateException e) {
             LOG.error("a configuration could not be checked", e);
-            return new OperatorCalls.Checked(null, new CallResponse(0, OperatorCalls.UNCLEAR, UNCHECKED));
+            return new OperatorCalls.ValidatedChange(
+                    null, new CallResponse(0, OperatorCalls.OUTCOME_UNKNOWN, VALIDATION_FAILED_BODY));
         }
     }
 
@@ -171,10 +175,10 @@
         int length = answer.status() == OperatorCalls.OK ? CompressedBytes.length(answer.body()) : 0;
         if (length == 0) {
             write(reply, answer);
-        } else if (!bodies.tryReserve(length)) {
-            write(reply, new CallResponse(0, OperatorCalls.UNCLEAR, NO_ROOM));
+        } else if (!bodyBudget.tryReserve(length)) {
+            write(reply, new CallResponse(0, OperatorCalls.OUTCOME_UNKNOWN, OVERLOADED_BODY));
         } else {
-            reply.onWritten(() -> bodies.release(length));
+            reply.onWritten(() -> bodyBudget.release(length));
             write(
                     reply,
                     new CallResponse(
@@ -190,54 +194,55 @@
                 HttpResponseStatus.valueOf(answer.status()),
                 headers,
                 Unpooled.wrappedBuffer(answer.body()),
-                answer.status() == OperatorCalls.UNCLEAR ? PAUSE_NANOS : 0);
+                answer.status() == OperatorCalls.OUTCOME_UNKNOWN ? RETRY_DELAY_NANOS : 0);
     }
 
     private MetricsPage metrics() {
-        Raft raft = machine.agreement().raft();
+        Raft raft = machine.raftDriver().raft();
         return new MetricsPage()
                 .violations()
                 .log()
                 .gauge("leads", "1 at the leader", raft.role() == Raft.Role.LEADER ? 1 : 0)
-                .gauge("in_touch", "1 where the leader's lease vouches for the state", machine.fresh() ? 1 : 0)
+                .gauge("in_touch", "1 where the leader's lease vouches for the state", machine.isFresh() ? 1 : 0)
                 .gauge("term", "The present term of the agreement", (double) raft.term())
                 .gauge("commit_index", "The last entry known to be committed", (double) raft.commitIndex())
                 .gauge("log_entries", "Entries behind the snapshot", (double) raft.logLength())
                 .gauge("voters", "Machines that vote", raft.voters().size())
                 .gauge("configuration_version", "The newest version that was applied here", (double)
-                        machine.agreement().history().rev())
-                .gauge("hosts", "Hosts on the list", machine.hosts().hosts().size())
-                .gauge("edges", "Edges that are linked here or known", machine.edges())
-                .counter("stalls", "How often the event loop stood still for half a second", (double) stalls.stalls())
+                        machine.raftDriver().history().rev())
+                .gauge("hosts", "Hosts on the list", machine.hostList().hosts().size())
+                .gauge("edges", "Edges that are linked here or known", machine.edgeCount())
+                .counter("stalls", "How often the event loop stood still for half a second", (double)
+                        stallWatch.stalls())
                 .gauge(
                         "longest_stall_seconds",
                         "The longest that the event loop stood still",
-                        (double) stalls.longestMillis() / TimeUnit.SECONDS.toMillis(1))
+                        (double) stallWatch.longestMillis() / TimeUnit.SECONDS.toMillis(1))
                 .gauge(
                         "calls_waiting",
                         "Operator's calls without an answer",
-                        machine.calls().waiting());
+                        machine.calls().pendingCount());
     }
 
     private String status() {
-        Raft raft = machine.agreement().raft();
+        Raft raft = machine.raftDriver().raft();
         StringBuilder json = new StringBuilder(256)
                 .append("{\"node\":\"")
-                .append(OperatorCalls.escaped(name))
+                .append(OperatorCalls.escapeJson(name))
                 .append("\",\"role\":\"")
                 .append(raft.role())
                 .append("\",\"fresh\":")
-                .append(machine.fresh())
+                .append(machine.isFresh())
                 .append(",\"term\":")
                 .append(raft.term())
                 .append(",\"commit\":")
                 .append(raft.commitIndex())
                 .append(",\"rev\":")
-                .append(machine.agreement().history().rev())
+                .append(machine.raftDriver().history().rev())
                 .append(",\"hosts\":")
-                .append(machine.hosts().hosts().size())
+                .append(machine.hostList().hosts().size())
                 .append(",\"edges\":")
-                .append(machine.edges())
+                .append(machine.edgeCount())
                 .append(",\"voters\":[");
         Iterator<tinworks.raft.Member> members = raft.voters().iterator();
         while (members.hasNext()) {
--- a/src/main/java/tinworks/control/Agreement.java
+++ b/src/main/java/tinworks/control/RaftDriver.java
@@ -18,44 +18,44 @@
  * Drives one {@link Raft}: time and messages in, writes to the disk, and then messages and applied commands out, in the
  * order that {@link Output} asks for. Knows neither sockets nor files nor threads; all methods belong to one thread.
  */
-final class Agreement {
+final class RaftDriver {
     /** What the agreement needs of the machine around it. */
-    interface Owner {
+    interface Callbacks {
         /** Sends a message to the member of this id; it may be lost. */
         void send(long to, Message message);
 
         /** Something was applied, or the role changed. */
-        void changed();
+        void stateChanged();
 
         /** A line for the operators. */
         void log(String line);
     }
 
     /** Behind the snapshot, whichever comes first: what a start reads, and what the log takes of the memory. */
-    static final int MOST_ENTRIES = 64;
+    static final int MAX_LOG_ENTRIES = 64;
 
-    static final int MOST_BYTES = 1 << 20;
+    static final int MAX_LOG_BYTES = 1 << 20;
 
     private final Raft raft;
     private final Disk disk;
     private final LongSupplier clock;
-    private final Owner owner;
+    private final Callbacks callbacks;
     private final ConfigurationHistory history = new ConfigurationHistory();
     private final Map<Long, Proposal> proposals = new HashMap<>();
     private final Map<Long, Consumer<Boolean>> reads = new HashMap<>();
     private long appliedIndex;
     private long appliedTerm;
-    private int writing;
+    private int pendingWrites;
     private Raft.Role lastRole = Raft.Role.FOLLOWER;
 
-    private record Proposal(long term, Consumer<Verdict> told) {}
+    private record Proposal(long term, Consumer<Verdict> callback) {}
 
     /** Goes by a clock of steady milliseconds. Nothing is done before {@link #pump}. */
-    Agreement(Raft raft, Disk disk, LongSupplier clock, Owner owner) {
+    RaftDriver(Raft raft, Disk disk, LongSupplier clock, Callbacks owner) {
         this.raft = raft;
         this.disk = disk;
         this.clock = clock;
-        this.owner = owner;
+        this.callbacks = owner;
     }
 
     Raft raft() {
@@ -107,25 +107,25 @@
     void pump() {
         Output output = raft.drain();
         if (!output.isEmpty()) {
-            if (output.mustSync() || writing > 0) {
-                writing++;
+            if (output.mustSync() || pendingWrites > 0) {
+                pendingWrites++;
                 disk.write(output, () -> {
-                    writing--;
-                    carryOut(output);
+                    pendingWrites--;
+                    completeOutput(output);
                 });
             } else {
-                carryOut(output);
+                completeOutput(output);
             }
         }
         if (raft.role() != lastRole) {
-            roleChanged();
+            onRoleChange();
         }
     }
 
-    private void carryOut(Output output) {
+    private void completeOutput(Output output) {
         raft.persisted(output);
         for (Output.Envelope envelope : output.messages()) {
-            owner.send(envelope.to(), envelope.message());
+            callbacks.send(envelope.to(), envelope.message());
         }
         if (output.restored() != null) {
             history.load(output.restored().state());
@@ -142,11 +142,11 @@
                 told.accept(true);
             }
         });
-        if (appliedIndex - raft.snapshotIndex() > MOST_ENTRIES || raft.logBytes(appliedIndex) > MOST_BYTES) {
+        if (appliedIndex - raft.snapshotIndex() > MAX_LOG_ENTRIES || raft.logBytes(appliedIndex) > MAX_LOG_BYTES) {
             raft.compact(appliedIndex, history.save());
         }
         if (output.restored() != null || !output.committed().isEmpty()) {
-            owner.changed();
+            callbacks.stateChanged();
         }
         pump();
     }
@@ -160,7 +160,7 @@
         Invariant.VERSION_RISES.check(history.rev() >= before, () -> history.rev() + " behind " + before);
         Proposal proposal = proposals.remove(entry.index());
         if (proposal != null) {
-            proposal.told().accept(proposal.term() == entry.term() ? verdict : null);
+            proposal.callback().accept(proposal.term() == entry.term() ? verdict : null);
         }
     }
 
@@ -171,7 +171,7 @@
                         + appliedTerm);
     }
 
-    private void roleChanged() {
+    private void onRoleChange() {
         lastRole = raft.role();
         if (lastRole != Raft.Role.LEADER) {
             List<Consumer<Boolean>> readers = new ArrayList<>(reads.values());
@@ -179,8 +179,8 @@
             readers.forEach(told -> told.accept(false));
             List<Proposal> open = new ArrayList<>(proposals.values());
             proposals.clear();
-            open.forEach(proposal -> proposal.told().accept(null));
+            open.forEach(proposal -> proposal.callback().accept(null));
         }
-        owner.changed();
+        callbacks.stateChanged();
     }
 }
--- a/src/main/java/tinworks/control/VoterPlan.java
+++ b/src/main/java/tinworks/control/VoterPlan.java
@@ -21,26 +21,26 @@
      * One that gets the log. {@code silentMillis} is how long it has said nothing; {@code leaves} that it is about to
      * end.
      */
-    record Seen(Member member, boolean caughtUp, long silentMillis, boolean leaves) {}
+    record ObservedMember(Member member, boolean caughtUp, long unresponsiveMillis, boolean shuttingDown) {}
 
     /** A restart takes less; a voter that is gone for longer is replaced where another can take its place. */
-    static final long GONE_MILLIS = 2_500;
+    static final long REPLACE_AFTER_MILLIS = 2_500;
     /**
      * Who was let go for its silence takes no silent voter's place for so long, or two that come and go would change
      * for ever.
      */
-    static final long REST_MILLIS = 20_000;
+    static final long REINSTATE_DELAY_MILLIS = 20_000;
     /** Who is alive answers a leader within less. */
-    static final long ANSWER_MILLIS = 500;
+    static final long RESPONSE_TIMEOUT_MILLIS = 500;
 
-    private static final long ALIVE_MILLIS = 1_000;
+    private static final long LIVENESS_MILLIS = 1_000;
 
-    private final int wanted;
-    private final Map<Long, Long> letGoAt = new HashMap<>();
+    private final int targetVoters;
+    private final Map<Long, Long> replacedAt = new HashMap<>();
 
     /** {@code losses} is how many voters may be lost at a time. */
     VoterPlan(int losses) {
-        wanted = 2 * losses + 1;
+        targetVoters = 2 * losses + 1;
     }
 
     /**
@@ -50,8 +50,8 @@
      * @param unanswered for how long it hasn't answered the leader, from the beginning of the term at most
      * @param unheard for how long the leader's machine has heard nothing of it, whoever led
      */
-    static long silentMillis(long unanswered, long unheard) {
-        boolean gone = unanswered > ANSWER_MILLIS && unheard > GONE_MILLIS;
+    static long unresponsiveMillis(long unanswered, long unheard) {
+        boolean gone = unanswered > RESPONSE_TIMEOUT_MILLIS && unheard > REPLACE_AFTER_MILLIS;
         return gone ? Math.max(unanswered, unheard) : unanswered;
     }
 
@@ -61,14 +61,14 @@
      * @param now steady milliseconds
      * @param self the leader, which stays
      */
-    Optional<List<Member>> next(long now, long self, List<Member> voters, List<Seen> others) {
-        letGoAt.values().removeIf(at -> now - at >= REST_MILLIS);
-        List<Seen> learners = others.stream()
-                .filter(o -> !voters.contains(o.member()) && o.silentMillis() < ALIVE_MILLIS)
+    Optional<List<Member>> next(long now, long self, List<Member> voters, List<ObservedMember> others) {
+        replacedAt.values().removeIf(at -> now - at >= REINSTATE_DELAY_MILLIS);
+        List<ObservedMember> learners = others.stream()
+                .filter(o -> !voters.contains(o.member()) && o.unresponsiveMillis() < LIVENESS_MILLIS)
                 .toList();
         List<Member> ready = new ArrayList<>(learners.stream()
-                .filter(l -> l.caughtUp() && !l.leaves())
-                .map(Seen::member)
+                .filter(l -> l.caughtUp() && !l.shuttingDown())
+                .map(ObservedMember::member)
                 .toList());
         List<Member> next = new ArrayList<>(voters);
         for (Member voter : voters) {
@@ -77,29 +77,31 @@
                     && learners.stream().anyMatch(l -> l.member().address().equals(voter.address()));
             if (replaced) {
                 successor(voter, learners, ready, others)
-                        .ifPresent(successor -> exchange(next, voter, successor, ready));
+                        .ifPresent(successor -> replace(next, voter, successor, ready));
             }
         }
-        for (Seen other : others) {
-            long silentSince = now - other.silentMillis();
+        for (ObservedMember other : others) {
+            long silentSince = now - other.unresponsiveMillis();
             Optional<Member> rested =
-                    ready.stream().filter(m -> mayTakePlace(m, silentSince)).findFirst();
-            if (next.contains(other.member()) && other.leaves() && !ready.isEmpty()) {
+                    ready.stream().filter(m -> mayReplace(m, silentSince)).findFirst();
+            if (next.contains(other.member()) && other.shuttingDown() && !ready.isEmpty()) {
                 // While all are there: once it has ended, one more loss might leave no majority.
-                exchange(next, other.member(), rested.orElse(ready.get(0)), ready);
-            } else if (next.contains(other.member()) && other.silentMillis() > GONE_MILLIS && rested.isPresent()) {
-                exchange(next, other.member(), rested.get(), ready);
+                replace(next, other.member(), rested.orElse(ready.get(0)), ready);
+            } else if (next.contains(other.member())
+                    && other.unresponsiveMillis() > REPLACE_AFTER_MILLIS
+                    && rested.isPresent()) {
+                replace(next, other.member(), rested.get(), ready);
             }
         }
-        while (next.size() < wanted && !ready.isEmpty()) {
+        while (next.size() < targetVoters && !ready.isEmpty()) {
             next.add(ready.remove(0));
         }
-        if (next.equals(voters) || !isQuorum(self, voters, others) || !isQuorum(self, next, others)) {
+        if (next.equals(voters) || !hasLiveMajority(self, voters, others) || !hasLiveMajority(self, next, others)) {
             return Optional.empty();
         }
         others.stream()
-                .filter(o -> voters.contains(o.member()) && !next.contains(o.member()) && !o.leaves())
-                .forEach(o -> letGoAt.put(o.member().id(), now));
+                .filter(o -> voters.contains(o.member()) && !next.contains(o.member()) && !o.shuttingDown())
+                .forEach(o -> replacedAt.put(o.member().id(), now));
         return Optional.of(next);
     }
 
@@ -107,9 +109,9 @@
      * Guards against two that come and go by turns and change places for ever: one that was let go takes the place only
      * of a voter that didn't answer any more by then.
      */
-    boolean mayTakePlace(Member learner, long silentSince) {
-        Long at = letGoAt.get(learner.id());
-        return at == null || silentSince + ANSWER_MILLIS < at;
+    boolean mayReplace(Member learner, long silentSince) {
+        Long at = replacedAt.get(learner.id());
+        return at == null || silentSince + RESPONSE_TIMEOUT_MILLIS < at;
     }
 
     /**
@@ -117,33 +119,35 @@
      * Where nobody has it the new one comes in without it: it can vote, and the old one never will again.
      */
     private static Optional<Member> successor(
-            Member voter, List<Seen> learners, List<Member> ready, List<Seen> others) {
+            Member voter, List<ObservedMember> learners, List<Member> ready, List<ObservedMember> others) {
         Member back = learners.stream()
-                .map(Seen::member)
+                .map(ObservedMember::member)
                 .filter(m -> m.address().equals(voter.address()))
                 .findFirst()
                 .orElseThrow();
         if (ready.isEmpty()) {
-            return answers(voter, others) ? Optional.empty() : Optional.of(back);
+            return isResponsive(voter, others) ? Optional.empty() : Optional.of(back);
         }
         return Optional.of(ready.contains(back) ? back : ready.get(0));
     }
 
     /** Guards against a late word of an earlier life, which would put an id that is gone in place of one that votes. */
-    private static boolean answers(Member voter, List<Seen> others) {
-        return others.stream().anyMatch(o -> o.member().equals(voter) && o.silentMillis() <= ANSWER_MILLIS);
+    private static boolean isResponsive(Member voter, List<ObservedMember> others) {
+        return others.stream()
+                .anyMatch(o -> o.member().equals(voter) && o.unresponsiveMillis() <= RESPONSE_TIMEOUT_MILLIS);
     }
 
-    private static void exchange(List<Member> next, Member gone, Member successor, List<Member> ready) {
+    private static void replace(List<Member> next, Member gone, Member successor, List<Member> ready) {
         next.set(next.indexOf(gone), successor);
         ready.remove(successor);
     }
 
     /** Guards against a change that can't be committed: it takes a majority of those before and of those to come. */
-    private static boolean isQuorum(long self, List<Member> voters, List<Seen> others) {
+    private static boolean hasLiveMajority(long self, List<Member> voters, List<ObservedMember> others) {
         long alive = voters.stream()
                 .filter(v -> v.id() == self
-                        || others.stream().anyMatch(o -> o.member().equals(v) && o.silentMillis() < ALIVE_MILLIS))
+                        || others.stream()
+                                .anyMatch(o -> o.member().equals(v) && o.unresponsiveMillis() < LIVENESS_MILLIS))
                 .count();
         return 2 * alive > voters.size();
     }
--- a/src/test/java/tinworks/control/ConfigurationFeedTest.java
+++ b/src/test/java/tinworks/control/ConfigurationFeedTest.java
@@ -138,7 +138,7 @@
             }
             take(json(version, routes, services, 1_000));
         }
-        assertTrue(feed.changes() > 0 && feed.changes() < 16, feed.changes() + " changes");
+        assertTrue(feed.retainedChanges() > 0 && feed.retainedChanges() < 16, feed.retainedChanges() + " changes");
         assertInstanceOf(PeerMessage.ConfigurationBody.class, feed.since(5));
         assertInstanceOf(PeerMessage.ConfigurationChanged.class, feed.since(19));
     }
--- a/src/test/java/tinworks/control/CoreMachineTest.java
+++ b/src/test/java/tinworks/control/CoreMachineTest.java
@@ -74,8 +74,8 @@
         Node leader = network.ready(3_000);
         network.run(network.now + 1_000);
         network.nodes.forEach(
-                node -> assertTrue(node.machine.fresh(), node.hello().node()));
-        assertTrue(leader.machine.leads());
+                node -> assertTrue(node.machine.isFresh(), node.hello().node()));
+        assertTrue(leader.machine.holdsLeaderLease());
         return leader;
     }
 
@@ -88,14 +88,14 @@
         network.cutOff(leader);
         network.run(network.now + LEASE_MILLIS);
         assertTrue(leader.raft().hasCommittedInCurrentTerm(), "it doesn't know yet that another may lead");
-        assertFalse(leader.machine.leads() || leader.machine.fresh());
+        assertFalse(leader.machine.holdsLeaderLease() || leader.machine.isFresh());
         Caller late = new Caller(NodeRole.EDGE, 78);
         leader.machine.opened(late);
         assertFalse(late.last().fresh() || late.last().leader());
         network.run(network.now + 3_000);
-        assertFalse(leader.machine.fresh());
+        assertFalse(leader.machine.isFresh());
         assertFalse(edge.last().fresh());
-        assertEquals(2, network.nodes.stream().filter(n -> n.machine.fresh()).count(), "the majority's side");
+        assertEquals(2, network.nodes.stream().filter(n -> n.machine.isFresh()).count(), "the majority's side");
     }
 
     @Test
@@ -105,8 +105,8 @@
                 network.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
         network.cutOff(follower);
         network.run(network.now + LEASE_MILLIS);
-        assertFalse(follower.machine.fresh());
-        assertTrue(leader.machine.leads());
+        assertFalse(follower.machine.isFresh());
+        assertTrue(leader.machine.holdsLeaderLease());
     }
 
     @Test
@@ -116,37 +116,37 @@
         leader.machine.opened(edge);
         leader.freeze();
         // What waits for it when it thaws, before any message of a later term.
-        leader.work(1, () -> leader.machine.listed(List.of(host("i-9"))));
-        leader.work(1, leader.machine::changed);
+        leader.work(1, () -> leader.machine.hostsFetched(List.of(host("i-9"))));
+        leader.work(1, leader.machine::stateChanged);
         network.run(network.now + 5_000);
         Node next = network.leader();
-        assertTrue(next != null && next != leader && next.machine.leads());
+        assertTrue(next != null && next != leader && next.machine.holdsLeaderLease());
         int heard = edge.heard.size();
         leader.thaw();
         edge.heard.subList(heard, edge.heard.size()).stream()
                 .filter(Announce.class::isInstance)
                 .map(Announce.class::cast)
                 .forEach(s -> assertFalse(s.leader() || s.fresh(), s.toString()));
-        assertTrue(leader.machine.hosts().version().isSameAs(HostListVersion.NONE), "a list from before");
+        assertTrue(leader.machine.hostList().version().isSameAs(HostListVersion.NONE), "a list from before");
         network.run(network.now + 1_000);
-        assertFalse(leader.machine.leads());
-        assertTrue(leader.machine.hosts().version().isSameAs(HostListVersion.NONE));
+        assertFalse(leader.machine.holdsLeaderLease());
+        assertTrue(leader.machine.hostList().version().isSameAs(HostListVersion.NONE));
     }
 
     @Test
     void aListThatIsFetchedWithoutALeaseIsToldOnceThatIsThereAgain() {
         Node leader = settled();
-        leader.machine.listed(List.of(host("i-1")));
-        HostListVersion first = leader.machine.hosts().version();
+        leader.machine.hostsFetched(List.of(host("i-1")));
+        HostListVersion first = leader.machine.hostList().version();
         assertTrue(first.isSameAs(new HostListVersion(leader.raft().term(), 1)));
         network.cutOff(leader);
         network.run(network.now + LEASE_MILLIS + 50);
-        leader.machine.listed(List.of(host("i-2")));
-        assertTrue(leader.machine.hosts().version().isSameAs(first));
+        leader.machine.hostsFetched(List.of(host("i-2")));
+        assertTrue(leader.machine.hostList().version().isSameAs(first));
         network.heal();
         network.run(network.now + 300);
-        assertTrue(leader.machine.leads(), "nobody else had the time to stand");
-        assertTrue(leader.machine.hosts().version().isSameAs(new HostListVersion(first.term(), 2)));
+        assertTrue(leader.machine.holdsLeaderLease(), "nobody else had the time to stand");
+        assertTrue(leader.machine.hostList().version().isSameAs(new HostListVersion(first.term(), 2)));
     }
 
     @Test
@@ -178,7 +178,7 @@
                 answersFromAnother((self, stored, disk, around) -> new CoreMachine(
                                 self, stored, disk, around, (machine, clock) -> new OperatorCalls(machine, clock) {
                                     @Override
-                                    boolean isAsked(PeerConnection passedTo, PeerConnection from) {
+                                    boolean isExpectedResponder(PeerConnection passedTo, PeerConnection from) {
                                         return true;
                                     }
                                 }))
--- a/src/test/java/tinworks/control/CoreNetwork.java
+++ b/src/test/java/tinworks/control/CoreNetwork.java
@@ -331,7 +331,7 @@
         }
 
         tinworks.raft.Raft raft() {
-            return machine.agreement().raft();
+            return machine.raftDriver().raft();
         }
 
         void start() {
@@ -391,7 +391,7 @@
         }
 
         @Override
-        public ConnectionManager links() {
+        public ConnectionManager connectionManager() {
             return this;
         }
 
@@ -401,7 +401,7 @@
         }
 
         @Override
-        public void fetchList(boolean wanted) {
+        public void setHostPolling(boolean wanted) {
             if (wanted != fetching) {
                 fetching = wanted;
                 fetches++;
@@ -416,7 +416,8 @@
             long asked = now;
             work(2 + random.nextInt(60), () -> {
                 if (fetching && fetches == mine) {
-                    machine.listed(List.of(new HostList.Host("i-" + asked, "s", "10.0.0.1:80", "z", 3, false, 0)));
+                    machine.hostsFetched(
+                            List.of(new HostList.Host("i-" + asked, "s", "10.0.0.1:80", "z", 3, false, 0)));
                     work(1_000, () -> {
                         if (fetches == mine) {
                             fetch(mine);
--- a/src/test/java/tinworks/control/LogMemoryTest.java
+++ b/src/test/java/tinworks/control/LogMemoryTest.java
@@ -43,7 +43,7 @@
                     new PersistentState(HardState.NONE, new Snapshot(0, 0, ALONE, new byte[0]), List.of()),
                     this::write,
                     this);
-            while (!core.agreement().raft().hasCommittedInCurrentTerm()) {
+            while (!core.raftDriver().raft().hasCommittedInCurrentTerm()) {
                 tick();
             }
         }
@@ -71,7 +71,7 @@
         }
 
         @Override
-        public ConnectionManager links() {
+        public ConnectionManager connectionManager() {
             return this;
         }
 
@@ -81,7 +81,7 @@
         }
 
         @Override
-        public void fetchList(boolean wanted) {}
+        public void setHostPolling(boolean wanted) {}
 
         @Override
         public void log(String line) {}
@@ -118,14 +118,14 @@
         int changes = 100;
         for (long rev = 1; rev <= changes; rev++) {
             assertEquals(200, send(machine, rev - 1, body(rev, 400_000)).get(0).status());
-            most = Math.max(most, machine.core.agreement().raft().logBytes(Long.MAX_VALUE));
+            most = Math.max(most, machine.core.raftDriver().raft().logBytes(Long.MAX_VALUE));
         }
-        assertTrue(most <= Agreement.MOST_BYTES + 2 * packed, most + " bytes of log");
+        assertTrue(most <= RaftDriver.MAX_LOG_BYTES + 2 * packed, most + " bytes of log");
         assertTrue(machine.snapshots * 4 <= changes, machine.snapshots + " snapshots for " + changes + " changes");
         assertTrue(
                 machine.snapshotBytes < changes * packed / 3,
                 "more is written for snapshots than a third of the changes");
-        assertEquals(changes, machine.core.agreement().history().rev());
+        assertEquals(changes, machine.core.raftDriver().history().rev());
     }
 
     @Test
@@ -133,7 +133,7 @@
         Machine machine = new Machine();
         for (long rev = 1; rev <= 300; rev++) {
             assertEquals(200, send(machine, rev - 1, body(rev, 100)).get(0).status());
-            assertTrue(machine.core.agreement().raft().logLength() <= Agreement.MOST_ENTRIES + 2);
+            assertTrue(machine.core.raftDriver().raft().logLength() <= RaftDriver.MAX_LOG_ENTRIES + 2);
         }
         assertTrue(machine.snapshots <= 5, machine.snapshots + " snapshots");
     }
@@ -153,18 +153,18 @@
             held += all.get(all.size() - 1).isEmpty() ? ConfigurationHistory.command(0, rev, body).length : 0;
         }
         long atOnce = all.stream()
-                .filter(answers -> !answers.isEmpty() && answers.get(0).status() == OperatorCalls.UNCLEAR)
+                .filter(answers -> !answers.isEmpty() && answers.get(0).status() == OperatorCalls.OUTCOME_UNKNOWN)
                 .count();
         assertTrue(atOnce > 0 && atOnce < 8, atOnce + " told at once");
-        assertTrue(held <= OperatorCalls.MOST_HELD, held + " bytes held");
+        assertTrue(held <= OperatorCalls.MAX_PENDING_BYTES, held + " bytes held");
         assertTrue(
-                machine.core.agreement().raft().logBytes(Long.MAX_VALUE) <= 2 * OperatorCalls.LONGEST_COMMAND,
+                machine.core.raftDriver().raft().logBytes(Long.MAX_VALUE) <= 2 * OperatorCalls.MAX_COMMAND_BYTES,
                 "written ahead");
         for (int i = 0; i < 40; i++) {
             machine.tick();
         }
         assertTrue(all.stream()
-                .allMatch(answers -> answers.size() == 1 && answers.get(0).status() == OperatorCalls.UNCLEAR));
+                .allMatch(answers -> answers.size() == 1 && answers.get(0).status() == OperatorCalls.OUTCOME_UNKNOWN));
         machine.stalls = false;
         while (!machine.stalled.isEmpty()) {
             machine.stalled.poll().run();
--- a/src/test/java/tinworks/control/Operators.java
+++ b/src/test/java/tinworks/control/Operators.java
@@ -120,7 +120,7 @@
     }
 
     private void heard(Order order, CallResponse answer) {
-        if (answer.status() == OperatorCalls.UNCLEAR) {
+        if (answer.status() == OperatorCalls.OUTCOME_UNKNOWN) {
             again(order);
         } else if (!order.clear) {
             order.clear = true;
@@ -138,7 +138,7 @@
             order.taken = true;
             assertEquals(order.rev, rev(answer), "confirmed under another's number: " + order);
             tell(order.rev);
-        } else if (answer.status() != OperatorCalls.UNCLEAR) {
+        } else if (answer.status() != OperatorCalls.OUTCOME_UNKNOWN) {
             order.refused = true;
         }
         assertFalse(order.taken && order.refused, "both taken and refused: " + order);
@@ -160,7 +160,7 @@
         node.work(
                 1,
                 () -> node.machine.calls().show(answer -> {
-                    if (answer.status() != OperatorCalls.UNCLEAR) {
+                    if (answer.status() != OperatorCalls.OUTCOME_UNKNOWN) {
                         long rev = answer.status() == OperatorCalls.OK ? rev(answer) : 0;
                         assertTrue(rev >= before, "shown " + rev + " after " + before);
                         tell(rev);
--- a/src/test/java/tinworks/control/OrdersTest.java
+++ b/src/test/java/tinworks/control/OrdersTest.java
@@ -79,7 +79,7 @@
         List<CallResponse> never = replace(leader, 8, Operators.configuration(9, "c"));
         network.run(network.now + 1_000);
         assertEquals(503, status(never), "a base that nobody knows");
-        assertEquals(0, leader.machine.calls().waiting());
+        assertEquals(0, leader.machine.calls().pendingCount());
         List<CallResponse> below = replace(leader, 8, Operators.configuration(8, "d"));
         network.run(network.now + 10);
         assertEquals(400, status(below), "whatever comes, it can't be taken");
@@ -111,7 +111,7 @@
             }
             Node led = network.ready(3_000);
             assertTrue(led.raft().commitIndex() > first);
-            assertEquals(3, led.machine.agreement().history().rev());
+            assertEquals(3, led.machine.raftDriver().history().rev());
             long confirmed = again.stream()
                     .filter(a -> !a.isEmpty() && a.get(0).status() == 200)
                     .count();
@@ -135,7 +135,7 @@
         network.nodes.forEach(n -> n.syncMillis = 4);
         network.run(network.now + 12_000);
         assertEquals(503, status(late), "one answer and no second one");
-        assertEquals(3, leader.machine.agreement().history().rev(), "it was taken later");
+        assertEquals(3, leader.machine.raftDriver().history().rev(), "it was taken later");
         List<CallResponse> again = replace(other(network, leader), 0, Operators.configuration(3, "a"));
         network.run(network.now + 400);
         assertEquals(200, status(again));
@@ -233,7 +233,7 @@
         network.heal();
         network.nodes.forEach(Node::thaw);
         network.run(network.now + 6_000);
-        ConfigurationHistory newest = network.ready(3_000).machine.agreement().history();
+        ConfigurationHistory newest = network.ready(3_000).machine.raftDriver().history();
         operators.check(newest);
         edges.forEach(edge -> assertTrue(
                 edge.core.rev() == newest.rev()
@@ -309,7 +309,7 @@
     void refusingWhatIsAheadOfTheBaseIsCaught() {
         assertCaught(with((machine, clock) -> new OperatorCalls(machine, clock) {
             @Override
-            boolean isAhead(long base, long current) {
+            boolean isBaseUnknown(long base, long current) {
                 return false;
             }
         }));
@@ -319,8 +319,8 @@
     void takingTheVerdictOfALeaderThatIsBehindForSettledIsCaught() {
         assertCaught(with((machine, clock) -> new OperatorCalls(machine, clock) {
             @Override
-            boolean isSettled(Verdict verdict, long base, long rev, long current) {
-                return super.isSettled(verdict, base, rev, current) || verdict == Verdict.CONFLICT;
+            boolean isFinal(Verdict verdict, long base, long rev, long current) {
+                return super.isFinal(verdict, base, rev, current) || verdict == Verdict.CONFLICT;
             }
         }));
     }
@@ -329,9 +329,9 @@
     void sayingThatItIsFreshFromWhatWasReceivedIsCaught() {
         assertCaught((self, stored, disk, around) -> new CoreMachine(self, stored, disk, around) {
             @Override
-            boolean fresh() {
-                return agreement().raft().role() == Raft.Role.LEADER
-                        || agreement().raft().leader() != 0;
+            boolean isFresh() {
+                return raftDriver().raft().role() == Raft.Role.LEADER
+                        || raftDriver().raft().leader() != 0;
             }
         });
     }
@@ -340,8 +340,8 @@
     void sayingThatItLeadsWithoutALeaseIsCaught() {
         assertCaught((self, stored, disk, around) -> new CoreMachine(self, stored, disk, around) {
             @Override
-            boolean leads() {
-                return agreement().raft().hasCommittedInCurrentTerm();
+            boolean holdsLeaderLease() {
+                return raftDriver().raft().hasCommittedInCurrentTerm();
             }
         });
     }
@@ -350,7 +350,7 @@
     void numberingAListWithoutALeaseIsCaught() {
         assertCaught((self, stored, disk, around) -> new CoreMachine(self, stored, disk, around) {
             @Override
-            boolean mayNumber() {
+            boolean mayVersionHostList() {
                 return true;
             }
         });
@@ -360,7 +360,7 @@
     void showingWithoutARoundOfHeartbeatsIsCaught() {
         assertCaught(with((machine, clock) -> new OperatorCalls(machine, clock) {
             @Override
-            void confirm(Agreement agreement, Consumer<Boolean> told) {
+            void confirmRead(RaftDriver agreement, Consumer<Boolean> told) {
                 told.accept(true);
             }
         }));
--- a/src/test/java/tinworks/control/SimulatedCore.java
+++ b/src/test/java/tinworks/control/SimulatedCore.java
@@ -143,9 +143,9 @@
 
     private void forgetRepeats() {
         try {
-            Field history = Agreement.class.getDeclaredField("history");
+            Field history = RaftDriver.class.getDeclaredField("history");
             history.setAccessible(true);
-            history.set(core.agreement(), ForgetfulHistory.make());
+            history.set(core.raftDriver(), ForgetfulHistory.make());
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
         }
@@ -186,16 +186,16 @@
         if (!machine.running()) {
             return;
         }
-        long until = machine.millis() + Core.RETIRE_MILLIS;
+        long until = machine.millis() + Core.SHUTDOWN_PREPARATION_MILLIS;
         machine.arrive(machine.life(), () -> retire(until));
     }
 
     private void retire(long until) {
-        if (core.retire() || machine.millis() >= until) {
+        if (core.prepareShutdown() || machine.millis() >= until) {
             core.close();
             machine.schedule(0, this::kill);
         } else {
-            machine.schedule(Core.RETIRE_AGAIN_MILLIS, () -> retire(until));
+            machine.schedule(Core.SHUTDOWN_POLL_MILLIS, () -> retire(until));
         }
     }
 
@@ -234,7 +234,7 @@
     }
 
     boolean leads() {
-        return running() && core.agreement().raft().role() == Raft.Role.LEADER;
+        return running() && core.raftDriver().raft().role() == Raft.Role.LEADER;
     }
 
     // ---- the operator's calls, on the machine's own thread
@@ -245,7 +245,7 @@
             core.calls().replace(List.of(Long.toString(base)), body, answer);
             if (flaw == Flaw.EARLY_VERDICT
                     && leads()
-                    && core.agreement().history().rev() == base
+                    && core.raftDriver().history().rev() == base
                     && open.contains(told)) {
                 String text = new String(body, StandardCharsets.UTF_8);
                 long rev = Order.revOf(text);
@@ -277,7 +277,7 @@
     }
 
     @Override
-    public ConnectionManager links() {
+    public ConnectionManager connectionManager() {
         return links;
     }
 
@@ -287,7 +287,7 @@
     }
 
     @Override
-    public void fetchList(boolean wanted) {
+    public void setHostPolling(boolean wanted) {
         if (wanted && !fetching) {
             fetch(++fetches);
         }
@@ -302,7 +302,7 @@
                 took,
                 () -> machine.arrive(life, () -> {
                     if (fetching && run == fetches) {
-                        core.listed(list);
+                        core.hostsFetched(list);
                         machine.schedule(POLL_MILLIS, () -> {
                             if (fetching && run == fetches) {
                                 fetch(run);
--- a/src/test/java/tinworks/control/SimulatedDay.java
+++ b/src/test/java/tinworks/control/SimulatedDay.java
@@ -383,8 +383,8 @@
         for (SimulatedCore core : may) {
             if (core.leads()
                     && (leader == null
-                            || core.core().agreement().raft().term()
-                                    > leader.core().agreement().raft().term())) {
+                            || core.core().raftDriver().raft().term()
+                                    > leader.core().raftDriver().raft().term())) {
                 leader = core;
             }
         }
@@ -745,7 +745,7 @@
 
     @Override
     public void worked(SimulatedCore core) {
-        Raft raft = core.core().agreement().raft();
+        Raft raft = core.core().raftDriver().raft();
         if (raft.role() != core.seenRole) {
             core.seenRole = raft.role();
             log(core.name + " is " + raft.role() + " in term " + raft.term());
@@ -757,14 +757,17 @@
                         "TWO LEADERS: " + before.name + " and " + core.name + " in term " + raft.term());
             }
         }
-        long rev = core.core().agreement().history().rev();
+        long rev = core.core().raftDriver().history().rev();
         if (rev != core.seenRev) {
             if (rev < core.seenRev) {
                 throw new HistoryCheck.Broken("WENT BACK: " + core.name + " from " + core.seenRev + " to " + rev);
             }
             core.seenRev = rev;
             check.inForce(
-                    check.order(Order.numberOf(core.core().agreement().history().body())), core.name, world.millis());
+                    check.order(
+                            Order.numberOf(core.core().raftDriver().history().body())),
+                    core.name,
+                    world.millis());
         }
     }
 
--- a/src/test/java/tinworks/control/SimulatedStore.java
+++ b/src/test/java/tinworks/control/SimulatedStore.java
@@ -62,9 +62,9 @@
             }
             if (id == 0) {
                 boolean first = bootstrap && seeds.contains(address);
-                id = first ? Core.firstId(address) : newId;
-                stored =
-                        new PersistentState(HardState.NONE, first ? Core.firstVoters(seeds) : Snapshot.NONE, List.of());
+                id = first ? Core.bootstrapId(address) : newId;
+                stored = new PersistentState(
+                        HardState.NONE, first ? Core.bootstrapVoters(seeds) : Snapshot.NONE, List.of());
             }
             return new Found(id, stored);
         }
--- a/src/test/java/tinworks/control/VoterPlanTest.java
+++ b/src/test/java/tinworks/control/VoterPlanTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import tinworks.control.VoterPlan.Seen;
+import tinworks.control.VoterPlan.ObservedMember;
 import tinworks.raft.Member;
 
 /** Which machines the leader makes voters. */
@@ -21,28 +21,28 @@
     private final VoterPlan plan = new VoterPlan(1);
     private long now = 100_000;
 
-    private Optional<List<Member>> next(List<Member> voters, Seen... others) {
+    private Optional<List<Member>> next(List<Member> voters, ObservedMember... others) {
         return plan.next(now, A.id(), voters, List.of(others));
     }
 
-    private static Seen alive(Member member) {
-        return new Seen(member, true, 100, false);
+    private static ObservedMember alive(Member member) {
+        return new ObservedMember(member, true, 100, false);
     }
 
-    private static Seen behind(Member member) {
-        return new Seen(member, false, 100, false);
+    private static ObservedMember behind(Member member) {
+        return new ObservedMember(member, false, 100, false);
     }
 
-    private static Seen silent(Member member) {
-        return new Seen(member, true, VoterPlan.GONE_MILLIS + 1, false);
+    private static ObservedMember silent(Member member) {
+        return new ObservedMember(member, true, VoterPlan.REPLACE_AFTER_MILLIS + 1, false);
     }
 
-    private static Seen silentFor(Member member, long millis) {
-        return new Seen(member, true, millis, false);
+    private static ObservedMember silentFor(Member member, long millis) {
+        return new ObservedMember(member, true, millis, false);
     }
 
-    private static Seen leaving(Member member) {
-        return new Seen(member, true, 100, true);
+    private static ObservedMember leaving(Member member) {
+        return new ObservedMember(member, true, 100, true);
     }
 
     @Test
@@ -80,7 +80,7 @@
 
     @Test
     void aMachineThatCameBackEmptyReplacesItsEarlierLifeOnceItHasTheLog() {
-        Seen before = new Seen(C, true, 500, false);
+        ObservedMember before = new ObservedMember(C, true, 500, false);
         assertEquals(Optional.empty(), next(List.of(A, B, C), alive(B), before, behind(C2)), "three stay three");
         assertEquals(Optional.of(List.of(A, B, C2)), next(List.of(A, B, C), alive(B), before, alive(C2)));
         assertEquals(
@@ -97,8 +97,8 @@
     @Test
     void aMachineThatCameBackEmptyReplacesItsSilentEarlierLifeWithoutTheLog() {
         List<Member> voters = List.of(A, B, C);
-        Seen answers = silentFor(C, VoterPlan.ANSWER_MILLIS);
-        Seen gone = silentFor(C, VoterPlan.ANSWER_MILLIS + 1);
+        ObservedMember answers = silentFor(C, VoterPlan.RESPONSE_TIMEOUT_MILLIS);
+        ObservedMember gone = silentFor(C, VoterPlan.RESPONSE_TIMEOUT_MILLIS + 1);
         assertEquals(Optional.of(List.of(A, B, C2)), next(voters, alive(B), gone, behind(C2)));
         assertEquals(
                 Optional.of(List.of(A, B, D)),
@@ -140,11 +140,11 @@
         List<Member> voters = new ArrayList<>(List.of(A, B, C));
         int changes = 0;
         for (long at = 0; at < 120_000; at += 50) {
-            List<Seen> seen = new ArrayList<>();
+            List<ObservedMember> seen = new ArrayList<>();
             for (Member member : List.of(B, C, D)) {
                 int turn = List.of(comeAndGo).indexOf(member);
                 long phase = (at + 2_500L * Math.max(turn, 0)) % 5_000;
-                seen.add(new Seen(member, true, turn < 0 ? 50 : phase <= 2_600 ? phase : 50, false));
+                seen.add(new ObservedMember(member, true, turn < 0 ? 50 : phase <= 2_600 ? phase : 50, false));
             }
             Optional<List<Member>> next = plan.next(now + at, A.id(), voters, seen);
             assertTrue(next.isEmpty() || next.get().size() == 3);
@@ -162,19 +162,21 @@
     @Test
     void twoThatComeAndGoByTurnsChangePlacesSeldom() {
         int changes = changes(plan, C, D);
-        assertTrue(changes >= 1 && changes <= 120_000 / VoterPlan.REST_MILLIS, changes + " changes in two minutes");
+        assertTrue(
+                changes >= 1 && changes <= 120_000 / VoterPlan.REINSTATE_DELAY_MILLIS,
+                changes + " changes in two minutes");
     }
 
     @Test
     void withoutTheirRestTwoThatComeAndGoByTurnsChangePlacesForEver() {
         VoterPlan restless = new VoterPlan(1) {
             @Override
-            boolean mayTakePlace(Member learner, long silentSince) {
+            boolean mayReplace(Member learner, long silentSince) {
                 return true;
             }
         };
         int changes = changes(restless, C, D);
-        assertTrue(changes > 120_000 / VoterPlan.REST_MILLIS, changes + " changes in two minutes");
+        assertTrue(changes > 120_000 / VoterPlan.REINSTATE_DELAY_MILLIS, changes + " changes in two minutes");
     }
 
     /** The first successor took the place of another voter, which then came back. */
@@ -191,11 +193,11 @@
                         List.of(A, B, C, D, E),
                         List.of(silent(B), alive(C), silent(D), alive(E), alive(f))));
         now += 1_000;
-        Seen stillSilent = silentFor(D, VoterPlan.GONE_MILLIS + 1_001);
+        ObservedMember stillSilent = silentFor(D, VoterPlan.REPLACE_AFTER_MILLIS + 1_001);
         assertEquals(
                 Optional.of(List.of(A, f, C, B, E)),
                 five.next(now, A.id(), next, List.of(alive(B), alive(C), stillSilent, alive(E), alive(f))));
-        Seen silentSince = silentFor(D, 1_000 + VoterPlan.ANSWER_MILLIS);
+        ObservedMember silentSince = silentFor(D, 1_000 + VoterPlan.RESPONSE_TIMEOUT_MILLIS);
         assertEquals(
                 Optional.empty(),
                 five.next(now + 2_000, A.id(), next, List.of(alive(B), alive(C), silentSince, alive(E), alive(f))));
@@ -203,12 +205,12 @@
 
     @Test
     void aVoterIsSilentForAsLongAsNothingWasHeardOfItOnceItDoesNotAnswer() {
-        long answered = VoterPlan.ANSWER_MILLIS;
-        long gone = VoterPlan.GONE_MILLIS + 1;
-        assertEquals(gone, VoterPlan.silentMillis(answered + 1, gone));
-        assertEquals(answered, VoterPlan.silentMillis(answered, gone), "the leader itself may have stood still");
-        assertEquals(answered + 1, VoterPlan.silentMillis(answered + 1, gone - 1));
-        assertEquals(gone + 1, VoterPlan.silentMillis(gone + 1, 0), "its disk stalls, though it says something");
+        long answered = VoterPlan.RESPONSE_TIMEOUT_MILLIS;
+        long gone = VoterPlan.REPLACE_AFTER_MILLIS + 1;
+        assertEquals(gone, VoterPlan.unresponsiveMillis(answered + 1, gone));
+        assertEquals(answered, VoterPlan.unresponsiveMillis(answered, gone), "the leader itself may have stood still");
+        assertEquals(answered + 1, VoterPlan.unresponsiveMillis(answered + 1, gone - 1));
+        assertEquals(gone + 1, VoterPlan.unresponsiveMillis(gone + 1, 0), "its disk stalls, though it says something");
     }
 
     @Test
@@ -219,7 +221,7 @@
         assertEquals(Optional.of(List.of(A, B, E)), next(List.of(A, B, D), alive(B), alive(C), silent(D), alive(E)));
         Member d2 = new Member(10, "d");
         assertEquals(Optional.of(List.of(A, B, C)), next(List.of(A, B, D), alive(B), alive(C), silent(D), behind(d2)));
-        now += VoterPlan.REST_MILLIS;
+        now += VoterPlan.REINSTATE_DELAY_MILLIS;
         assertEquals(Optional.of(List.of(A, B, C)), next(List.of(A, B, D), alive(B), alive(C), silent(D)));
     }
 }
