--- a/src/test/java/tinworks/channel/SimulatedNetwork.java
+++ b/src/test/java/tinworks/channel/SimulatedNetwork.java
@@ -16,7 +16,7 @@
 import tinworks.channel.PeerMessage.Hello;
 import tinworks.channel.PeerMessage.Ping;
 import tinworks.simulation.Machine;
-import tinworks.simulation.World;
+import tinworks.simulation.Simulator;
 
 /**
  * Connections between simulated machines, with the rules of {@link TcpConnectionManager} and {@link TcpPeerConnection}.
@@ -30,7 +30,7 @@
     private static final int DEFAULT_BYTES_PER_MILLI = 125_000;
     private static final long MAX_RETRANSMIT_MICROS = 400_000;
 
-    private final World world;
+    private final Simulator world;
     private final Map<String, Acceptor> acceptors = new HashMap<>();
     private final Set<List<Machine>> partitions = new HashSet<>();
     private final Set<Machine> throttled = new HashSet<>();
@@ -44,7 +44,7 @@
     private record Acceptor(Machine machine, long life, Hello localHello, PeerConnection.Listener listener) {}
 
     /** A network without anyone on it. */
-    public SimulatedNetwork(World world) {
+    public SimulatedNetwork(Simulator world) {
         this.world = world;
     }
 
@@ -61,7 +61,7 @@
         List.copyOf(blockedPipes).forEach(pipe -> {
             if (pipe.from == from && pipe.to == to) {
                 blockedPipes.remove(pipe);
-                world.later(world.random().nextLong(MAX_RETRANSMIT_MICROS), pipe::deliverDueFrames);
+                world.schedule(world.random().nextLong(MAX_RETRANSMIT_MICROS), pipe::deliverDueFrames);
             }
         });
     }
@@ -109,7 +109,7 @@
 
     /** Takes connections at the machine's address. */
     public void listen(Machine machine, Hello own, PeerConnection.Listener listener) {
-        acceptors.put(machine.address(), new Acceptor(machine, machine.life(), own, listener));
+        acceptors.put(machine.address(), new Acceptor(machine, machine.incarnation(), own, listener));
     }
 
     /** The connections that a process dials. */
@@ -148,7 +148,7 @@
             frames.add(new Frame(due, frame));
             busyPipes.add(this);
             pendingBytes += frame == null ? 0 : frame.length;
-            world.later(due - world.micros(), this::deliverDueFrames);
+            world.schedule(due - world.micros(), this::deliverDueFrames);
         }
 
         private long transmissionMicros(byte[] frame) {
@@ -169,7 +169,7 @@
                 transmittedMicros += transmissionMicros(frame.bytes);
                 long due = Math.min(frame.dueMicros, transmittedMicros + MIN_LATENCY_MICROS);
                 frames.add(new Frame(due, frame.bytes));
-                world.later(Math.max(0, due - world.micros()), this::deliverDueFrames);
+                world.schedule(Math.max(0, due - world.micros()), this::deliverDueFrames);
             }
         }
 
@@ -192,8 +192,8 @@
             if (receiver == null || connection.wasReset) {
                 return;
             }
-            if (receiver.life == to.life() && to.running()) {
-                to.arrive(receiver.life, () -> receiver.receive(frame));
+            if (receiver.life == to.incarnation() && to.running()) {
+                to.deliver(receiver.life, () -> receiver.receive(frame));
             } else if (to.powered() && frame != null) {
                 // Whoever came after knows nothing of the connection.
                 connection.opposite(this).enqueue(null);
@@ -226,7 +226,7 @@
             for (Pipe pipe : List.of(forward, reverse)) {
                 Endpoint end = pipe.receiver;
                 if (end != null) {
-                    pipe.to.arrive(end.life, end::notifyClosed);
+                    pipe.to.deliver(end.life, end::notifyClosed);
                 }
             }
         }
@@ -262,7 +262,7 @@
         Endpoint(
                 Machine machine, boolean dialled, Hello own, Listener listener, Connection connection, Runnable onEnd) {
             this.machine = machine;
-            life = machine.life();
+            life = machine.incarnation();
             this.outbound = dialled;
             this.localHello = own;
             this.listener = listener;
@@ -431,19 +431,19 @@
                 }
                 endpoint = null;
                 long dial = ++attempts;
-                long life = machine.life();
+                long life = machine.incarnation();
                 Machine far = machines.get(address);
                 machine.schedule(TcpConnectionManager.CONNECT_TIMEOUT_MILLIS, () -> connectFailed(dial));
-                world.later(randomLatencyMicros(), () -> {
+                world.schedule(randomLatencyMicros(), () -> {
                     if (far == null || !far.powered() || isPartitioned(machine, far) || isPartitioned(far, machine)) {
                         return;
                     }
                     Acceptor there = acceptors.get(address);
                     if (there == null) {
-                        world.later(randomLatencyMicros(), () -> machine.arrive(life, () -> connectFailed(dial)));
+                        world.schedule(randomLatencyMicros(), () -> machine.deliver(life, () -> connectFailed(dial)));
                         return;
                     }
-                    if (machine.life() != life) {
+                    if (machine.incarnation() != life) {
                         return;
                     }
                     Connection connection = new Connection(machine, far);
@@ -454,8 +454,8 @@
                     long back = randomLatencyMicros();
                     // What the far side says comes behind its consent.
                     connection.reverse.transmittedMicros = world.micros() + back;
-                    far.arrive(there.life, accepted::start);
-                    world.later(back, () -> machine.arrive(life, () -> connected(dial, dialling)));
+                    far.deliver(there.life, accepted::start);
+                    world.schedule(back, () -> machine.deliver(life, () -> connected(dial, dialling)));
                 });
             }
 
--- a/src/test/java/tinworks/channel/SimulatedNetworkTest.java
+++ b/src/test/java/tinworks/channel/SimulatedNetworkTest.java
@@ -12,14 +12,14 @@
 import tinworks.channel.PeerMessage.Leave;
 import tinworks.channel.PeerMessage.NodeRole;
 import tinworks.simulation.Machine;
-import tinworks.simulation.World;
+import tinworks.simulation.Simulator;
 
 /** What the simulated days rest on: links that are slow for a while. */
 class SimulatedNetworkTest {
     private static final int THROTTLED_BYTES_PER_MILLI = 1;
     private static final int MESSAGES = 1_000;
 
-    private final World world = new World(1);
+    private final Simulator world = new Simulator(1);
     private final SimulatedNetwork network = new SimulatedNetwork(world);
     private final Map<String, Machine> machines = new HashMap<>();
     private final Machine one = machine("10.0.0.1:1");
@@ -66,14 +66,14 @@
         network.listen(other, hello(other, 2), new CountingListener());
         network.connectionManager(one, machines, hello(one, 1), new CountingListener())
                 .setAddresses(Set.of(other.address()));
-        world.run(1_000);
+        world.runUntil(1_000);
         network.throttle(other, THROTTLED_BYTES_PER_MILLI);
         Collections.nCopies(MESSAGES, new Leave(1)).forEach(outbound::send);
-        world.run(1_500);
+        world.runUntil(1_500);
         int before = received;
         assertTrue(before < MESSAGES / 5, before + " came over the slow link");
         network.unthrottle(other);
-        world.run(1_520);
+        world.runUntil(1_520);
         assertEquals(MESSAGES, received);
     }
 }
--- a/src/test/java/tinworks/control/CoreMachineTest.java
+++ b/src/test/java/tinworks/control/CoreMachineTest.java
@@ -71,8 +71,8 @@
     }
 
     private Node settled() {
-        Node leader = network.ready(3_000);
-        network.run(network.now + 1_000);
+        Node leader = network.awaitLeader(3_000);
+        network.runUntil(network.nowMillis + 1_000);
         network.nodes.forEach(
                 node -> assertTrue(node.machine.isFresh(), node.hello().node()));
         assertTrue(leader.machine.holdsLeaderLease());
@@ -85,14 +85,14 @@
         Caller edge = new Caller(NodeRole.EDGE, 77);
         leader.machine.opened(edge);
         assertTrue(edge.last().fresh() && edge.last().leader());
-        network.cutOff(leader);
-        network.run(network.now + LEASE_MILLIS);
+        network.isolate(leader);
+        network.runUntil(network.nowMillis + LEASE_MILLIS);
         assertTrue(leader.raft().hasCommittedInCurrentTerm(), "it doesn't know yet that another may lead");
         assertFalse(leader.machine.holdsLeaderLease() || leader.machine.isFresh());
         Caller late = new Caller(NodeRole.EDGE, 78);
         leader.machine.opened(late);
         assertFalse(late.last().fresh() || late.last().leader());
-        network.run(network.now + 3_000);
+        network.runUntil(network.nowMillis + 3_000);
         assertFalse(leader.machine.isFresh());
         assertFalse(edge.last().fresh());
         assertEquals(2, network.nodes.stream().filter(n -> n.machine.isFresh()).count(), "the majority's side");
@@ -103,8 +103,8 @@
         Node leader = settled();
         Node follower =
                 network.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
-        network.cutOff(follower);
-        network.run(network.now + LEASE_MILLIS);
+        network.isolate(follower);
+        network.runUntil(network.nowMillis + LEASE_MILLIS);
         assertFalse(follower.machine.isFresh());
         assertTrue(leader.machine.holdsLeaderLease());
     }
@@ -116,9 +116,9 @@
         leader.machine.opened(edge);
         leader.freeze();
         // What waits for it when it thaws, before any message of a later term.
-        leader.work(1, () -> leader.machine.hostsFetched(List.of(host("i-9"))));
-        leader.work(1, leader.machine::stateChanged);
-        network.run(network.now + 5_000);
+        leader.scheduleInProcess(1, () -> leader.machine.hostsFetched(List.of(host("i-9"))));
+        leader.scheduleInProcess(1, leader.machine::stateChanged);
+        network.runUntil(network.nowMillis + 5_000);
         Node next = network.leader();
         assertTrue(next != null && next != leader && next.machine.holdsLeaderLease());
         int heard = edge.heard.size();
@@ -128,7 +128,7 @@
                 .map(Announce.class::cast)
                 .forEach(s -> assertFalse(s.leader() || s.fresh(), s.toString()));
         assertTrue(leader.machine.hostList().version().isSameAs(HostListVersion.NONE), "a list from before");
-        network.run(network.now + 1_000);
+        network.runUntil(network.nowMillis + 1_000);
         assertFalse(leader.machine.holdsLeaderLease());
         assertTrue(leader.machine.hostList().version().isSameAs(HostListVersion.NONE));
     }
@@ -139,12 +139,12 @@
         leader.machine.hostsFetched(List.of(host("i-1")));
         HostListVersion first = leader.machine.hostList().version();
         assertTrue(first.isSameAs(new HostListVersion(leader.raft().term(), 1)));
-        network.cutOff(leader);
-        network.run(network.now + LEASE_MILLIS + 50);
+        network.isolate(leader);
+        network.runUntil(network.nowMillis + LEASE_MILLIS + 50);
         leader.machine.hostsFetched(List.of(host("i-2")));
         assertTrue(leader.machine.hostList().version().isSameAs(first));
         network.heal();
-        network.run(network.now + 300);
+        network.runUntil(network.nowMillis + 300);
         assertTrue(leader.machine.holdsLeaderLease(), "nobody else had the time to stand");
         assertTrue(leader.machine.hostList().version().isSameAs(new HostListVersion(first.term(), 2)));
     }
@@ -153,17 +153,17 @@
     void aLeaderThatIsCutOffRefusesNothing() {
         Node leader = settled();
         List<CallResponse> answers = new ArrayList<>();
-        leader.machine.calls().replace(List.of("0"), Operators.configuration(3, "a"), answers::add);
-        network.run(network.now + 100);
-        leader.machine.calls().replace(List.of("0"), Operators.configuration(4, "b"), answers::add);
+        leader.machine.calls().replace(List.of("0"), Operators.configurationJson(3, "a"), answers::add);
+        network.runUntil(network.nowMillis + 100);
+        leader.machine.calls().replace(List.of("0"), Operators.configurationJson(4, "b"), answers::add);
         assertEquals(
                 List.of(200, 412), answers.stream().map(CallResponse::status).toList());
-        network.cutOff(leader);
-        network.run(network.now + LEASE_MILLIS);
-        leader.machine.calls().replace(List.of("0"), Operators.configuration(5, "c"), answers::add);
-        leader.machine.calls().replace(List.of("0"), Operators.configuration(3, "a"), answers::add);
+        network.isolate(leader);
+        network.runUntil(network.nowMillis + LEASE_MILLIS);
+        leader.machine.calls().replace(List.of("0"), Operators.configurationJson(5, "c"), answers::add);
+        leader.machine.calls().replace(List.of("0"), Operators.configurationJson(3, "a"), answers::add);
         leader.machine.calls().show(answers::add);
-        network.run(network.now + 1_000);
+        network.runUntil(network.nowMillis + 1_000);
         assertEquals(
                 List.of(200, 412, 200, 503, 503),
                 answers.stream().map(CallResponse::status).toList(),
@@ -187,14 +187,14 @@
     }
 
     /** What a caller is told when somebody else answers a call of the same number. */
-    private static List<CallResponse> answersFromAnother(CoreNetwork.Maker maker) {
+    private static List<CallResponse> answersFromAnother(CoreNetwork.CoreMachineFactory maker) {
         CoreNetwork network = new CoreNetwork(6, 3, maker);
-        Node leader = network.ready(3_000);
-        network.run(network.now + 500);
+        Node leader = network.awaitLeader(3_000);
+        network.runUntil(network.nowMillis + 500);
         Node asked = network.nodes.stream().filter(n -> n != leader).findFirst().orElseThrow();
         List<CallResponse> answers = new ArrayList<>();
         leader.freeze();
-        asked.machine.calls().replace(List.of("0"), Operators.configuration(3, "a"), answers::add);
+        asked.machine.calls().replace(List.of("0"), Operators.configurationJson(3, "a"), answers::add);
         asked.machine.received(new Caller(NodeRole.CORE, 9), new CallResponse(1, OperatorCalls.OK, new byte[0]));
         return answers;
     }
--- a/src/test/java/tinworks/control/CoreNetwork.java
+++ b/src/test/java/tinworks/control/CoreNetwork.java
@@ -36,30 +36,31 @@
  */
 final class CoreNetwork {
     /** A machine as the test wants it, sound or flawed. */
-    interface Maker {
-        CoreMachine make(CoreMachine.Identity self, PersistentState stored, Disk disk, CoreMachine.Environment around);
+    interface CoreMachineFactory {
+        CoreMachine create(
+                CoreMachine.Identity self, PersistentState stored, Disk disk, CoreMachine.Environment around);
     }
 
     private static final int SILENCE_MILLIS = 2_600;
 
     final SplittableRandom random;
     final List<Node> nodes = new ArrayList<>();
-    private final Maker maker;
+    private final CoreMachineFactory maker;
     private final List<Member> voters = new ArrayList<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparing(Event::order));
     private final Map<Set<SimulatedProcess>, Long> cuts = new HashMap<>();
-    long now = 1_000;
+    long nowMillis = 1_000;
     /** Whether leaders fetch a list of hosts. */
-    boolean listed;
+    boolean fetchesHostList;
     /** Told of each announcement as it is sent. */
-    BiConsumer<Node, Announce> announced = (node, announcement) -> {};
+    BiConsumer<Node, Announce> announceObserver = (node, announcement) -> {};
 
     private long order;
 
     private record Event(long at, long order, Runnable work) {}
 
-    CoreNetwork(long seed, int machines, Maker maker) {
+    CoreNetwork(long seed, int machines, CoreMachineFactory maker) {
         random = new SplittableRandom(seed);
         this.maker = maker;
         for (int i = 0; i < machines; i++) {
@@ -69,30 +70,30 @@
         nodes.forEach(Node::start);
     }
 
-    void later(long millis, Runnable work) {
-        events.add(new Event(now + millis, order++, work));
+    void schedule(long millis, Runnable work) {
+        events.add(new Event(nowMillis + millis, order++, work));
     }
 
-    void run(long until) {
+    void runUntil(long until) {
         while (!events.isEmpty() && events.peek().at() <= until) {
             Event event = events.poll();
-            now = event.at();
+            nowMillis = event.at();
             event.work().run();
         }
-        now = until;
+        nowMillis = until;
     }
 
     /** The machine that leads the highest term, null where none does. */
     Node leader() {
         return nodes.stream()
-                .filter(n -> n.up() && n.raft().hasCommittedInCurrentTerm())
+                .filter(n -> n.isRunning() && n.raft().hasCommittedInCurrentTerm())
                 .max(Comparator.comparingLong(n -> n.raft().term()))
                 .orElse(null);
     }
 
-    Node ready(long within) {
-        for (long until = now + within; now < until; ) {
-            run(now + 10);
+    Node awaitLeader(long within) {
+        for (long until = nowMillis + within; nowMillis < until; ) {
+            runUntil(nowMillis + 10);
             if (leader() != null) {
                 return leader();
             }
@@ -100,11 +101,11 @@
         throw new AssertionError("no leader within " + within + " ms");
     }
 
-    void cut(SimulatedProcess one, SimulatedProcess other) {
+    void partition(SimulatedProcess one, SimulatedProcess other) {
         Set<SimulatedProcess> pair = Set.of(one, other);
-        long at = now;
+        long at = nowMillis;
         if (cuts.putIfAbsent(pair, at) == null) {
-            later(SILENCE_MILLIS, () -> {
+            schedule(SILENCE_MILLIS, () -> {
                 if (Long.valueOf(at).equals(cuts.get(pair))) {
                     one.dropped(other);
                     other.dropped(one);
@@ -113,8 +114,8 @@
         }
     }
 
-    void cutOff(Node node) {
-        nodes.stream().filter(n -> n != node).forEach(n -> cut(node, n));
+    void isolate(Node node) {
+        nodes.stream().filter(n -> n != node).forEach(n -> partition(node, n));
     }
 
     void heal() {
@@ -137,16 +138,16 @@
 
         abstract PeerConnection.Listener listener();
 
-        abstract boolean up();
+        abstract boolean isRunning();
 
         /** Does something in this process, once it isn't frozen, unless its life is over by then. */
-        final void work(long millis, Runnable work) {
+        final void scheduleInProcess(long millis, Runnable work) {
             long mine = life;
-            later(millis, () -> inLife(mine, work));
+            schedule(millis, () -> inLife(mine, work));
         }
 
         private void inLife(long mine, Runnable work) {
-            if (life == mine && up()) {
+            if (life == mine && isRunning()) {
                 if (frozen) {
                     frozenWork.add(work);
                 } else {
@@ -187,7 +188,7 @@
         }
 
         private void dial(String address, Node target) {
-            if (!target.up() || isCut(this, target)) {
+            if (!target.isRunning() || isCut(this, target)) {
                 return;
             }
             End here = new End(this, target.hello(), true);
@@ -257,9 +258,9 @@
         }
 
         private void deliver(Runnable work) {
-            lastArrival = Math.max(lastArrival, now + 1 + random.nextInt(4));
+            lastArrival = Math.max(lastArrival, nowMillis + 1 + random.nextInt(4));
             long mine = itsLife;
-            later(lastArrival - now, () -> {
+            schedule(lastArrival - nowMillis, () -> {
                 if (isCut(owner, far.owner)) {
                     return;
                 }
@@ -290,7 +291,7 @@
         public void send(PeerMessage signal) {
             if (!closed) {
                 if (signal instanceof Announce s) {
-                    announced.accept((Node) owner, s);
+                    announceObserver.accept((Node) owner, s);
                 }
                 send(() -> {
                     if (far.isOpen()) {
@@ -305,7 +306,7 @@
             if (!closed) {
                 closed = true;
                 owner.ends.remove(this);
-                if (opened && owner.life == itsLife && owner.up()) {
+                if (opened && owner.life == itsLife && owner.isRunning()) {
                     owner.listener().closed(this);
                 }
                 send(() -> far.close("closed there"));
@@ -323,7 +324,7 @@
         private boolean fetching;
         private long fetches;
         /** How long each write takes at most. */
-        int syncMillis = 4;
+        int maxSyncMillis = 4;
 
         private Node(Member member) {
             this.member = member;
@@ -336,13 +337,13 @@
 
         void start() {
             fetching = false;
-            machine = maker.make(new CoreMachine.Identity(member.id(), member.address(), 1), synced, this, this);
+            machine = maker.create(new CoreMachine.Identity(member.id(), member.address(), 1), synced, this, this);
             tick();
         }
 
         private void tick() {
             machine.tick();
-            work(CoreMachine.TICK_MILLIS, this::tick);
+            scheduleInProcess(CoreMachine.TICK_MILLIS, this::tick);
         }
 
         /** Of what isn't synced, the disk keeps what had come first, up to some point. */
@@ -360,18 +361,18 @@
         @Override
         public void write(Output output, Runnable done) {
             unsynced.add(output);
-            diskFreeAt = Math.max(diskFreeAt, now) + (output.mustSync() ? 1 + random.nextInt(syncMillis) : 0);
+            diskFreeAt = Math.max(diskFreeAt, nowMillis) + (output.mustSync() ? 1 + random.nextInt(maxSyncMillis) : 0);
             long mine = life;
-            later(diskFreeAt - now, () -> {
-                if (life == mine && up()) {
+            schedule(diskFreeAt - nowMillis, () -> {
+                if (life == mine && isRunning()) {
                     synced = written(synced, unsynced.poll());
-                    work(0, done);
+                    scheduleInProcess(0, done);
                 }
             });
         }
 
         @Override
-        boolean up() {
+        boolean isRunning() {
             return machine != null;
         }
 
@@ -387,7 +388,7 @@
 
         @Override
         public long millis() {
-            return now;
+            return nowMillis;
         }
 
         @Override
@@ -405,7 +406,7 @@
             if (wanted != fetching) {
                 fetching = wanted;
                 fetches++;
-                if (fetching && listed) {
+                if (fetching && fetchesHostList) {
                     fetch(fetches);
                 }
             }
@@ -413,12 +414,12 @@
 
         /** As the poller does; the one host on the list bears the time at which it was asked for. */
         private void fetch(long mine) {
-            long asked = now;
-            work(2 + random.nextInt(60), () -> {
+            long asked = nowMillis;
+            scheduleInProcess(2 + random.nextInt(60), () -> {
                 if (fetching && fetches == mine) {
                     machine.hostsFetched(
                             List.of(new HostList.Host("i-" + asked, "s", "10.0.0.1:80", "z", 3, false, 0)));
-                    work(1_000, () -> {
+                    scheduleInProcess(1_000, () -> {
                         if (fetches == mine) {
                             fetch(mine);
                         }
@@ -437,19 +438,19 @@
     final class Edge extends SimulatedProcess implements CoreFollower.Callbacks {
         private final Hello hello = new Hello(NodeRole.EDGE, 1_000 + order, "", "edge", "z");
         private final Runnable changed;
-        final CoreFollower core;
+        final CoreFollower follower;
 
         /** Told of each change of what it holds. */
         Edge(Runnable changed) {
             this.changed = changed;
-            core = new CoreFollower(this);
+            follower = new CoreFollower(this);
             tick();
         }
 
         private void tick() {
-            setAddresses(
-                    core.addressesToDial(voters.stream().map(Member::address).toList()));
-            work(250, this::tick);
+            setAddresses(follower.addressesToDial(
+                    voters.stream().map(Member::address).toList()));
+            scheduleInProcess(250, this::tick);
         }
 
         @Override
@@ -459,24 +460,24 @@
 
         @Override
         PeerConnection.Listener listener() {
-            return core;
+            return follower;
         }
 
         @Override
-        boolean up() {
+        boolean isRunning() {
             return true;
         }
 
         @Override
         public long millis() {
-            return now;
+            return nowMillis;
         }
 
         @Override
         public void decode(long rev, Callable<Configuration> version) {
-            work(2, () -> {
+            scheduleInProcess(2, () -> {
                 try {
-                    core.apply(version.call());
+                    follower.apply(version.call());
                     changed.run();
                 } catch (Exception e) {
                     throw new AssertionError("version " + rev, e);
--- a/src/test/java/tinworks/control/Operators.java
+++ b/src/test/java/tinworks/control/Operators.java
@@ -65,7 +65,7 @@
         this.lost = lost;
     }
 
-    static byte[] configuration(long rev, String tag) {
+    static byte[] configurationJson(long rev, String tag) {
         return ("{\"rev\":" + rev + ",\"routes\":[],\"svcs\":[{\"name\":\"" + tag + "\"}]}")
                 .getBytes(StandardCharsets.UTF_8);
     }
@@ -79,14 +79,14 @@
      * Sends an order, unless eight are under way: on the newest known version, an older one, or one that is only
      * ordered yet.
      */
-    void order() {
+    void sendChange() {
         if (open < MOST) {
             open++;
             int chance = network.random.nextInt(10);
             Order last = orders.isEmpty() ? null : orders.get(orders.size() - 1);
             long base = chance == 0 && last != null ? last.rev : chance == 1 && last != null ? last.base : known;
             long rev = Math.max(1, base + 1 + network.random.nextInt(3) - (chance == 2 ? 3 : 0));
-            Order order = new Order(base, rev, configuration(rev, "s" + orders.size()));
+            Order order = new Order(base, rev, configurationJson(rev, "s" + orders.size()));
             orders.add(order);
             send(order);
         }
@@ -99,19 +99,19 @@
     private void send(Order order) {
         CoreNetwork.Node node = any();
         boolean[] over = {false};
-        node.work(
+        node.scheduleInProcess(
                 1 + network.random.nextInt(4),
                 () -> node.machine.calls().replace(List.of(Long.toString(order.base)), order.body, answer -> {
                     judge(order, answer);
                     boolean heard = network.random.nextDouble() >= lost;
-                    network.later(1 + network.random.nextInt(4), () -> {
+                    network.schedule(1 + network.random.nextInt(4), () -> {
                         if (heard && !over[0]) {
                             over[0] = true;
                             heard(order, answer);
                         }
                     });
                 }));
-        network.later(PATIENCE_MILLIS, () -> {
+        network.schedule(PATIENCE_MILLIS, () -> {
             if (!over[0]) {
                 over[0] = true;
                 again(order);
@@ -130,7 +130,7 @@
     }
 
     private void again(Order order) {
-        network.later(50 + network.random.nextInt(300), () -> send(order));
+        network.schedule(50 + network.random.nextInt(300), () -> send(order));
     }
 
     private void judge(Order order, CallResponse answer) {
@@ -145,19 +145,19 @@
     }
 
     private void tell(long rev) {
-        told.put(network.now, Math.max(rev, newestTold(network.now)));
+        told.put(network.nowMillis, Math.max(rev, newestReported(network.nowMillis)));
     }
 
     /** The newest version that anybody was told of up to that time. */
-    long newestTold(long at) {
+    long newestReported(long at) {
         return told.floorEntry(at).getValue();
     }
 
     /** Reads what is newest; it is never older than what anybody was told before the call. */
     void show() {
         CoreNetwork.Node node = any();
-        long before = newestTold(network.now);
-        node.work(
+        long before = newestReported(network.nowMillis);
+        node.scheduleInProcess(
                 1,
                 () -> node.machine.calls().show(answer -> {
                     if (answer.status() != OperatorCalls.OUTCOME_UNKNOWN) {
@@ -170,7 +170,7 @@
     }
 
     /** All that was said against what is in the log of a machine that is up to date. */
-    void check(ConfigurationHistory history) {
+    void checkAgainst(ConfigurationHistory history) {
         List<Long> bases = new ArrayList<>();
         for (Order order : orders) {
             byte[] command = ConfigurationHistory.command(order.base, order.rev, order.body);
--- a/src/test/java/tinworks/control/OrdersTest.java
+++ b/src/test/java/tinworks/control/OrdersTest.java
@@ -26,7 +26,7 @@
 
     private static List<CallResponse> replace(Node node, long base, byte[] body) {
         List<CallResponse> answers = new ArrayList<>();
-        node.work(1, () -> node.machine.calls().replace(List.of(Long.toString(base)), body, answers::add));
+        node.scheduleInProcess(1, () -> node.machine.calls().replace(List.of(Long.toString(base)), body, answers::add));
         return answers;
     }
 
@@ -45,20 +45,20 @@
     @Test
     void aRepeatIsConfirmedUnderItsOwnNumberAlsoWhenALaterOneIsInForce() {
         CoreNetwork network = new CoreNetwork(1, 3, CoreMachine::new);
-        network.ready(3_000);
-        byte[] first = Operators.configuration(2, "a");
+        network.awaitLeader(3_000);
+        byte[] first = Operators.configurationJson(2, "a");
         for (Node node : network.nodes) {
             List<CallResponse> answers = replace(node, 0, first);
-            network.run(network.now + 200);
+            network.runUntil(network.nowMillis + 200);
             assertEquals(200, status(answers));
             assertEquals(2, Operators.rev(answers.get(0)));
         }
-        List<CallResponse> next = replace(network.nodes.get(0), 2, Operators.configuration(9, "b"));
-        network.run(network.now + 200);
+        List<CallResponse> next = replace(network.nodes.get(0), 2, Operators.configurationJson(9, "b"));
+        network.runUntil(network.nowMillis + 200);
         assertEquals(9, Operators.rev(next.get(0)));
         for (Node node : network.nodes) {
             List<CallResponse> again = replace(node, 0, first);
-            network.run(network.now + 200);
+            network.runUntil(network.nowMillis + 200);
             assertEquals(200, status(again));
             assertEquals(2, Operators.rev(again.get(0)), "another's number");
         }
@@ -68,20 +68,20 @@
     @Test
     void anOrderOnAVersionThatIsStillUnderWayIsNotRefused() {
         CoreNetwork network = new CoreNetwork(2, 3, CoreMachine::new);
-        Node leader = network.ready(3_000);
-        byte[] second = Operators.configuration(4, "b");
+        Node leader = network.awaitLeader(3_000);
+        byte[] second = Operators.configurationJson(4, "b");
         List<CallResponse> early = replace(leader, 3, second);
-        network.run(network.now + 300);
-        List<CallResponse> first = replace(leader, 0, Operators.configuration(3, "a"));
-        network.run(network.now + 300);
+        network.runUntil(network.nowMillis + 300);
+        List<CallResponse> first = replace(leader, 0, Operators.configurationJson(3, "a"));
+        network.runUntil(network.nowMillis + 300);
         assertEquals(200, status(first));
         assertEquals(200, status(early), "it waits for what it builds on");
-        List<CallResponse> never = replace(leader, 8, Operators.configuration(9, "c"));
-        network.run(network.now + 1_000);
+        List<CallResponse> never = replace(leader, 8, Operators.configurationJson(9, "c"));
+        network.runUntil(network.nowMillis + 1_000);
         assertEquals(503, status(never), "a base that nobody knows");
         assertEquals(0, leader.machine.calls().pendingCount());
-        List<CallResponse> below = replace(leader, 8, Operators.configuration(8, "d"));
-        network.run(network.now + 10);
+        List<CallResponse> below = replace(leader, 8, Operators.configurationJson(8, "d"));
+        network.runUntil(network.nowMillis + 10);
         assertEquals(400, status(below), "whatever comes, it can't be taken");
     }
 
@@ -89,12 +89,12 @@
     void anOrderWhoseFirstCopyANewLeaderHoldsIsTakenOnce() {
         for (long seed = 0; seed < 20; seed++) {
             CoreNetwork network = new CoreNetwork(seed, 3, CoreMachine::new);
-            Node leader = network.ready(3_000);
-            byte[] body = Operators.configuration(3, "a");
+            Node leader = network.awaitLeader(3_000);
+            byte[] body = Operators.configurationJson(3, "a");
             List<CallResponse> lost = replace(leader, 0, body);
             Node next = other(network, leader);
             while (next.raft().lastIndex() == leader.raft().commitIndex()) {
-                network.run(network.now + 1);
+                network.runUntil(network.nowMillis + 1);
             }
             long first = next.raft().lastIndex();
             leader.kill();
@@ -102,14 +102,14 @@
             List<List<CallResponse>> again = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
                 again.add(replace(network.nodes.get(i % 3), 0, body));
-                again.add(replace(next, 0, Operators.configuration(3, "another's")));
-                network.run(network.now + 200);
+                again.add(replace(next, 0, Operators.configurationJson(3, "another's")));
+                network.runUntil(network.nowMillis + 200);
             }
-            network.run(network.now + 1_000);
+            network.runUntil(network.nowMillis + 1_000);
             for (List<CallResponse> answers : again) {
                 answers.forEach(a -> assertTrue(a.status() != 200 || Operators.rev(a) == 3));
             }
-            Node led = network.ready(3_000);
+            Node led = network.awaitLeader(3_000);
             assertTrue(led.raft().commitIndex() > first);
             assertEquals(3, led.machine.raftDriver().history().rev());
             long confirmed = again.stream()
@@ -125,19 +125,19 @@
     @Test
     void aVerdictThatComesAfterTheCallersTimeIsLeftUnclearAndItsRepeatConfirmed() {
         CoreNetwork network = new CoreNetwork(3, 3, CoreMachine::new);
-        Node leader = network.ready(3_000);
-        network.nodes.stream().filter(n -> n != leader).forEach(n -> network.cut(n, leader));
-        List<CallResponse> late = replace(leader, 0, Operators.configuration(3, "a"));
-        network.run(network.now + 300);
-        network.nodes.forEach(n -> n.syncMillis = 3_000);
+        Node leader = network.awaitLeader(3_000);
+        network.nodes.stream().filter(n -> n != leader).forEach(n -> network.partition(n, leader));
+        List<CallResponse> late = replace(leader, 0, Operators.configurationJson(3, "a"));
+        network.runUntil(network.nowMillis + 300);
+        network.nodes.forEach(n -> n.maxSyncMillis = 3_000);
         network.heal();
-        network.run(network.now + 200);
-        network.nodes.forEach(n -> n.syncMillis = 4);
-        network.run(network.now + 12_000);
+        network.runUntil(network.nowMillis + 200);
+        network.nodes.forEach(n -> n.maxSyncMillis = 4);
+        network.runUntil(network.nowMillis + 12_000);
         assertEquals(503, status(late), "one answer and no second one");
         assertEquals(3, leader.machine.raftDriver().history().rev(), "it was taken later");
-        List<CallResponse> again = replace(other(network, leader), 0, Operators.configuration(3, "a"));
-        network.run(network.now + 400);
+        List<CallResponse> again = replace(other(network, leader), 0, Operators.configurationJson(3, "a"));
+        network.runUntil(network.nowMillis + 400);
         assertEquals(200, status(again));
     }
 
@@ -145,27 +145,27 @@
     @Test
     void aNewLeaderShowsNothingBeforeItHasCommittedInItsTerm() {
         CoreNetwork network = new CoreNetwork(4, 3, CoreMachine::new);
-        Node old = network.ready(3_000);
-        List<CallResponse> taken = replace(old, 0, Operators.configuration(3, "a"));
-        network.run(network.now + 300);
+        Node old = network.awaitLeader(3_000);
+        List<CallResponse> taken = replace(old, 0, Operators.configurationJson(3, "a"));
+        network.runUntil(network.nowMillis + 300);
         assertEquals(200, status(taken));
         old.kill();
         Node next = null;
         while (next == null) {
-            network.run(network.now + 1);
+            network.runUntil(network.nowMillis + 1);
             next = network.nodes.stream()
-                    .filter(n -> n.up() && n.raft().role() == Raft.Role.LEADER)
+                    .filter(n -> n.isRunning() && n.raft().role() == Raft.Role.LEADER)
                     .findFirst()
                     .orElse(null);
         }
         List<CallResponse> shown = new ArrayList<>();
-        network.cut(next, other(network, next, old));
+        network.partition(next, other(network, next, old));
         next.machine.calls().show(shown::add);
         assertFalse(next.raft().hasCommittedInCurrentTerm());
-        network.run(network.now + 300);
+        network.runUntil(network.nowMillis + 300);
         assertEquals(0, shown.size());
         network.heal();
-        network.run(network.now + 1_000);
+        network.runUntil(network.nowMillis + 1_000);
         assertEquals(200, status(shown));
         assertEquals(3, Operators.rev(shown.get(0)));
     }
@@ -175,12 +175,12 @@
         if (s.leader()) {
             network.nodes.forEach(n -> assertTrue(
                     n == node
-                            || !n.up()
+                            || !n.isRunning()
                             || !n.raft().hasCommittedInCurrentTerm()
                             || n.raft().term() < s.term(),
                     node.hello().node() + " leads beside " + n.hello().node()));
         }
-        long told = operators.newestTold(network.now - LEASE_MILLIS);
+        long told = operators.newestReported(network.nowMillis - LEASE_MILLIS);
         assertTrue(
                 !s.fresh() || s.rev() >= told, node.hello().node() + " is fresh with " + s.rev() + " behind " + told);
     }
@@ -194,32 +194,34 @@
         boolean[] served = {false};
         long[] fetched = {0};
         edge[0] = network.new Edge(() -> {
-            for (HostList.Host host : edge[0].core.hostList().hosts()) {
+            for (HostList.Host host : edge[0].follower.hostList().hosts()) {
                 long asked = Long.parseLong(host.id().substring(2));
                 assertTrue(asked >= fetched[0], "a list of " + asked + " after one of " + fetched[0]);
                 fetched[0] = asked;
             }
-            if (edge[0].core.hasBeenUpToDate() && !served[0]) {
+            if (edge[0].follower.hasBeenUpToDate() && !served[0]) {
                 served[0] = true;
-                long told = operators.newestTold(network.now - LEASE_MILLIS - WAY_MILLIS);
-                assertTrue(edge[0].core.rev() >= told, "an edge serves with " + edge[0].core.rev() + " behind " + told);
+                long told = operators.newestReported(network.nowMillis - LEASE_MILLIS - WAY_MILLIS);
+                assertTrue(
+                        edge[0].follower.rev() >= told,
+                        "an edge serves with " + edge[0].follower.rev() + " behind " + told);
             }
         });
         return edge[0];
     }
 
     /** One run: faults for some seconds, then calm, then everything said is checked. */
-    private static Operators play(long seed, CoreNetwork.Maker maker) {
+    private static Operators play(long seed, CoreNetwork.CoreMachineFactory maker) {
         CoreNetwork network = new CoreNetwork(seed, 3, maker);
-        network.listed = true;
-        network.ready(3_000);
+        network.fetchesHostList = true;
+        network.awaitLeader(3_000);
         Operators operators = new Operators(network, 0.3);
-        network.announced = (node, s) -> check(network, operators, node, s);
+        network.announceObserver = (node, s) -> check(network, operators, node, s);
         List<CoreNetwork.Edge> edges = new ArrayList<>();
-        long end = network.now + 6_000;
-        while (network.now < end) {
-            network.run(network.now + 20 + network.random.nextInt(120));
-            operators.order();
+        long end = network.nowMillis + 6_000;
+        while (network.nowMillis < end) {
+            network.runUntil(network.nowMillis + 20 + network.random.nextInt(120));
+            operators.sendChange();
             if (network.random.nextInt(4) == 0) {
                 operators.show();
             }
@@ -232,14 +234,15 @@
         }
         network.heal();
         network.nodes.forEach(Node::thaw);
-        network.run(network.now + 6_000);
-        ConfigurationHistory newest = network.ready(3_000).machine.raftDriver().history();
-        operators.check(newest);
+        network.runUntil(network.nowMillis + 6_000);
+        ConfigurationHistory newest =
+                network.awaitLeader(3_000).machine.raftDriver().history();
+        operators.checkAgainst(newest);
         edges.forEach(edge -> assertTrue(
-                edge.core.rev() == newest.rev()
-                        && edge.core.hasBeenUpToDate()
-                        && !edge.core.hostList().hosts().isEmpty(),
-                edge.core.rev() + " at an edge, not " + newest.rev()));
+                edge.follower.rev() == newest.rev()
+                        && edge.follower.hasBeenUpToDate()
+                        && !edge.follower.hostList().hosts().isEmpty(),
+                edge.follower.rev() + " at an edge, not " + newest.rev()));
         return operators;
     }
 
@@ -251,22 +254,22 @@
         long millis = 100L + network.random.nextInt(2_000);
         switch (network.random.nextInt(4)) {
             case 0 -> {
-                network.cutOff(node);
-                network.later(millis, network::heal);
+                network.isolate(node);
+                network.schedule(millis, network::heal);
             }
             case 1 -> {
                 node.freeze();
-                network.later(millis, node::thaw);
+                network.schedule(millis, node::thaw);
             }
             case 2 -> {
-                if (node.up()) {
+                if (node.isRunning()) {
                     node.kill();
-                    network.later(millis / 2, node::start);
+                    network.schedule(millis / 2, node::start);
                 }
             }
             default -> {
-                node.syncMillis = 400;
-                network.later(millis, () -> node.syncMillis = 4);
+                node.maxSyncMillis = 400;
+                network.schedule(millis, () -> node.maxSyncMillis = 4);
             }
         }
     }
@@ -290,11 +293,11 @@
                 acknowledged + " acknowledged, " + refused + " refused");
     }
 
-    private static CoreNetwork.Maker with(BiFunction<CoreMachine, LongSupplier, OperatorCalls> handled) {
+    private static CoreNetwork.CoreMachineFactory with(BiFunction<CoreMachine, LongSupplier, OperatorCalls> handled) {
         return (self, stored, disk, around) -> new CoreMachine(self, stored, disk, around, handled);
     }
 
-    private static void assertCaught(CoreNetwork.Maker flawed) {
+    private static void assertCaught(CoreNetwork.CoreMachineFactory flawed) {
         for (long seed = 0; seed < RUNS; seed++) {
             try {
                 play(seed, flawed);
--- a/src/test/java/tinworks/control/SimulatedCore.java
+++ b/src/test/java/tinworks/control/SimulatedCore.java
@@ -25,7 +25,7 @@
 import tinworks.raft.PersistentState;
 import tinworks.raft.Raft;
 import tinworks.simulation.Machine;
-import tinworks.simulation.World;
+import tinworks.simulation.Simulator;
 
 /** A core machine of the simulation: the production {@link CoreMachine} with a simulated clock, network and disk. */
 final class SimulatedCore implements CoreMachine.Environment {
@@ -47,7 +47,7 @@
 
     final Machine machine;
     final String name;
-    private final World world;
+    private final Simulator world;
     private final SimulatedNetwork network;
     private final Map<String, Machine> machines;
     private final SimulatedStore store;
@@ -76,7 +76,7 @@
     Raft.Role seenRole;
 
     SimulatedCore(
-            World world,
+            Simulator world,
             SimulatedNetwork network,
             Map<String, Machine> machines,
             String name,
@@ -117,7 +117,7 @@
         if (found == null) {
             // The process ends and is started again.
             machine.kill();
-            world.later(START_AGAIN_MICROS, () -> {
+            world.schedule(START_AGAIN_MICROS, () -> {
                 if (machine.powered() && !machine.running() && !gone) {
                     start(false, itsSeeds);
                 }
@@ -129,7 +129,7 @@
         if (flaw == Flaw.VOTE_FORGOTTEN) {
             stored = new PersistentState(HardState.NONE, stored.snapshot(), stored.entries());
         }
-        writer = new Writer(machine.life());
+        writer = new Writer(machine.incarnation());
         core = new CoreMachine(new CoreMachine.Identity(found.id(), machine.address(), losses), stored, writer, this);
         if (flaw == Flaw.REPEATS_FORGOTTEN) {
             forgetRepeats();
@@ -187,7 +187,7 @@
             return;
         }
         long until = machine.millis() + Core.SHUTDOWN_PREPARATION_MILLIS;
-        machine.arrive(machine.life(), () -> retire(until));
+        machine.deliver(machine.incarnation(), () -> retire(until));
     }
 
     private void retire(long until) {
@@ -296,11 +296,11 @@
 
     private void fetch(long run) {
         long took = 3_000L + random.nextInt(10_000);
-        long life = machine.life();
+        long life = machine.incarnation();
         List<HostList.Host> list = around.platform();
-        world.later(
+        world.schedule(
                 took,
-                () -> machine.arrive(life, () -> {
+                () -> machine.deliver(life, () -> {
                     if (fetching && run == fetches) {
                         core.hostsFetched(list);
                         machine.schedule(POLL_MILLIS, () -> {
@@ -335,7 +335,7 @@
         public void write(Output output, Runnable done) {
             if (flaw == Flaw.SYNC_SKIPPED) {
                 // Said to be on the disk at once, and there a good while later.
-                world.later(0, () -> machine.arrive(life, done));
+                world.schedule(0, () -> machine.deliver(life, done));
                 writes.add(new Write(output, () -> {}));
             } else {
                 writes.add(new Write(output, done));
@@ -352,14 +352,14 @@
         }
 
         private void sync(long micros) {
-            world.later(micros, () -> {
-                if (machine.life() != life || !machine.running()) {
+            world.schedule(micros, () -> {
+                if (machine.incarnation() != life || !machine.running()) {
                     return;
                 }
                 Write write = writes.peek();
                 if (store.write(write.output)) {
                     writes.poll();
-                    machine.arrive(life, () -> {
+                    machine.deliver(life, () -> {
                         write.done.run();
                         busy = false;
                         next();
--- a/src/test/java/tinworks/control/SimulatedDay.java
+++ b/src/test/java/tinworks/control/SimulatedDay.java
@@ -17,7 +17,7 @@
 import tinworks.edge.StaleVersionFollower;
 import tinworks.raft.Raft;
 import tinworks.simulation.Machine;
-import tinworks.simulation.World;
+import tinworks.simulation.Simulator;
 
 /**
  * A day of the control side: core machines, edges and operators on one simulated network, troubles at their times, and
@@ -191,7 +191,7 @@
     private static final int SLOW_BYTES_PER_MILLI = 40;
 
     private final Settings settings;
-    private final World world;
+    private final Simulator world;
     private final SplittableRandom random;
     private final SimulatedNetwork network;
     private final Map<String, Machine> machines = new HashMap<>();
@@ -218,7 +218,7 @@
 
     private SimulatedDay(Settings settings) {
         this.settings = settings;
-        world = new World(settings.seed);
+        world = new Simulator(settings.seed);
         random = world.random().split();
         network = new SimulatedNetwork(world);
         operators = new SimulatedOperators(world, check, this::listed, this::orderSent);
@@ -248,7 +248,7 @@
 
     private void run() {
         begin();
-        world.run(settings.millis);
+        world.runUntil(settings.millis);
         operators.stopOrdering();
         // What is acknowledged again from here on strikes nothing: the reader at the end waits for no machine to come
         // back.
@@ -257,7 +257,7 @@
             close();
         }
         runUntil(() -> quiet(), "the day never comes to rest");
-        world.run(world.millis() + 2 * CONTACT + 1_000);
+        world.runUntil(world.millis() + 2 * CONTACT + 1_000);
         finish();
     }
 
@@ -271,18 +271,18 @@
         List<String> seeds = List.copyOf(first.subList(0, Math.min(SEEDS, first.size())));
         listings.add(List.copyOf(cores.values()));
         for (SimulatedCore core : List.copyOf(cores.values())) {
-            world.later(1_000L * random.nextInt(300), () -> core.start(true, seeds));
+            world.schedule(1_000L * random.nextInt(300), () -> core.start(true, seeds));
         }
         for (int i = 1; i <= settings.edges; i++) {
             SimulatedEdge edge = new SimulatedEdge(world, network, machines, "e" + i, follower(), this::edgeWorked);
             edges.put(edge.name, edge);
-            world.later(1_000L * random.nextInt(300), () -> edge.start(seeds));
+            world.schedule(1_000L * random.nextInt(300), () -> edge.start(seeds));
         }
         changePlatform();
         list();
-        world.later(CHECK * 1_000, this::checkNow);
-        world.later(FIRST_ORDER * 1_000, () -> operators.begin(settings.pauseMillis));
-        settings.troubles.forEach(t -> world.later(t.at() * 1_000, () -> strike(t)));
+        world.schedule(CHECK * 1_000, this::checkNow);
+        world.schedule(FIRST_ORDER * 1_000, () -> operators.begin(settings.pauseMillis));
+        settings.troubles.forEach(t -> world.schedule(t.at() * 1_000, () -> strike(t)));
     }
 
     private Function<CoreFollower.Callbacks, CoreFollower> follower() {
@@ -311,7 +311,7 @@
         platform = List.of(
                 new HostList.Host("h" + platformChanges, "s", "10.1.0.1:80", "z", 3, false, 0),
                 new HostList.Host("same", "s", "10.1.0.2:80", "z", 3, platformChanges % 2 == 0, 0));
-        world.later(1_000 * (1_000 + random.nextLong(4_000)), this::changePlatform);
+        world.schedule(1_000 * (1_000 + random.nextLong(4_000)), this::changePlatform);
     }
 
     private void list() {
@@ -322,7 +322,7 @@
         if (listings.size() > LAG / LISTING) {
             listings.poll();
         }
-        world.later(LISTING * 1_000, this::list);
+        world.schedule(LISTING * 1_000, this::list);
     }
 
     private List<SimulatedCore> listed() {
@@ -366,7 +366,7 @@
     }
 
     private void comeBack(SimulatedCore core, long millis) {
-        world.later(millis * 1_000, () -> {
+        world.schedule(millis * 1_000, () -> {
             if (!core.gone && !core.running()) {
                 core.start(false, seeds());
             }
@@ -401,7 +401,7 @@
 
     private void wait(Trouble trouble) {
         if (world.millis() < settings.millis) {
-            world.later(TURN * 1_000, () -> strike(trouble));
+            world.schedule(TURN * 1_000, () -> strike(trouble));
         }
     }
 
@@ -459,7 +459,7 @@
             }
             case CUT_SEEDS -> {
                 cut(core, t.lasts(), (int) t.x());
-                world.later(
+                world.schedule(
                         t.lasts() * 750,
                         () -> edges.values().forEach(e -> startEdge(e, 100, List.of(core.machine.address()))));
             }
@@ -498,9 +498,9 @@
     private void freeze(SimulatedCore core, long millis) {
         beginTrouble(core);
         core.machine.freeze();
-        long life = core.machine.life();
-        world.later(millis * 1_000, () -> {
-            if (core.machine.life() == life) {
+        long life = core.machine.incarnation();
+        world.schedule(millis * 1_000, () -> {
+            if (core.machine.incarnation() == life) {
                 core.machine.thaw();
             }
             endTrouble(core);
@@ -510,10 +510,10 @@
     private void slow(SimulatedCore core, long millis, long micros) {
         beginTrouble(core);
         slowed++;
-        core.machine.slow(micros);
+        core.machine.setProcessingMicros(micros);
         network.throttle(core.machine, SLOW_BYTES_PER_MILLI);
-        world.later(millis * 1_000, () -> {
-            core.machine.slow(0);
+        world.schedule(millis * 1_000, () -> {
+            core.machine.setProcessingMicros(0);
             network.unthrottle(core.machine);
             slowed--;
             endTrouble(core);
@@ -532,7 +532,7 @@
                 network.partition(core.machine, other.machine);
             }
         }
-        world.later(millis * 1_000, () -> {
+        world.schedule(millis * 1_000, () -> {
             for (SimulatedCore other : others) {
                 network.heal(other.machine, core.machine);
                 network.heal(core.machine, other.machine);
@@ -547,7 +547,7 @@
         for (SimulatedCore other : List.copyOf(cores.values())) {
             if (other != core) {
                 // One after the other, and each only where one more may be lost.
-                world.later(millis * 1_000 + 1_000 * SYNC * after++, () -> {
+                world.schedule(millis * 1_000 + 1_000 * SYNC * after++, () -> {
                     if (other.running() && troubled.getOrDefault(other, 0) == 0 && mayLose(other)) {
                         beginTrouble(other);
                         other.kill();
@@ -559,11 +559,11 @@
     }
 
     private void restart(SimulatedCore core, long inMillis) {
-        world.later(inMillis * 1_000, () -> {
+        world.schedule(inMillis * 1_000, () -> {
             if (core.running() && !core.gone) {
                 core.kill();
                 lastEvent = world.millis();
-                world.later(300_000, () -> {
+                world.schedule(300_000, () -> {
                     if (!core.running() && !core.gone) {
                         core.start(false, seeds());
                         lastEvent = world.millis();
@@ -587,16 +587,16 @@
         log(successor.name + " starts anew");
         successor.start(false, seeds());
         beginTrouble(core);
-        world.later(millis * 1_000, () -> {
+        world.schedule(millis * 1_000, () -> {
             log(core.name + " ends");
             lastEvent = world.millis();
             core.gone = true;
             core.end();
-            world.later(GONE_MICROS, () -> {
+            world.schedule(GONE_MICROS, () -> {
                 core.powerOff();
                 lastEvent = world.millis();
             });
-            world.later(Math.max(1_000, SYNC - millis) * 1_000, () -> troubled.merge(core, -1, Integer::sum));
+            world.schedule(Math.max(1_000, SYNC - millis) * 1_000, () -> troubled.merge(core, -1, Integer::sum));
         });
     }
 
@@ -604,24 +604,24 @@
         beginTrouble(core);
         core.gone = true;
         core.wipe();
-        world.later(millis * 1_000, () -> {
+        world.schedule(millis * 1_000, () -> {
             SimulatedCore successor = add("m" + (cores.size() + 1));
             successor.start(false, seeds());
             lastEvent = world.millis();
-            world.later(SYNC * 1_000, () -> troubled.merge(core, -1, Integer::sum));
+            world.schedule(SYNC * 1_000, () -> troubled.merge(core, -1, Integer::sum));
         });
     }
 
     private void stall(SimulatedCore core, long millis) {
         troubled.merge(core, 1, Integer::sum);
         core.stallDisk(world.millis() + millis);
-        world.later(millis * 1_000, () -> troubled.merge(core, -1, Integer::sum));
+        world.schedule(millis * 1_000, () -> troubled.merge(core, -1, Integer::sum));
     }
 
     private void fill(SimulatedCore core, long millis) {
         troubled.merge(core, 1, Integer::sum);
         core.fillDisk(true);
-        world.later(millis * 1_000, () -> {
+        world.schedule(millis * 1_000, () -> {
             core.fillDisk(false);
             troubled.merge(core, -1, Integer::sum);
         });
@@ -638,7 +638,7 @@
             return;
         }
         edge.kill();
-        world.later(downMillis * 1_000, () -> {
+        world.schedule(downMillis * 1_000, () -> {
             List<String> seeds = new ArrayList<>(first);
             List<String> others = seeds.size() < SEEDS && random.nextBoolean() ? List.of() : seeds();
             others.stream()
@@ -671,7 +671,7 @@
             network.partition(edge.machine, c.machine);
             network.partition(c.machine, edge.machine);
         });
-        world.later(millis * 1_000, () -> {
+        world.schedule(millis * 1_000, () -> {
             all.forEach(c -> {
                 network.heal(edge.machine, c.machine);
                 network.heal(c.machine, edge.machine);
@@ -684,14 +684,14 @@
     private void races(long left) {
         if (left > 0 && !ending) {
             operators.race();
-            world.later(100_000 + random.nextLong(400_000), () -> races(left - 1));
+            world.schedule(100_000 + random.nextLong(400_000), () -> races(left - 1));
         }
     }
 
     private void changes(long left) {
         if (left > 0 && !ending) {
             operators.change();
-            world.later(10_000 + random.nextLong(80_000), () -> changes(left - 1));
+            world.schedule(10_000 + random.nextLong(80_000), () -> changes(left - 1));
         }
     }
 
@@ -702,7 +702,7 @@
         }
         if (!afterSend.isEmpty()) {
             Trouble t = afterSend.remove(0);
-            world.later(t.x() * 1_000, () -> {
+            world.schedule(t.x() * 1_000, () -> {
                 SimulatedCore core = ending ? null : find(t.who());
                 if (core != null && mayLose(core)) {
                     darken(core, t.lasts(), t.kind() == Trouble.Kind.WIPE_AFTER_SEND);
@@ -726,7 +726,7 @@
         if (acknowledges && !afterAck.isEmpty() && !core.gone && troubled.getOrDefault(core, 0) == 0 && mayLose(core)) {
             Trouble t = afterAck.remove(0);
             beginTrouble(core);
-            world.later(random.nextInt(4_000), () -> {
+            world.schedule(random.nextInt(4_000), () -> {
                 if (t.x() == 0) {
                     core.kill();
                 } else if (t.x() == 1) {
@@ -739,7 +739,7 @@
         }
         if (acknowledges && closingArmed) {
             closingArmed = false;
-            world.later(random.nextInt(4_000), () -> strikeLast(core));
+            world.schedule(random.nextInt(4_000), () -> strikeLast(core));
         }
     }
 
@@ -809,7 +809,7 @@
     }
 
     private void checkNow() {
-        world.later(CHECK * 1_000, this::checkNow);
+        world.schedule(CHECK * 1_000, this::checkNow);
         long now = world.millis();
         boolean calm = calm();
         for (SimulatedEdge edge : edges.values()) {
@@ -855,7 +855,7 @@
             if (world.millis() >= until) {
                 throw new HistoryCheck.Broken("NO END: " + otherwise + " by " + world.millis());
             }
-            world.run(world.millis() + CHECK);
+            world.runUntil(world.millis() + CHECK);
         }
     }
 
@@ -898,11 +898,11 @@
             comeBack(core, 1_500 + random.nextLong(500));
         }
         long back = world.millis() + 2_000;
-        world.later(2_000_000, () -> {
+        world.schedule(2_000_000, () -> {
             orderUntilTaken(back);
             Order[] shown = new Order[1];
             operators.show(answered -> shown[0] = answered);
-            world.later(RECOVER * 1_000, () -> {
+            world.schedule(RECOVER * 1_000, () -> {
                 if (!takenSince(back) || shown[0] == null) {
                     throw new HistoryCheck.Broken("NOT RECOVERED: " + RECOVER + " ms after " + back);
                 }
@@ -918,7 +918,7 @@
     private void orderUntilTaken(long since) {
         if (!takenSince(since)) {
             operators.proper();
-            world.later(1_000_000, () -> orderUntilTaken(since));
+            world.schedule(1_000_000, () -> orderUntilTaken(since));
         }
     }
 
@@ -930,7 +930,7 @@
         check.orders.stream().filter(o -> o.ackedAt >= 0).forEach(operators::repeat);
         Order[] shown = new Order[1];
         operators.show(answered -> shown[0] = answered);
-        world.run(world.millis() + (settings.closing == Closing.NONE ? CONTACT : RECOVER));
+        world.runUntil(world.millis() + (settings.closing == Closing.NONE ? CONTACT : RECOVER));
         if (shown[0] == null || shown[0] != check.newest()) {
             throw new HistoryCheck.Broken(
                     "LOST: " + shown[0] + " is shown at the end, and " + check.newest() + " was in force");
--- a/src/test/java/tinworks/control/SimulatedEdge.java
+++ b/src/test/java/tinworks/control/SimulatedEdge.java
@@ -13,7 +13,7 @@
 import tinworks.config.Configuration;
 import tinworks.edge.CoreFollower;
 import tinworks.simulation.Machine;
-import tinworks.simulation.World;
+import tinworks.simulation.Simulator;
 
 /**
  * An edge of the simulation, as far as it follows the core: the production {@link CoreFollower}, ready as EdgeNode
@@ -25,7 +25,7 @@
 
     final Machine machine;
     final String name;
-    private final World world;
+    private final Simulator world;
     private final SimulatedNetwork network;
     private final Map<String, Machine> machines;
     private final Function<CoreFollower.Callbacks, CoreFollower> maker;
@@ -43,7 +43,7 @@
     boolean fewerSeeds;
 
     SimulatedEdge(
-            World world,
+            Simulator world,
             SimulatedNetwork network,
             Map<String, Machine> machines,
             String name,
@@ -130,10 +130,10 @@
 
     @Override
     public void decode(long rev, Callable<Configuration> version) {
-        long life = machine.life();
-        world.later(
+        long life = machine.incarnation();
+        world.schedule(
                 1_000 + random.nextInt(20_000),
-                () -> machine.arrive(life, () -> {
+                () -> machine.deliver(life, () -> {
                     try {
                         follower.apply(version.call());
                     } catch (Exception e) {
--- a/src/test/java/tinworks/control/SimulatedOperators.java
+++ b/src/test/java/tinworks/control/SimulatedOperators.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import tinworks.channel.PeerMessage.CallResponse;
-import tinworks.simulation.World;
+import tinworks.simulation.Simulator;
 
 /**
  * Those who call the core: they choose among the machines of a list that lags, go on to another after a failure, a 5xx
@@ -23,7 +23,7 @@
     private static final int INVALID = 400;
     private static final int NOT_FOUND = 404;
 
-    private final World world;
+    private final Simulator world;
     private final SplittableRandom random;
     private final HistoryCheck check;
     private final Supplier<List<SimulatedCore>> listed;
@@ -37,7 +37,7 @@
     int repeats;
     int races;
 
-    SimulatedOperators(World world, HistoryCheck check, Supplier<List<SimulatedCore>> listed, Runnable sent) {
+    SimulatedOperators(Simulator world, HistoryCheck check, Supplier<List<SimulatedCore>> listed, Runnable sent) {
         this.world = world;
         this.check = check;
         this.listed = listed;
@@ -59,7 +59,7 @@
     }
 
     private void nextOrder() {
-        world.later(1_000 * (1 + random.nextLong(2 * meanPauseMillis)), () -> {
+        world.schedule(1_000 * (1 + random.nextLong(2 * meanPauseMillis)), () -> {
             if (ordering) {
                 change();
                 nextOrder();
@@ -130,10 +130,10 @@
                 judge(order, answer, triedAt);
                 underWay--;
                 if (random.nextInt(4) == 0) {
-                    world.later(random.nextLong(4_000_000), () -> repeat(order));
+                    world.schedule(random.nextLong(4_000_000), () -> repeat(order));
                 }
             } else {
-                world.later(
+                world.schedule(
                         pause / 2 + random.nextLong(pause),
                         () -> attempt(order, target, Math.min(LONGEST_PAUSE, 2 * pause), lost));
             }
@@ -168,7 +168,7 @@
     // ---- readers
 
     private void nextShow() {
-        world.later(1_000 * (50 + random.nextLong(1_500)), () -> {
+        world.schedule(1_000 * (50 + random.nextLong(1_500)), () -> {
             show(answered -> {});
             nextShow();
         });
@@ -194,7 +194,7 @@
                         check.shown(shown, askedAt, where[0], world.millis());
                         told.accept(shown);
                     } else {
-                        world.later(200_000 + random.nextLong(300_000), () -> show(target, told));
+                        world.schedule(200_000 + random.nextLong(300_000), () -> show(target, told));
                     }
                 });
     }
@@ -237,22 +237,22 @@
                 told.accept(answer);
             }
         };
-        world.later(SILENCE_MICROS, () -> once.accept(null));
+        world.schedule(SILENCE_MICROS, () -> once.accept(null));
         SimulatedCore core = target.next();
         if (core == null) {
             return;
         }
-        world.later(delay(), () -> {
+        world.schedule(delay(), () -> {
             if (!core.machine.powered()) {
                 return;
             }
             if (!core.running()) {
-                world.later(delay(), () -> once.accept(null));
+                world.schedule(delay(), () -> once.accept(null));
                 return;
             }
-            core.machine.arrive(
-                    core.machine.life(),
-                    () -> asked.of(core, answer -> world.later(delay(), () -> once.accept(answer))));
+            core.machine.deliver(
+                    core.machine.incarnation(),
+                    () -> asked.of(core, answer -> world.schedule(delay(), () -> once.accept(answer))));
         });
     }
 
--- a/src/test/java/tinworks/simulation/Machine.java
+++ b/src/test/java/tinworks/simulation/Machine.java
@@ -11,7 +11,7 @@
 public final class Machine {
     private static final double CLOCK_ERROR = 200e-6;
 
-    private final World world;
+    private final Simulator world;
     private final String address;
     private final double rate;
     private final long clockBase;
@@ -29,7 +29,7 @@
     private record Held(long life, Runnable work) {}
 
     /** A machine without a process yet; the observer looks on after each piece of work. */
-    public Machine(World world, String address, Runnable observer) {
+    public Machine(Simulator world, String address, Runnable observer) {
         this.world = world;
         this.address = address;
         this.observer = observer;
@@ -48,7 +48,7 @@
     }
 
     /** Which process of this machine runs, or ran last. */
-    public long life() {
+    public long incarnation() {
         return life;
     }
 
@@ -114,7 +114,7 @@
     }
 
     /** From now on each piece of work takes this long; 0 for no time at all. */
-    public void slow(long micros) {
+    public void setProcessingMicros(long micros) {
         workMicros = micros;
     }
 
@@ -122,11 +122,11 @@
     public void schedule(long millis, Runnable work) {
         long mine = life;
         long late = world.random().nextInt(500);
-        world.later((long) (millis * 1_000 / rate) + late, () -> perform(mine, work, timers));
+        world.schedule((long) (millis * 1_000 / rate) + late, () -> perform(mine, work, timers));
     }
 
     /** Something comes from outside to the process of this life; nothing where that is no more. */
-    public void arrive(long itsLife, Runnable work) {
+    public void deliver(long itsLife, Runnable work) {
         perform(itsLife, work, arrivals);
     }
 
@@ -139,7 +139,7 @@
         } else if (workMicros > 0 || pending > 0) {
             pending++;
             busyUntil = Math.max(busyUntil, world.micros()) + workMicros;
-            world.later(busyUntil - world.micros(), () -> {
+            world.schedule(busyUntil - world.micros(), () -> {
                 pending -= itsLife == life ? 1 : 0;
                 finish(itsLife, work, queue);
             });
--- a/src/test/java/tinworks/simulation/World.java
+++ b/src/test/java/tinworks/simulation/Simulator.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 
 /** One steady time, and what is to happen in it, in an order that the seed alone decides. All on one thread. */
-public final class World {
+public final class Simulator {
     private static final long MOST_EVENTS = 20_000_000;
 
     private final PriorityQueue<Event> events =
@@ -17,7 +17,7 @@
     private record Event(long at, long order, Runnable work) {}
 
     /** A world at time 0. */
-    public World(long seed) {
+    public Simulator(long seed) {
         random = new SplittableRandom(seed);
     }
 
@@ -42,12 +42,12 @@
     }
 
     /** Does something after so many microseconds. */
-    public void later(long micros, Runnable work) {
+    public void schedule(long micros, Runnable work) {
         events.add(new Event(now + Math.max(0, micros), order++, work));
     }
 
     /** Lets time pass up to this many milliseconds since the beginning. */
-    public void run(long untilMillis) {
+    public void runUntil(long untilMillis) {
         while (!events.isEmpty() && events.peek().at <= untilMillis * 1_000) {
             Event event = events.poll();
             now = event.at;
