--- a/src/main/java/tinworks/edge/RequestRouter.java
+++ b/src/main/java/tinworks/edge/RequestRouter.java
@@ -85,7 +85,7 @@
         Route route = target.route();
         List<String> ids = request.headers().getAll(EdgeProtocol.ATTEMPT_ID);
         if (ids.size() != 1 || ids.get(0).isEmpty()) {
-            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "one " + EdgeProtocol.ATTEMPT_ID + " is required");
+            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "missing or repeated " + EdgeProtocol.ATTEMPT_ID);
         }
         long now = clock.nanos();
         long remaining = TimeUnit.MILLISECONDS.toNanos(Math.min(route.timeoutMs(), deadlineMillis(request, route)))
