--- a/src/main/java/tinworks/edge/CoreFollower.java
+++ b/src/main/java/tinworks/edge/CoreFollower.java
@@ -157,7 +157,7 @@
         } else if (signal instanceof ConfigurationBody s) {
             startDecoding(
                     s.rev(),
-                    () -> ConfigurationCodec.read(CompressedBytes.unpack(s.compressed(), MAX_CONFIGURATION_BYTES)));
+                    () -> ConfigurationCodec.read(CompressedBytes.decompress(s.compressed(), MAX_CONFIGURATION_BYTES)));
         } else if (signal instanceof ConfigurationChanged s) {
             changeReceived(from, s);
         } else if (signal instanceof Hosts s) {
@@ -235,8 +235,9 @@
         if (s.base() == rev()) {
             startDecoding(
                     s.rev(),
-                    () -> ConfigurationCodec.readChange(CompressedBytes.unpack(s.compressed(), MAX_CONFIGURATION_BYTES))
-                            .appliedTo(held));
+                    () -> ConfigurationCodec.readChange(
+                                    CompressedBytes.decompress(s.compressed(), MAX_CONFIGURATION_BYTES))
+                            .applyTo(held));
         } else if (isNewer(s.rev())) {
             from.send(new PullConfiguration(rev()));
         }
--- a/src/main/java/tinworks/edge/EdgeNode.java
+++ b/src/main/java/tinworks/edge/EdgeNode.java
@@ -133,7 +133,7 @@
                 loop,
                 Transport.TCP,
                 clock,
-                clientBounds(Limits.USUAL),
+                clientBounds(Limits.DEFAULTS),
                 memory.requestBodies(),
                 memory.heads(),
                 requests);
@@ -294,7 +294,7 @@
         EdgeMetrics.add(page, requests);
         EdgeMetrics.add(page, stalls);
         EdgeMetrics.add(page, memory);
-        return page.violations().log();
+        return page.invariantViolations().droppedLogLines();
     }
 
     // ---- CoreFollower.Callbacks
@@ -432,7 +432,7 @@
                 startNanosById.computeIfAbsent(host.id(), id -> startNanos(host));
                 entries.add(new HostPool.HostEntry(
                         host.id(),
-                        Address.read(host.address()),
+                        Address.parse(host.address()),
                         startNanosById.get(host.id()),
                         !host.draining(),
                         false));
@@ -444,7 +444,7 @@
         for (Host old : hostsById.values()) {
             if (!nextById.containsKey(old.id())) {
                 entries.add(new HostPool.HostEntry(
-                        old.id(), Address.read(old.address()), startNanosById.get(old.id()), false, true));
+                        old.id(), Address.parse(old.address()), startNanosById.get(old.id()), false, true));
                 changedByService
                         .computeIfAbsent(old.service(), service -> new ArrayList<>())
                         .add(server(old, Readiness.REMOVED));
@@ -469,7 +469,7 @@
         List<Host> readable = new ArrayList<>(listedHosts.size());
         for (Host host : listedHosts) {
             Host previous = hostsById.get(host.id());
-            if ((previous != null && previous.address().equals(host.address())) || Address.isOne(host.address())) {
+            if ((previous != null && previous.address().equals(host.address())) || Address.isValid(host.address())) {
                 readable.add(host);
             }
         }
--- a/src/main/java/tinworks/edge/RequestRouter.java
+++ b/src/main/java/tinworks/edge/RequestRouter.java
@@ -100,7 +100,7 @@
                 .begin(
                         now,
                         new RequestArrived(ids.get(0), target.className(), null, null, remaining, 0, false, queued),
-                        new AttemptLimit(route.type() == Configuration.Type.MUTATING, route.tries()),
+                        new AttemptLimit(route.type() == Configuration.Type.MUTATING, route.maxAttempts()),
                         request,
                         reply);
     }
--- a/src/main/java/tinworks/edge/ServiceSettings.java
+++ b/src/main/java/tinworks/edge/ServiceSettings.java
@@ -77,7 +77,7 @@
                 Math.pow(2, MIDDLE_PRIORITY - route.prio()),
                 LATE_VALUE,
                 false,
-                route.tries(),
+                route.maxAttempts(),
                 timeout);
     }
 
--- a/src/test/java/tinworks/control/Operators.java
+++ b/src/test/java/tinworks/control/Operators.java
@@ -175,7 +175,7 @@
         for (Order order : orders) {
             byte[] command = ConfigurationHistory.command(order.base, order.rev, order.body);
             boolean isTaken =
-                    order.rev <= history.rev() && history.judge(order.base, order.rev, command) == Verdict.TAKEN;
+                    order.rev <= history.rev() && history.evaluate(order.base, order.rev, command) == Verdict.ACCEPTED;
             assertTrue(isTaken || !order.taken, "acknowledged and gone: " + order);
             assertFalse(isTaken && order.refused, "in force though it was refused: " + order);
             assertFalse(isTaken && bases.contains(order.base), "two on one base: " + order);
--- a/src/test/java/tinworks/edge/EdgeFixture.java
+++ b/src/test/java/tinworks/edge/EdgeFixture.java
@@ -79,7 +79,7 @@
                 loop,
                 Transport.TCP,
                 clock,
-                new ClientServer.Bounds(CONNECTIONS, LONG_NANOS, 0, Limits.USUAL.hdrBytes(), MAX_BODY_BYTES, null),
+                new ClientServer.Bounds(CONNECTIONS, LONG_NANOS, 0, Limits.DEFAULTS.hdrBytes(), MAX_BODY_BYTES, null),
                 requests);
         NodeProcess.run(loop, () -> clients.listen(new InetSocketAddress("127.0.0.1", 0)));
         NodeProcess.call(loop, () -> clients.address().getPort());
@@ -116,8 +116,8 @@
                 1,
                 List.of(new Split(name, 1)),
                 maxAttempts);
-        Configuration config =
-                new Configuration(1, List.of(route), Map.of(name, new Service(name, "/", CONNECTIONS)), Limits.USUAL);
+        Configuration config = new Configuration(
+                1, List.of(route), Map.of(name, new Service(name, "/", CONNECTIONS)), Limits.DEFAULTS);
         List<ServerInfo> servers = new ArrayList<>();
         for (String host : hosts) {
             servers.add(new ServerInfo(host, "", "", 0, Readiness.READY, 4, 0));
