--- a/src/main/java/tinworks/net/EndpointList.java
+++ b/src/main/java/tinworks/net/EndpointList.java
@@ -8,12 +8,12 @@
 import tinworks.policy.LoadBalancerApi.Readiness;
 import tinworks.policy.LoadBalancerApi.ServerInfo;
 
-/** The list of hosts, or changes to it, in discovery's form. */
+/** The list of hosts ({@code snapshot}), or changes to it, as discovery sends it. */
 record EndpointList(long index, boolean snapshot, List<Endpoint> endpoints) {
 
-    /** A host: what the module is told of it, and where this gateway reaches it. */
+    /** A host: its description for the load balancer, and its address. */
     record Endpoint(ServerInfo info, SocketAddress address) {
-        boolean gone() {
+        boolean isRemoved() {
             return info.readiness() == Readiness.REMOVED;
         }
     }
@@ -22,7 +22,7 @@
         endpoints = List.copyOf(endpoints);
     }
 
-    /** Reads a list; what can't be read ends as an {@link IllegalArgumentException}. */
+    /** Reads a list; throws {@link IllegalArgumentException} if it is malformed. */
     static EndpointList read(Json json) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (Json entry : json.required("endpoints").entries()) {
@@ -38,15 +38,15 @@
         return endpoints.stream().map(Endpoint::info).toList();
     }
 
-    /** The same for the pool of connections. */
-    List<HostPool.HostEntry> places() {
+    /** The entries for the host pool. */
+    List<HostPool.HostEntry> hostEntries() {
         return endpoints.stream()
                 .map(e -> new HostPool.HostEntry(
                         e.info().id(),
                         e.address(),
                         e.info().startedAtNanos(),
                         e.info().readiness() == Readiness.READY,
-                        e.gone()))
+                        e.isRemoved()))
                 .toList();
     }
 
@@ -59,8 +59,8 @@
                 entry.field("group").number(0).intValue(),
                 readiness,
                 entry.field("weight").number(1).doubleValue(),
-                MonotonicClock.ofUnixMillis(entry.field("since_ms").number(0).longValue()));
-        // One that is removed may come without an address: nothing goes there any more.
+                MonotonicClock.fromUnixMillis(entry.field("since_ms").number(0).longValue()));
+        // A removed host may lack an address, as nothing is sent to it.
         SocketAddress address = readiness == Readiness.REMOVED
                 ? null
                 : Address.parse(entry.required("address").text());
@@ -72,7 +72,7 @@
             case "up" -> Readiness.READY;
             case "draining" -> Readiness.DRAINING;
             case "removed" -> Readiness.REMOVED;
-            default -> throw new IllegalArgumentException("unknown status '" + status + "'");
+            default -> throw new IllegalArgumentException("unknown host status '" + status + "'");
         };
     }
 }
