--- a/src/test/java/tinworks/edge/PlannedMaintenanceTest.java
+++ b/src/test/java/tinworks/edge/PlannedMaintenanceTest.java
@@ -40,7 +40,7 @@
 import tinworks.node.BootSettings;
 import tinworks.node.NodeProcess;
 
-/** A whole edge under load, with hosts that take tens of milliseconds, through each kind of planned work. */
+/** Reloads and graceful shutdown of a whole edge under load, with hosts that take tens of milliseconds. */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class PlannedMaintenanceTest {
     private static final int CLIENTS = 16;
@@ -48,24 +48,24 @@
     private static final int REQUESTS = 2_000;
     private static final int TIMEOUT_MILLIS = 20_000;
     private static final long GRACE_MILLIS = 6_000;
-    private static final long LOSS_MILLIS = 200;
-    private static final long LEAST_WORK_MILLIS = 10;
+    private static final long MAX_CLOSE_RACE_MILLIS = 200;
+    private static final long MIN_WORK_MILLIS = 10;
     private static final int WORK_SPREAD_MILLIS = 40;
-    private static final long SETTINGS_EVERY_MILLIS = 5;
-    private static final long VERSION_EVERY_MILLIS = 10;
-    private static final int MOST_TRIES = 3;
+    private static final long SETTINGS_INTERVAL_MILLIS = 5;
+    private static final long VERSION_INTERVAL_MILLIS = 10;
+    private static final int MAX_ATTEMPTS = 3;
     private static final String SERVED = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nOrigin-Seal: s\r\nAttempt-Id: ";
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final Set<String> begun = ConcurrentHashMap.newKeySet();
-    private final List<String> faults = new CopyOnWriteArrayList<>();
+    private final Set<String> startedAtHost = ConcurrentHashMap.newKeySet();
+    private final List<String> failures = new CopyOnWriteArrayList<>();
     private final AtomicInteger ids = new AtomicInteger();
     private final AtomicInteger served = new AtomicInteger();
     private final AtomicInteger refused = new AtomicInteger();
-    private final AtomicInteger unread = new AtomicInteger();
-    private volatile boolean over;
-    private volatile boolean ending;
+    private final AtomicInteger closedUnread = new AtomicInteger();
+    private volatile boolean finished;
+    private volatile boolean shuttingDown;
     private ScriptedHost host;
     private BootSettings settings;
     private EdgeNode edge;
@@ -73,7 +73,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        host = new ScriptedHost(this::work);
+        host = new ScriptedHost(this::handle);
         List<Integer> ports = FreePorts.at("127.0.0.1", 4);
         port = ports.get(0);
         settings = settings(ports, GRACE_MILLIS);
@@ -92,7 +92,7 @@
         });
         for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
                 !isServed("warm-" + ids.incrementAndGet()); ) {
-            assertTrue(System.nanoTime() < end, "the edge doesn't serve");
+            assertTrue(System.nanoTime() < end, "the edge does not serve");
         }
     }
 
@@ -119,11 +119,13 @@
                 new InetSocketAddress("127.0.0.1", ports.get(3)));
     }
 
-    /** Each moves the routes between services, and changes their tries and kinds, other routes, and the limits. */
+    /**
+     * Each version moves the routes between services and changes their attempts and types, other routes and the limits.
+     */
     private static Configuration version(int rev) {
         List<Route> routes = new ArrayList<>();
-        routes.add(route("i", rev % 2 == 0 ? "s" : "t", Configuration.Type.IDEM, 1 + rev % MOST_TRIES));
-        routes.add(route("m", rev % 3 == 0 ? "s" : "t", Configuration.Type.MUTATING, 1 + rev % MOST_TRIES));
+        routes.add(route("i", rev % 2 == 0 ? "s" : "t", Configuration.Type.IDEM, 1 + rev % MAX_ATTEMPTS));
+        routes.add(route("m", rev % 3 == 0 ? "s" : "t", Configuration.Type.MUTATING, 1 + rev % MAX_ATTEMPTS));
         routes.add(route(
                 "changing",
                 rev % 5 == 0 ? "s" : "t",
@@ -137,7 +139,7 @@
                 rev, routes, Map.of("s", new Service("s", "/", 100), "t", new Service("t", "/", 100)), limits);
     }
 
-    private static Route route(String name, String service, Configuration.Type type, int tries) {
+    private static Route route(String name, String service, Configuration.Type type, int maxAttempts) {
         return new Route(
                 name,
                 EdgeFixture.DOMAIN,
@@ -147,14 +149,14 @@
                 TIMEOUT_MILLIS / 2,
                 1,
                 List.of(new Split(service, 1)),
-                tries);
+                maxAttempts);
     }
 
-    private void work(Socket socket, ScriptedHost.Message request) throws IOException {
+    private void handle(Socket socket, ScriptedHost.Message request) throws IOException {
         String id = request.header("Attempt-Id");
-        begun.add(id);
+        startedAtHost.add(id);
         try {
-            TimeUnit.MILLISECONDS.sleep(LEAST_WORK_MILLIS + Math.floorMod(id.hashCode(), WORK_SPREAD_MILLIS));
+            TimeUnit.MILLISECONDS.sleep(MIN_WORK_MILLIS + Math.floorMod(id.hashCode(), WORK_SPREAD_MILLIS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -164,91 +166,91 @@
     private boolean isServed(String id) throws IOException {
         try (Client client = new Client(port)) {
             client.write(EdgeFixture.request(id, "i", "", TIMEOUT_MILLIS, false));
-            Message answer = client.read();
-            return answer != null && answer.status() == 200;
+            Message response = client.read();
+            return response != null && response.status() == 200;
         }
     }
 
-    /** Asks on one connection after the other until the work is over, or nobody is taken in any more. */
-    private void ask() {
+    /** Sends requests, reconnecting when needed, until the test is finished or connections are refused. */
+    private void sendUntilFinished() {
         Client client = null;
         try {
-            while (!over) {
+            while (!finished) {
                 client = client == null ? new Client(port) : client;
-                client = askOnce(client) ? client : null;
+                client = sendOne(client) ? client : null;
             }
         } catch (IOException e) {
-            if (!ending) {
-                faults.add("no connection: " + e);
+            if (!shuttingDown) {
+                failures.add("no connection: " + e);
             }
         }
     }
 
-    /** Whether the connection carries on. */
-    private boolean askOnce(Client client) throws IOException {
+    /** Sends one request; returns whether the connection can be used again. */
+    private boolean sendOne(Client client) throws IOException {
         int number = ids.incrementAndGet();
         String route = List.of("i", "m", "changing").get(number % 3);
         String id = route + "-" + number;
         long sentAt = System.nanoTime();
-        Message answer;
+        Message response;
         try {
             client.write(EdgeFixture.request(id, route, number % 2 == 0 ? "" : "body", TIMEOUT_MILLIS, false));
-            answer = client.read();
+            response = client.read();
         } catch (IOException e) {
-            answer = null;
+            response = null;
         }
-        judge(id, answer, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt));
-        if (answer == null || "close".equals(answer.headers().get("connection"))) {
+        checkResponse(id, response, TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sentAt));
+        if (response == null || "close".equals(response.headers().get("connection"))) {
             client.close();
             return false;
         }
         return true;
     }
 
-    private void judge(String id, Message answer, long millis) {
-        boolean own = answer != null
-                && answer.status() == 200
-                && id.equals(answer.headers().get("attempt-id"));
-        if (own) {
+    private void checkResponse(String id, Message response, long millis) {
+        boolean success = response != null
+                && response.status() == 200
+                && id.equals(response.headers().get("attempt-id"));
+        if (success) {
             served.incrementAndGet();
-        } else if (begun.contains(id)) {
-            faults.add("a host was at work on " + id + ", which got " + answer);
-        } else if (answer == null && millis > LOSS_MILLIS) {
-            faults.add("no answer to " + id + " after " + millis + " ms");
-        } else if (answer == null) {
-            unread.incrementAndGet();
-        } else if (answer.status() == 503) {
+        } else if (startedAtHost.contains(id)) {
+            failures.add("a host had started " + id + ", which got " + response);
+        } else if (response == null && millis > MAX_CLOSE_RACE_MILLIS) {
+            failures.add("no response to " + id + " after " + millis + " ms");
+        } else if (response == null) {
+            closedUnread.incrementAndGet();
+        } else if (response.status() == 503) {
             refused.incrementAndGet();
         } else {
-            faults.add(id + " got " + answer);
+            failures.add(id + " got " + response);
         }
     }
 
-    /** Has clients ask while the work is done again and again, until so many have been served. */
-    private void during(String what, long everyMillis, java.util.function.IntConsumer work)
+    /** Repeats an operation under client load until {@link #REQUESTS} requests have been served. */
+    private void runUnderLoad(String what, long everyMillis, java.util.function.IntConsumer work)
             throws InterruptedException {
         List<Thread> clients = new ArrayList<>();
         for (int i = 0; i < CLIENTS; i++) {
-            clients.add(new Thread(this::ask));
+            clients.add(new Thread(this::sendUntilFinished));
         }
         clients.forEach(Thread::start);
         int times = 0;
-        while (served.get() < REQUESTS && faults.isEmpty()) {
+        while (served.get() < REQUESTS && failures.isEmpty()) {
             work.accept(++times);
             TimeUnit.MILLISECONDS.sleep(everyMillis);
         }
-        over = true;
+        finished = true;
         for (Thread client : clients) {
             client.join();
         }
         System.out.printf(
                 "%s %d times: %d served, %d refused, %d closed unread%n",
-                what, times, served.get(), refused.get(), unread.get());
-        assertEquals(List.of(), faults);
+                what, times, served.get(), refused.get(), closedUnread.get());
+        assertEquals(List.of(), failures);
     }
 
     @Test
-    void changedSettingsCutNothing() throws Exception {
+    void changedSettingsInterruptNoRequest() throws Exception {
         BootSettings other = new BootSettings(
                 settings.node(),
                 settings.zone(),
@@ -263,41 +265,41 @@
                 1,
                 GRACE_MILLIS,
                 settings.inner());
-        during(
+        runUnderLoad(
                 "settings changed",
-                SETTINGS_EVERY_MILLIS,
+                SETTINGS_INTERVAL_MILLIS,
                 times -> loop.execute(() -> edge.settingsChanged(times % 2 == 0 ? settings : other)));
-        assertEquals(0, refused.get() + unread.get());
+        assertEquals(0, refused.get() + closedUnread.get());
     }
 
     @Test
-    void newVersionsCutNothing() throws Exception {
-        during(
+    void newVersionsInterruptNoRequest() throws Exception {
+        runUnderLoad(
                 "configuration changed",
-                VERSION_EVERY_MILLIS,
+                VERSION_INTERVAL_MILLIS,
                 times -> loop.execute(() -> edge.decode(1 + times, () -> version(1 + times))));
-        assertEquals(0, refused.get() + unread.get());
+        assertEquals(0, refused.get() + closedUnread.get());
     }
 
     @Test
-    void theWordToEndCutsNothingThatAHostIsAtWorkOn() throws Exception {
+    void shutdownInterruptsNoRequestAtAHost() throws Exception {
         Thread[] clients = new Thread[CLIENTS];
         for (int i = 0; i < CLIENTS; i++) {
-            clients[i] = new Thread(this::ask);
+            clients[i] = new Thread(this::sendUntilFinished);
             clients[i].start();
         }
         while (served.get() < REQUESTS / 3) {
-            TimeUnit.MILLISECONDS.sleep(SETTINGS_EVERY_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(SETTINGS_INTERVAL_MILLIS);
         }
-        ending = true;
+        shuttingDown = true;
         CompletableFuture<Void> ended = NodeProcess.call(loop, () -> edge.shutDown(MonotonicTime.millis()));
         for (Thread client : clients) {
             client.join();
         }
         ended.get(GRACE_MILLIS, TimeUnit.MILLISECONDS);
         System.out.printf(
-                "ended: %d served, %d refused, %d closed unread%n", served.get(), refused.get(), unread.get());
-        assertEquals(List.of(), faults);
+                "ended: %d served, %d refused, %d closed unread%n", served.get(), refused.get(), closedUnread.get());
+        assertEquals(List.of(), failures);
         assertTrue(served.get() > REQUESTS * 2 / 3, "served: " + served.get());
     }
 }
