--- a/src/main/java/tinworks/net/HostPool.java
+++ b/src/main/java/tinworks/net/HostPool.java
@@ -27,285 +27,290 @@
 import tinworks.policy.LoadBalancerApi.Outcome;
 
 /**
- * Kept-alive connections to the hosts, and the attempts on them. A connection carries one request at a time. Nothing is
- * ever sent a second time here: an attempt whose connection breaks has ended.
+ * A pool of keep-alive connections to the hosts, and the attempts sent on them. Requests are not pipelined: a
+ * connection carries one at a time. The pool does not retry; an attempt whose connection breaks has ended.
  */
 public final class HostPool {
-    /** Told once for each attempt, on the event loop, never from within {@link #send} or a cancel. */
+    /** Called once for each attempt, on the event loop, never from within {@link #send} or {@link Attempt#cancel}. */
     public interface AttemptListener {
-        /** {@code answer} is there where a whole one came, and is the listener's for the call's length. */
-        void ended(Attempt attempt, Outcome outcome, long atNanos, LoadReport load, Response answer);
+        /** An attempt ended; {@code response} is null unless it arrived complete, and is valid during the call only. */
+        void ended(Attempt attempt, Outcome outcome, long atNanos, LoadReport load, Response response);
     }
 
-    /** A host's whole answer, and the room that its body takes of the pool's budget. */
+    /** A host's complete response, and the memory that its body reserves from the pool's budget. */
     public record Response(HttpResponse head, ByteBuf body, Reservation reserved) {}
 
-    /** Whose an answer is: by the id that it repeats, where hosts repeat ids. */
+    /** Which request a response belongs to, by the request id that it echoes. */
     public enum ResponseMatch {
         THIS_REQUEST,
         OTHER_REQUEST,
+        /** The response does not identify its request. */
         UNIDENTIFIED
     }
 
-    /** How hosts say what became of a request. */
+    /** Interprets responses according to the protocol that the hosts use. */
     public interface ResponseClassifier {
-        /**
-         * Whether an answer with these headers is the one to the request of this id; so it is where none repeats an id.
-         */
+        /** Which request a response with these headers belongs to; always this one if the hosts do not echo ids. */
         default ResponseMatch match(String request, HttpHeaders headers) {
             return ResponseMatch.THIS_REQUEST;
         }
 
-        /** What a whole answer to the request of this id means; {@code framed} says that its head told its length. */
+        /** The outcome that a complete response means; {@code framed}: its head delimits the body. */
         Outcome outcome(String request, HttpResponse head, boolean framed);
 
-        /** The host's account of its load, or null. */
+        /** The load that the host reports in these headers, or null. */
         LoadReport load(HttpHeaders headers);
     }
 
-    /** One host and where it is; {@code startedAt} in the clock's time, 0 where the start is long ago. */
+    /** A host and its address; {@code startedAtNanos} is in the clock's time, or 0 if it started long ago. */
     public record HostEntry(String id, SocketAddress address, long startedAtNanos, boolean ready, boolean removed) {}
 
     /**
-     * What connections may cost.
+     * Limits of the pool's connections.
      *
-     * @param idleNanos when at the latest a host closes a connection that stands idle
-     * @param connections the most to all hosts
-     * @param answerBytes the longest body of an answer
+     * @param idleTimeoutNanos the longest time that a host keeps an idle connection open
+     * @param maxConnections the maximum number of connections to all hosts together
+     * @param maxBodyBytes the maximum length of a response body
      */
-    public record Bounds(long dialTimeoutNanos, long idleNanos, int connections, int answerBytes) {}
+    public record Bounds(long connectTimeoutNanos, long idleTimeoutNanos, int maxConnections, int maxBodyBytes) {}
 
-    /** Guards against a request that crosses the host's own closing of an idle connection. */
-    private static final double IDLE_PART = 2.0 / 3;
+    /** Connections are closed well before the host does it, so that no request is sent while the host closes. */
+    private static final double IDLE_FRACTION = 2.0 / 3;
 
     private static final long SWEEP_MILLIS = 500;
     private static final AsciiString KEEP_ALIVE = AsciiString.cached("keep-alive");
-    private static final String TIMEOUT = "timeout=";
-    private static final int MOST_DIGITS = 6;
+    private static final String TIMEOUT_PARAMETER = "timeout=";
+    private static final int MAX_TIMEOUT_DIGITS = 6;
 
     private final EventLoop loop;
     private final MonotonicClock clock;
     private final Bounds bounds;
-    private final ByteBudget answers;
-    private final ResponseClassifier dialect;
+    private final ByteBudget budget;
+    private final ResponseClassifier classifier;
     private final Bootstrap bootstrap;
     private final Map<String, Host> hosts = new HashMap<>();
-    private final Future<?> sweeper;
+    private final Future<?> idleSweep;
     private int connections;
 
-    /** A pool that knows no host yet, with room for all answers. */
+    /** Creates a pool without hosts and without a memory limit for response bodies. */
     public HostPool(
-            EventLoop loop, Transport transport, MonotonicClock clock, Bounds bounds, ResponseClassifier dialect) {
-        this(loop, transport, clock, bounds, new ByteBudget(Long.MAX_VALUE), dialect);
+            EventLoop loop, Transport transport, MonotonicClock clock, Bounds bounds, ResponseClassifier classifier) {
+        this(loop, transport, clock, bounds, new ByteBudget(Long.MAX_VALUE), classifier);
     }
 
     /**
-     * A pool that knows no host yet. The bodies of long answers come out of a budget: where there is no room for one,
-     * its connection isn't read until there is.
+     * Creates a pool without hosts. Long response bodies reserve memory from the budget. While it is exhausted, the
+     * connection is not read (backpressure).
      */
     public HostPool(
             EventLoop loop,
             Transport transport,
             MonotonicClock clock,
             Bounds bounds,
-            ByteBudget answers,
-            ResponseClassifier dialect) {
-        this.answers = answers;
+            ByteBudget budget,
+            ResponseClassifier classifier) {
+        this.budget = budget;
         this.loop = loop;
         this.clock = clock;
         this.bounds = bounds;
-        this.dialect = dialect;
+        this.classifier = classifier;
         bootstrap = new Bootstrap()
                 .group(loop)
                 .channel(transport.client())
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
-                        Math.max(1, TimeUnit.NANOSECONDS.toMillis(bounds.dialTimeoutNanos())));
-        sweeper = loop.scheduleWithFixedDelay(this::retireIdle, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+                        Math.max(1, TimeUnit.NANOSECONDS.toMillis(bounds.connectTimeoutNanos())));
+        idleSweep = loop.scheduleWithFixedDelay(this::closeExpired, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Takes in a list before the module is told of it, so that each host it names has an address; one that is
-     * {@code whole} names all that there are.
+     * Applies a host list. To be called before the load balancer receives the list, so that every host it may choose
+     * has an address. A {@code full} list also removes the hosts that it does not name.
      */
-    public void update(List<HostEntry> places, boolean whole) {
-        Set<String> named = new HashSet<>();
-        for (HostEntry place : places) {
-            named.add(place.id());
-            update(place);
-        }
-        if (whole) {
-            for (String name : List.copyOf(hosts.keySet())) {
-                if (!named.contains(name)) {
-                    hosts.remove(name).keepConnections(false);
+    public void update(List<HostEntry> entries, boolean full) {
+        Set<String> listedIds = new HashSet<>();
+        for (HostEntry entry : entries) {
+            listedIds.add(entry.id());
+            update(entry);
+        }
+        if (full) {
+            for (String id : List.copyOf(hosts.keySet())) {
+                if (!listedIds.contains(id)) {
+                    hosts.remove(id).setReuseConnections(false);
                 }
             }
         }
     }
 
-    private void update(HostEntry place) {
-        String name = place.id();
-        Host old = hosts.get(name);
-        if (place.removed()) {
-            hosts.remove(name);
-        } else if (old == null || !old.is(place)) {
-            hosts.put(name, new Host(place));
+    private void update(HostEntry entry) {
+        String id = entry.id();
+        Host old = hosts.get(id);
+        if (entry.removed()) {
+            hosts.remove(id);
+        } else if (old == null || !old.isSameInstance(entry)) {
+            hosts.put(id, new Host(entry));
         } else {
-            old.keepConnections(place.ready());
+            old.setReuseConnections(entry.ready());
             return;
         }
         if (old != null) {
-            old.keepConnections(false);
-            if (!place.removed()) {
-                old.breakBefore(place.startedAtNanos());
+            old.setReuseConnections(false);
+            if (!entry.removed()) {
+                old.closeOpenedBefore(entry.startedAtNanos());
             }
         }
     }
 
     /**
-     * Starts an attempt. The request is this method's to release.
+     * Starts an attempt and takes over the reference to the request.
      *
      * @param id the request's id, for the {@link ResponseClassifier}
-     * @param restedNanos how long a connection may have rested to be trusted with this request
+     * @param maxIdleNanos the longest time that a connection may have been idle to carry this request
      */
     public Attempt send(
             String host,
             String id,
             FullHttpRequest request,
             long timeoutNanos,
-            long restedNanos,
+            long maxIdleNanos,
             AttemptListener listener) {
         Attempt attempt = new Attempt(id, request, clock.nanos(), listener);
         attempt.timer = loop.schedule(attempt::timedOut, Math.max(0, timeoutNanos), TimeUnit.NANOSECONDS);
         Host target = hosts.get(host);
-        Connection idle = target == null ? null : target.takeIdle(restedNanos);
+        Connection idle = target == null ? null : target.takeIdle(maxIdleNanos);
         if (idle != null) {
-            idle.carry(attempt);
-        } else if (target != null && (connections < bounds.connections() || closeOneIdle())) {
-            target.dial(attempt);
+            idle.send(attempt);
+        } else if (target != null && (connections < bounds.maxConnections() || closeOneIdle())) {
+            target.connect(attempt);
         } else {
             loop.execute(() -> attempt.end(Outcome.CONNECT_FAILED, null, null));
         }
         return attempt;
     }
 
-    /** Closes all connections, those with a request on them too, and is of no further use. */
+    /** Closes all connections, including those with a request in flight. The pool cannot be used afterwards. */
     public void close() {
-        sweeper.cancel(false);
-        hosts.values().forEach(host -> List.copyOf(host.all).forEach(connection -> connection.channel.close()));
+        idleSweep.cancel(false);
+        hosts.values().forEach(host -> List.copyOf(host.open).forEach(connection -> connection.channel.close()));
         hosts.clear();
     }
 
-    /** Connections that are open or on their way. */
+    /** The number of connections that are open or being opened. */
     public int connections() {
         return connections;
     }
 
-    private void retireIdle() {
-        hosts.values().forEach(host -> host.closeIdle(clock.nanos() - host.idleNanos));
+    private void closeExpired() {
+        hosts.values().forEach(host -> host.closeIdle(clock.nanos() - host.idleTimeoutNanos));
     }
 
     private boolean closeOneIdle() {
         for (Host host : hosts.values()) {
-            Connection longest = host.idle.pollFirst();
-            if (longest != null) {
-                longest.channel.close();
+            Connection longestIdle = host.idle.pollFirst();
+            if (longestIdle != null) {
+                longestIdle.channel.close();
                 return true;
             }
         }
         return false;
     }
 
-    /** One host since its last start, at one address. */
+    /** One instance of a host: a start of its process at one address. */
     private final class Host {
         private final SocketAddress address;
-        private final long startedAt;
-        /** The latest used last. */
+        private final long startedAtNanos;
+        /** Ordered by last use, the most recent last. */
         private final ArrayDeque<Connection> idle = new ArrayDeque<>();
 
-        private final Set<Connection> all = new HashSet<>();
-        private boolean keeps;
-        /** Shorter than the usual where the host itself has told a shorter time. */
-        private long idleNanos = (long) (bounds.idleNanos() * IDLE_PART);
+        private final Set<Connection> open = new HashSet<>();
+        private boolean reuseConnections;
+        /** Shorter than the default if the host announces a shorter keep-alive timeout. */
+        private long idleTimeoutNanos = (long) (bounds.idleTimeoutNanos() * IDLE_FRACTION);
 
-        Host(HostEntry place) {
-            address = place.address();
-            startedAt = place.startedAtNanos();
-            keeps = place.ready();
+        Host(HostEntry entry) {
+            address = entry.address();
+            startedAtNanos = entry.startedAtNanos();
+            reuseConnections = entry.ready();
         }
 
-        boolean is(HostEntry place) {
-            return address.equals(place.address()) && startedAt == place.startedAtNanos();
+        boolean isSameInstance(HostEntry entry) {
+            return address.equals(entry.address()) && startedAtNanos == entry.startedAtNanos();
         }
 
-        /** The latest used, so that the others come of age; one that the host has closed is passed over. */
-        Connection takeIdle(long restedNanos) {
+        /**
+         * Takes the most recently used idle connection, so that surplus ones expire; discards closed and stale ones.
+         */
+        Connection takeIdle(long maxIdleNanos) {
             Connection connection = idle.peekLast();
             while (connection != null
-                    && (!connection.channel.isActive() || clock.nanos() - connection.idleSince > idleNanos)) {
+                    && (!connection.channel.isActive()
+                            || clock.nanos() - connection.idleSinceNanos > idleTimeoutNanos)) {
                 idle.pollLast().channel.close();
                 connection = idle.peekLast();
             }
-            return connection != null && clock.nanos() - connection.idleSince <= restedNanos ? idle.pollLast() : null;
+            return connection != null && clock.nanos() - connection.idleSinceNanos <= maxIdleNanos
+                    ? idle.pollLast()
+                    : null;
         }
 
-        /** Guards against a request that crosses the closing that this host has announced. */
-        void told(String keepAlive) {
-            int at = keepAlive == null ? -1 : keepAlive.indexOf(TIMEOUT);
+        /** Adopts the timeout that the host announces, so that no request is sent while the host closes. */
+        void onKeepAliveHeader(String keepAlive) {
+            int at = keepAlive == null ? -1 : keepAlive.indexOf(TIMEOUT_PARAMETER);
             if (at >= 0) {
-                int end = at + TIMEOUT.length();
+                int end = at + TIMEOUT_PARAMETER.length();
                 long seconds = 0;
                 for (int digits = 0;
                         end < keepAlive.length()
                                 && Character.digit(keepAlive.charAt(end), 10) >= 0
-                                && digits < MOST_DIGITS;
+                                && digits < MAX_TIMEOUT_DIGITS;
                         digits++) {
                     seconds = seconds * 10 + Character.digit(keepAlive.charAt(end++), 10);
                 }
-                idleNanos = (long) (Math.min(bounds.idleNanos(), TimeUnit.SECONDS.toNanos(seconds)) * IDLE_PART);
+                idleTimeoutNanos =
+                        (long) (Math.min(bounds.idleTimeoutNanos(), TimeUnit.SECONDS.toNanos(seconds)) * IDLE_FRACTION);
             }
         }
 
-        void dial(Attempt attempt) {
+        void connect(Attempt attempt) {
             connections++;
             Connection connection = new Connection(this, attempt);
-            all.add(connection);
+            open.add(connection);
             attempt.connection = connection;
-            ChannelFuture dial = bootstrap
+            ChannelFuture connected = bootstrap
                     .clone()
                     .handler(new ChannelInitializer<Channel>() {
                         @Override
                         protected void initChannel(Channel channel) {
-                            ResponseReader reader = new ResponseReader(connection, bounds.answerBytes(), answers);
+                            ResponseReader reader = new ResponseReader(connection, bounds.maxBodyBytes(), budget);
                             channel.pipeline().addLast(reader.decoder(), new HttpRequestEncoder(), reader);
                         }
                     })
                     .connect(address);
-            connection.channel = dial.channel();
-            dial.channel().closeFuture().addListener(closed -> loop.execute(connection::closed));
-            dial.addListener(connection::dialled);
+            connection.channel = connected.channel();
+            connected.channel().closeFuture().addListener(closed -> loop.execute(connection::onClosed));
+            connected.addListener(connection::onConnectComplete);
         }
 
         void closeIdle(long before) {
-            while (!idle.isEmpty() && idle.peekFirst().idleSince <= before) {
+            while (!idle.isEmpty() && idle.peekFirst().idleSinceNanos <= before) {
                 idle.pollFirst().channel.close();
             }
         }
 
         /**
-         * Guards against holding connections, of which a host has few, to one that drains or is gone. What is in work
-         * there may still be answered.
+         * Closes idle connections to a host that drains or was removed, because a host accepts few connections.
+         * Requests in flight may still be answered.
          */
-        void keepConnections(boolean keep) {
-            keeps = keep;
-            if (!keep) {
+        void setReuseConnections(boolean reuse) {
+            reuseConnections = reuse;
+            if (!reuse) {
                 closeIdle(Long.MAX_VALUE);
             }
         }
 
-        /** Guards against waiting on a process that is no more: its machine may never say so. */
-        void breakBefore(long startOfNext) {
-            for (Connection connection : List.copyOf(all)) {
-                if (connection.openedAt < startOfNext) {
+        /** Ends attempts at a previous instance: if its machine vanished, nothing else closes the connection. */
+        void closeOpenedBefore(long nextStartNanos) {
+            for (Connection connection : List.copyOf(open)) {
+                if (connection.openedAtNanos < nextStartNanos) {
                     connection.channel.close();
                 }
             }
@@ -314,37 +319,37 @@
 
     private final class Connection implements ResponseReader.Listener {
         private final Host host;
-        private final long openedAt = clock.nanos();
+        private final long openedAtNanos = clock.nanos();
         private Channel channel;
         private Attempt attempt;
-        private long idleSince;
+        private long idleSinceNanos;
 
         Connection(Host host, Attempt first) {
             this.host = host;
             attempt = first;
         }
 
-        void dialled(Future<?> done) {
+        void onConnectComplete(Future<?> done) {
             if (!done.isSuccess()) {
                 channel.close();
                 return;
             }
             if (attempt == null) {
-                release(true);
+                reuseOrClose(true);
             } else {
-                carry(attempt);
+                send(attempt);
             }
         }
 
-        void carry(Attempt next) {
+        void send(Attempt next) {
             attempt = next;
             next.connection = this;
             FullHttpRequest request = next.request;
             next.request = null;
-            next.writing = true;
+            next.writeStarted = true;
             channel.writeAndFlush(request).addListener(write -> {
-                next.written = write.isSuccess();
-                if (!next.written) {
+                next.writeCompleted = write.isSuccess();
+                if (!next.writeCompleted) {
                     channel.close();
                 }
             });
@@ -352,33 +357,33 @@
 
         @Override
         public boolean isAwaitingResponse() {
-            return attempt != null && attempt.writing;
+            return attempt != null && attempt.writeStarted;
         }
 
         @Override
         public boolean isHeadRequest() {
-            return attempt != null && attempt.asksForHead;
+            return attempt != null && attempt.headRequest;
         }
 
         @Override
         public ResponseMatch ownerOf(HttpResponse head) {
-            // An attempt that was called off within this very read is over, and its connection closed.
-            return attempt == null ? ResponseMatch.THIS_REQUEST : dialect.match(attempt.id, head.headers());
+            // The attempt may have been cancelled during this read; its connection is closed then.
+            return attempt == null ? ResponseMatch.THIS_REQUEST : classifier.match(attempt.id, head.headers());
         }
 
         @Override
         public void onResponse(HttpResponse head, ByteBuf body, Reservation reserved, boolean framed, boolean clean) {
             Attempt answered = attempt;
             if (answered == null) {
-                return; // called off within this very read, and closed
+                return; // cancelled during this read, and the connection closed
             }
             attempt = null;
-            host.told(head.headers().get(KEEP_ALIVE));
-            // A free connection first: the module may send again at once.
-            release(clean && framed && HttpUtil.isKeepAlive(head) && answered.written);
+            host.onKeepAliveHeader(head.headers().get(KEEP_ALIVE));
+            // Before the listener is called: it may send the next request at once.
+            reuseOrClose(clean && framed && HttpUtil.isKeepAlive(head) && answered.writeCompleted);
             answered.end(
-                    dialect.outcome(answered.id, head, framed),
-                    dialect.load(head.headers()),
+                    classifier.outcome(answered.id, head, framed),
+                    classifier.load(head.headers()),
                     framed ? new Response(head, body, reserved) : null);
         }
 
@@ -392,66 +397,66 @@
             }
         }
 
-        private void release(boolean reusable) {
-            if (reusable && host.keeps && channel.isActive()) {
-                idleSince = clock.nanos();
+        private void reuseOrClose(boolean reusable) {
+            if (reusable && host.reuseConnections && channel.isActive()) {
+                idleSinceNanos = clock.nanos();
                 host.idle.addLast(this);
             } else {
                 channel.close();
             }
         }
 
-        /** After the write's own end, so that it is known by now whether the last byte went out. */
-        private void closed() {
+        /** Runs after the write future completes, so that it is known whether the request was written completely. */
+        private void onClosed() {
             connections--;
-            host.all.remove(this);
+            host.open.remove(this);
             host.idle.remove(this);
             Attempt broken = attempt;
             attempt = null;
             if (broken != null) {
-                broken.end(broken.written ? Outcome.RESET : Outcome.CONNECT_FAILED, null, null);
+                broken.end(broken.writeCompleted ? Outcome.RESET : Outcome.CONNECT_FAILED, null, null);
             }
         }
     }
 
-    /** One send of a request to a host. */
+    /** One transmission of a request to a host. */
     public final class Attempt {
         private final String id;
         private final AttemptListener listener;
-        private final long sentAt;
-        private final boolean asksForHead;
+        private final long sentAtNanos;
+        private final boolean headRequest;
         private FullHttpRequest request;
         private Connection connection;
         private Future<?> timer;
-        private boolean writing;
-        private boolean written;
+        private boolean writeStarted;
+        private boolean writeCompleted;
         private Outcome outcome;
-        private long endedAt;
+        private long endedAtNanos;
 
-        private Attempt(String id, FullHttpRequest request, long sentAt, AttemptListener listener) {
+        private Attempt(String id, FullHttpRequest request, long sentAtNanos, AttemptListener listener) {
             this.id = id;
             this.request = request;
-            this.sentAt = sentAt;
-            asksForHead = request.method().equals(HttpMethod.HEAD);
+            this.sentAtNanos = sentAtNanos;
+            headRequest = request.method().equals(HttpMethod.HEAD);
             this.listener = listener;
         }
 
-        /** How long it had been out at a time. */
-        public long elapsed(long at) {
-            return Math.max(0, at - sentAt);
+        /** The time from the start of the attempt to the given time. */
+        public long elapsedNanos(long atNanos) {
+            return Math.max(0, atNanos - sentAtNanos);
         }
 
-        /** How it ended, or null while it is out. */
+        /** How the attempt ended, or null while it is in flight. */
         public Outcome outcome() {
             return outcome;
         }
 
-        /** How long it took, or has been out at a time. */
-        long nanos(long now) {
-            return elapsed(outcome == null ? now : endedAt);
+        /** The duration of the attempt, or its duration so far if it is in flight. */
+        long durationNanos(long nowNanos) {
+            return elapsedNanos(outcome == null ? nowNanos : endedAtNanos);
         }
 
-        /** Stops waiting. */
+        /** Ends the attempt as cancelled, unless it has ended before. */
         public void cancel() {
             loop.execute(() -> {
                 abandon();
@@ -461,32 +466,32 @@
 
         private void timedOut() {
             abandon();
-            // What was never on its way to the host is proved not to have run.
-            end(writing ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED, null, null);
+            // A request that was never written cannot have been executed.
+            end(writeStarted ? Outcome.TIMED_OUT : Outcome.CONNECT_FAILED, null, null);
         }
 
-        /** A connection with a request on it is closed; one that is still coming up is kept for others. */
+        /** Closes a connection that carries the request; one that is still connecting stays for later requests. */
         private void abandon() {
             if (outcome == null && connection != null) {
                 connection.attempt = null;
-                if (writing) {
+                if (writeStarted) {
                     connection.channel.close();
                 }
             }
         }
 
-        private void end(Outcome itsOutcome, LoadReport load, Response answer) {
+        private void end(Outcome finalOutcome, LoadReport load, Response response) {
             if (outcome != null) {
                 return;
             }
-            outcome = itsOutcome;
-            endedAt = clock.nanos();
+            outcome = finalOutcome;
+            endedAtNanos = clock.nanos();
             timer.cancel(false);
             if (request != null) {
                 request.release();
                 request = null;
             }
-            listener.ended(this, outcome, endedAt, load, answer);
+            listener.ended(this, outcome, endedAtNanos, load, response);
         }
     }
 }
--- a/src/test/java/tinworks/edge/ConnectionDrainingTest.java
+++ b/src/test/java/tinworks/edge/ConnectionDrainingTest.java
@@ -21,18 +21,18 @@
 import tinworks.node.NodeProcess;
 import tinworks.policy.LoadBalancerApi.ShutdownStarted;
 
-/** What an edge that ends does with requests that it has read. */
+/** Connection draining during graceful shutdown: every request that was read gets its complete response. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class ConnectionDrainingTest {
-    /** More than the buffers of a connection hold whose reader takes little. */
-    private static final int LARGE_BODY = 12 << 20;
+    /** More than the socket buffers hold when the client reads slowly. */
+    private static final int LARGE_BODY_BYTES = 12 << 20;
 
-    private static final int SMALL_BUFFER = 4_096;
+    private static final int SMALL_BUFFER_BYTES = 4_096;
 
     private static final String SERVED = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nOrigin-Seal: s\r\nAttempt-Id: ";
 
     @Test
-    void whatWasReadBehindAnOpenRequestGetsItsAnswerToo() throws Exception {
+    void pipelinedRequestsAreAnsweredBeforeTheConnectionCloses() throws Exception {
         CompletableFuture<Socket> held = new CompletableFuture<>();
         try (ScriptedHost host = new ScriptedHost((socket, request) -> {
                     String id = request.header("Attempt-Id");
@@ -49,38 +49,40 @@
             client.write(EdgeFixture.request("a", "m", "x", 9_000, false)
                     + EdgeFixture.request("b", "m", "y", 9_000, false)
                     + EdgeFixture.request("c", "m", "zz", 9_000, true));
-            Socket at = held.get(EdgeFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
-            edge.tell(new ShutdownStarted(TimeUnit.SECONDS.toNanos(5)));
+            Socket at = held.get(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS);
+            edge.dispatch(new ShutdownStarted(TimeUnit.SECONDS.toNanos(5)));
             NodeProcess.run(edge.loop, edge.clients::closeAfterNextResponse);
             NodeProcess.run(edge.loop, edge.clients::stopAccepting);
             ScriptedHost.write(at, SERVED + "a\r\n\r\nfine");
             for (String id : new String[] {"a", "b", "c"}) {
-                Message answer = client.read();
-                assertEquals(200, answer.status());
-                assertEquals(id, answer.headers().get("attempt-id"));
+                Message response = client.read();
+                assertEquals(200, response.status());
+                assertEquals(id, response.headers().get("attempt-id"));
                 assertEquals(
-                        id.equals("c") ? "close" : null, answer.headers().get("connection"), "the last one says so");
+                        id.equals("c") ? "close" : null,
+                        response.headers().get("connection"),
+                        "only the last response closes the connection");
             }
             assertNull(client.read());
         }
     }
 
     /**
-     * It has begun before the end and says nothing of it, so its connection counts as idle while its rest still goes
-     * out.
+     * The response started before the shutdown, without {@code Connection: close}. Its connection counts as idle while
+     * the rest is still being written.
      */
     @Test
-    void anAnswerThatItsClientReadsSlowlyIsNotCutWhenTheEdgeStopsAccepting() throws Exception {
+    void slowlyReadResponseIsNotCutWhenTheEdgeStopsAccepting() throws Exception {
         try (ScriptedHost host = new ScriptedHost((socket, request) -> ScriptedHost.write(
                         socket,
-                        "HTTP/1.1 200 OK\r\nContent-Length: " + LARGE_BODY
-                                + "\r\nOrigin-Seal: s\r\nAttempt-Id: a\r\n\r\n" + "x".repeat(LARGE_BODY)));
+                        "HTTP/1.1 200 OK\r\nContent-Length: " + LARGE_BODY_BYTES
+                                + "\r\nOrigin-Seal: s\r\nAttempt-Id: a\r\n\r\n" + "x".repeat(LARGE_BODY_BYTES)));
                 EdgeFixture edge = new EdgeFixture(new EdgeProtocol(1));
                 Socket client = new Socket()) {
             edge.host("h", host.address(), true);
             edge.route("i", Configuration.Type.IDEM, 2, "h");
-            client.setReceiveBufferSize(SMALL_BUFFER);
-            client.setSoTimeout(EdgeFixture.PATIENCE_MILLIS);
+            client.setReceiveBufferSize(SMALL_BUFFER_BYTES);
+            client.setSoTimeout(EdgeFixture.WAIT_MILLIS);
             client.connect(NodeProcess.call(edge.loop, edge.clients::address));
             client.getOutputStream()
                     .write(EdgeFixture.request("a", "i", "", 9_000, false).getBytes(StandardCharsets.US_ASCII));
@@ -91,11 +93,11 @@
             NodeProcess.run(edge.loop, edge.clients::stopAccepting);
             assertTrue(
                     NodeProcess.call(edge.loop, edge.clients::hasConnections),
-                    "the process lives on until it has gone out");
-            Message answer = Message.read(in, true);
-            assertNotNull(answer, "cut");
-            assertEquals(LARGE_BODY, answer.body().length());
-            assertEquals(-1, in.read(), "its connection ends behind it");
+                    "the process stays until the response has been written");
+            Message response = Message.read(in, true);
+            assertNotNull(response, "the response was cut");
+            assertEquals(LARGE_BODY_BYTES, response.body().length());
+            assertEquals(-1, in.read(), "its connection is closed after it");
             assertFalse(NodeProcess.call(edge.loop, edge.clients::hasConnections));
         }
     }
