--- a/src/test/java/tinworks/edge/UnreadableHostTest.java
+++ b/src/test/java/tinworks/edge/UnreadableHostTest.java
@@ -17,11 +17,11 @@
 import tinworks.node.BootSettings;
 import tinworks.node.NodeProcess;
 
-/** One entry of the platform's list that can't be read keeps none of the others from an edge. */
+/** Guards against one entry with an invalid address keeping the rest of the platform's host list from an edge. */
 @Timeout(value = 30, unit = TimeUnit.SECONDS)
 class UnreadableHostTest {
     @Test
-    void theOthersAreTakenIn() throws InterruptedException {
+    void otherHostsAreAccepted() throws InterruptedException {
         ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
         InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
