--- a/src/test/java/tinworks/fuzz/DecodersTest.java
+++ b/src/test/java/tinworks/fuzz/DecodersTest.java
@@ -30,7 +30,7 @@
 import tinworks.raft.MemberListCodec;
 import tinworks.raft.Voters;
 
-/** Whatever comes in, a decoder reads it or refuses it in its own words; nothing else comes out of it. */
+/** Fuzzes the decoders: each either decodes its input or rejects it with its documented exception and a message. */
 class DecodersTest {
     private static final String SEED = "20261201";
     private static final int TRIES = 3_000;
@@ -43,7 +43,7 @@
             "{\"node\":\"core-1\",\"az\":\"z\",\"ip\":\"10.1.0.9\",\"listen\":{\"ctl\":\"10.1.0.9:8544\"},"
                     + "\"portRange\":[7540,7555],\"seeds\":[\"10.1.0.9:8544\"],\"bootstrap\":true,\"limits\":{\"nofile\":4096},"
                     + "\"datadir\":\"/data\",\"survive\":{\"nodes\":1},\"bounds\":{\"graceS\":6},\"provider\":{\"addr\":\"10.2.0.1:80\"}}";
-    private static final List<String> PIECES = List.of(
+    private static final List<String> FRAGMENTS = List.of(
             "null",
             "-1",
             "0",
@@ -61,35 +61,35 @@
             "\"\\ud800\"",
             "NaN");
 
-    /** A text with some parts of it replaced by others. */
-    record Change(int at, int length, String by) {}
+    /** A replacement of some characters of a text by a fragment. */
+    record Replacement(int at, int length, String by) {}
 
     @Provide
-    Arbitrary<List<Change>> changes() {
+    Arbitrary<List<Replacement>> replacements() {
         return Combinators.combine(
                         Arbitraries.integers().between(0, 700),
                         Arbitraries.integers().between(0, 12),
-                        Arbitraries.of(PIECES))
-                .as(Change::new)
+                        Arbitraries.of(FRAGMENTS))
+                .as(Replacement::new)
                 .list()
                 .ofMinSize(1)
                 .ofMaxSize(3);
     }
 
-    private static String changed(String text, List<Change> changes) {
-        StringBuilder changed = new StringBuilder(text);
-        for (Change change : changes) {
-            int at = Math.min(change.at(), changed.length());
-            changed.replace(at, Math.min(at + change.length(), changed.length()), change.by());
+    private static String mutated(String text, List<Replacement> replacements) {
+        StringBuilder mutated = new StringBuilder(text);
+        for (Replacement replacement : replacements) {
+            int at = Math.min(replacement.at(), mutated.length());
+            mutated.replace(at, Math.min(at + replacement.length(), mutated.length()), replacement.by());
         }
-        return changed.toString();
+        return mutated.toString();
     }
 
     @Property(tries = TRIES, seed = SEED, shrinking = ShrinkingMode.BOUNDED)
-    void aConfigurationIsReadOrRefusedWithItsPlace(@ForAll("changes") List<Change> changes) {
+    void aConfigurationIsReadOrRejectedWithAMessage(@ForAll("replacements") List<Replacement> replacements) {
         try {
-            Configuration read =
-                    ConfigurationReader.read(changed(CONFIGURATION, changes).getBytes(StandardCharsets.UTF_8));
+            Configuration read = ConfigurationReader.read(
+                    mutated(CONFIGURATION, replacements).getBytes(StandardCharsets.UTF_8));
             assertFalse(read.routes().stream()
                     .anyMatch(route -> route.timeoutMs() <= 0 || !route.prefix().endsWith("/")));
         } catch (InvalidConfiguration e) {
@@ -98,7 +98,7 @@
     }
 
     @Property(tries = TRIES, seed = SEED, shrinking = ShrinkingMode.BOUNDED)
-    void anyBytesAreNoConfigurationOrOne(@ForAll @Size(max = 200) byte[] bytes) {
+    void anyBytesAreAConfigurationOrAreRejected(@ForAll @Size(max = 200) byte[] bytes) {
         try {
             ConfigurationReader.read(bytes);
         } catch (InvalidConfiguration e) {
@@ -107,20 +107,20 @@
     }
 
     @Property(tries = TRIES, seed = SEED, shrinking = ShrinkingMode.BOUNDED)
-    void settingsAreReadOrRefusedInOneLine(@ForAll("changes") List<Change> changes) {
+    void settingsAreReadOrRejectedWithAMessage(@ForAll("replacements") List<Replacement> replacements) {
         try {
-            BootSettings.read(Json.read(changed(SETTINGS, changes)));
+            BootSettings.read(Json.read(mutated(SETTINGS, replacements)));
         } catch (IOException | IllegalArgumentException e) {
             assertFalse(e.getMessage().isEmpty());
         }
     }
 
     @Property(tries = TRIES, seed = SEED, shrinking = ShrinkingMode.BOUNDED)
-    void framesBetweenOurProcessesAreReadOrMalformed(
+    void peerFramesAreDecodedOrRejectedAsMalformed(
             @ForAll @Size(max = 300) byte[] bytes, @ForAll @IntRange(max = 20) int kind) {
         byte[] frame = bytes.clone();
         if (frame.length > 0) {
-            // More of them get past the first byte.
+            // A valid message kind lets more frames get past the first byte.
             frame[0] = (byte) kind;
         }
         try {
@@ -144,19 +144,19 @@
     }
 
     @Property(tries = 500, seed = SEED)
-    void votersComeBackAsTheyWereWritten(@ForAll("voters") List<Member> voters) {
+    void votersSurviveAnEncodingRoundTrip(@ForAll("voters") List<Member> voters) {
         assertEquals(voters, MemberListCodec.decode(MemberListCodec.encode(voters)));
     }
 
     @Property(tries = 500, seed = SEED)
-    void votersBeforeAndAfterAChangeComeBackAsTheyWereWritten(
+    void jointVotersSurviveAnEncodingRoundTrip(
             @ForAll("voters") List<Member> current, @ForAll("voters") List<Member> outgoing) {
         Voters voters = new Voters(current, outgoing);
         assertEquals(voters, Voters.decode(voters.encode()));
     }
 
     @Property(tries = TRIES, seed = SEED, shrinking = ShrinkingMode.BOUNDED)
-    void anyBytesAreVotersOrRefused(@ForAll @Size(max = 120) byte[] bytes) {
+    void anyBytesAreVotersOrAreRejected(@ForAll @Size(max = 120) byte[] bytes) {
         try {
             assertArrayEquals(bytes, MemberListCodec.encode(MemberListCodec.decode(bytes)));
         } catch (IllegalArgumentException e) {
@@ -170,19 +170,19 @@
     }
 
     @Property(tries = TRIES, seed = SEED, shrinking = ShrinkingMode.BOUNDED)
-    void aSavedHistoryIsLoadedOrRefused(
+    void aSavedHistoryIsLoadedOrRejected(
             @ForAll @IntRange(max = 400) int at, @ForAll byte by, @ForAll @IntRange(max = 400) int length) {
         ConfigurationHistory history = new ConfigurationHistory();
         history.apply(ConfigurationHistory.command(0, 3, "{\"rev\":3}".getBytes(StandardCharsets.UTF_8)));
         history.apply(ConfigurationHistory.command(3, 9, "{\"rev\":9}".getBytes(StandardCharsets.UTF_8)));
         byte[] saved = history.save();
-        byte[] spoilt = Arrays.copyOf(saved, Math.min(length, saved.length + 4));
-        if (at < spoilt.length) {
-            spoilt[at] = by;
+        byte[] corrupted = Arrays.copyOf(saved, Math.min(length, saved.length + 4));
+        if (at < corrupted.length) {
+            corrupted[at] = by;
         }
         ConfigurationHistory loaded = new ConfigurationHistory();
         try {
-            loaded.load(spoilt);
+            loaded.load(corrupted);
         } catch (IllegalArgumentException e) {
             assertFalse(e.getMessage().isEmpty());
         }
--- a/src/test/java/tinworks/leaks/BufferLeaks.java
+++ b/src/test/java/tinworks/leaks/BufferLeaks.java
@@ -7,11 +7,11 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** Netty's leak detection at its strictest, which keeps what it finds in place of writing it to a log. */
+/** Netty's leak detection at level PARANOID; reports are collected here rather than logged. */
 final class BufferLeaks extends ResourceLeakDetectorFactory {
-    private final Queue<String> found = new ConcurrentLinkedQueue<>();
+    private final Queue<String> reports = new ConcurrentLinkedQueue<>();
 
-    /** Begins to watch all buffers of this process; to be called before the first of them is made. */
+    /** Installs the detector for all buffers of this process; must be called before the first buffer is allocated. */
     static BufferLeaks watch() {
         BufferLeaks leaks = new BufferLeaks();
         ResourceLeakDetector.setLevel(ResourceLeakDetector.Level.PARANOID);
@@ -19,16 +19,16 @@
         return leaks;
     }
 
-    /** The reports since the last call, each with the places that touched the buffer. */
+    /** Returns the reports since the last call, each with the recorded accesses to the buffer. */
     List<String> take() {
         List<String> taken = new ArrayList<>();
-        for (String report = found.poll(); report != null; report = found.poll()) {
+        for (String report = reports.poll(); report != null; report = reports.poll()) {
             taken.add(report);
         }
         return taken;
     }
 
-    /** An older form of the other, which the factory still has to have. */
+    /** The older form of {@link #newResourceLeakDetector(Class, int)}, which the factory must still implement. */
     @Override
     @Deprecated
     @SuppressWarnings("InlineMeSuggester")
@@ -47,12 +47,12 @@
 
             @Override
             protected void reportTracedLeak(String type, String records) {
-                found.add(type + records);
+                reports.add(type + records);
             }
 
             @Override
             protected void reportUntracedLeak(String type) {
-                found.add(type);
+                reports.add(type);
             }
         };
     }
--- a/src/test/java/tinworks/leaks/LeakCheck.java
+++ b/src/test/java/tinworks/leaks/LeakCheck.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 
 /**
- * Fails a test class behind whose tests a buffer was collected as garbage without having been released. Applies to all
- * classes by the list of extensions under {@code META-INF/services}. Where classes run at the same time, the buffer may
- * be another class's; the report tells who touched it.
+ * Fails a test class after whose tests a Netty buffer was garbage-collected without being released. It is registered
+ * for all test classes under {@code META-INF/services}. Where classes run concurrently, the buffer may belong to
+ * another class; the report lists its accesses.
  */
 public final class LeakCheck implements BeforeAllCallback, AfterAllCallback {
     private static final BufferLeaks LEAKS = BufferLeaks.watch();
@@ -22,28 +22,31 @@
 
     @Override
     public void beforeAll(ExtensionContext context) {
-        // The detector is in place since this class was loaded.
+        // The detector is installed when this class is loaded.
     }
 
     @Override
     public void afterAll(ExtensionContext context) throws InterruptedException {
-        assertEquals(List.of(), find(), "buffers that were lost in " + context.getDisplayName() + " or beside it");
+        assertEquals(
+                List.of(),
+                collectReports(),
+                "buffers leaked in " + context.getDisplayName() + " or in a class that ran at the same time");
     }
 
-    /** Has garbage collected, and reads what was found. */
-    static synchronized List<String> find() throws InterruptedException {
+    /** Runs garbage collections and returns the leak reports since the last call. */
+    static synchronized List<String> collectReports() throws InterruptedException {
         for (int i = 0; i < COLLECTIONS; i++) {
             collect();
-            // The detector looks for lost buffers whenever one is made.
+            // The detector checks for leaked buffers whenever a buffer is allocated.
             ByteBufAllocator.DEFAULT.buffer(1).release();
         }
         return LEAKS.take();
     }
 
     private static void collect() throws InterruptedException {
-        WeakReference<Object> sign = new WeakReference<>(new Object());
+        WeakReference<Object> probe = new WeakReference<>(new Object());
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(COLLECTION_MILLIS);
-        while (sign.get() != null && System.nanoTime() < until) {
+        while (probe.get() != null && System.nanoTime() < until) {
             System.gc();
         }
         TimeUnit.MILLISECONDS.sleep(1);
--- a/src/test/java/tinworks/simulation/Machine.java
+++ b/src/test/java/tinworks/simulation/Machine.java
@@ -4,156 +4,159 @@
 import java.util.List;
 
 /**
- * A machine and the one thread of its process: its steady clock runs a little wrong, it may be frozen, when what comes
- * queues up and time passes on, or slow, when each piece of work takes its time. What was begun in one life of the
- * process is never done in another.
+ * A simulated machine with one single-threaded process. Its monotonic clock drifts slightly. While the process is
+ * frozen, deliveries and timers queue up and time passes; while it is slow, each task takes a fixed time. A task that
+ * was scheduled in one incarnation of the process never runs in another.
  */
 public final class Machine {
-    private static final double CLOCK_ERROR = 200e-6;
+    private static final double MAX_CLOCK_DRIFT = 200e-6;
 
-    private final Simulator world;
+    private final Simulator simulator;
     private final String address;
     private final double rate;
     private final long clockBase;
     private final Runnable observer;
-    private final List<Held> timers = new ArrayList<>();
-    private final List<Held> arrivals = new ArrayList<>();
+    private final List<QueuedWork> timers = new ArrayList<>();
+    private final List<QueuedWork> arrivals = new ArrayList<>();
     private boolean powered = true;
     private boolean running;
     private boolean frozen;
-    private long life;
-    private long workMicros;
+    private long incarnation;
+    private long processingMicros;
     private long busyUntil;
-    private int pending;
+    private int pendingTasks;
 
-    private record Held(long life, Runnable work) {}
+    private record QueuedWork(long incarnation, Runnable work) {}
 
-    /** A machine without a process yet; the observer looks on after each piece of work. */
-    public Machine(Simulator world, String address, Runnable observer) {
-        this.world = world;
+    /** Creates a machine whose process is not started; the observer is called after each task. */
+    public Machine(Simulator simulator, String address, Runnable observer) {
+        this.simulator = simulator;
         this.address = address;
         this.observer = observer;
-        rate = 1 + (world.random().nextDouble() * 2 - 1) * CLOCK_ERROR;
-        clockBase = world.random().nextLong(1 << 30);
+        rate = 1 + (simulator.random().nextDouble() * 2 - 1) * MAX_CLOCK_DRIFT;
+        clockBase = simulator.random().nextLong(1 << 30);
     }
 
-    /** Where it is reached. */
+    /** Returns the address at which the machine is reached. */
     public String address() {
         return address;
     }
 
-    /** Its own steady milliseconds. */
+    /** Returns the monotonic clock of the machine in milliseconds. */
     public long millis() {
-        return clockBase + (long) (world.micros() * rate / 1_000);
+        return clockBase + (long) (simulator.micros() * rate / 1_000);
     }
 
-    /** Which process of this machine runs, or ran last. */
+    /** Returns the incarnation of the process, which changes with each start and each kill. */
     public long incarnation() {
-        return life;
+        return incarnation;
     }
 
-    /** Whether it has power. */
+    /** Whether the machine has power. */
     public boolean powered() {
         return powered;
     }
 
-    /** Whether its process runs, or would if it weren't frozen. */
+    /** Whether the process exists, be it frozen or not. */
     public boolean running() {
         return running;
     }
 
-    /** Whether its process is frozen. */
+    /** Whether the process is frozen. */
     public boolean frozen() {
         return frozen;
     }
 
-    /** Its process starts, and power is back. */
+    /** Restores power and starts a new process. */
     public void start() {
         powered = true;
         running = true;
         frozen = false;
-        workMicros = 0;
+        processingMicros = 0;
         busyUntil = 0;
-        pending = 0;
-        life++;
+        pendingTasks = 0;
+        incarnation++;
     }
 
-    /** The process is gone. */
+    /** Kills the process: its timers and queued deliveries are dropped. */
     public void kill() {
         running = false;
         frozen = false;
-        life++;
+        incarnation++;
         timers.clear();
         arrivals.clear();
     }
 
-    /** Power is gone, and the process with it. */
+    /** Cuts the power, which also ends the process. */
     public void powerOff() {
         kill();
         powered = false;
     }
 
-    /** The process stands still. */
+    /** Suspends the process, as SIGSTOP does. */
     public void freeze() {
         frozen = running;
     }
 
-    /** The process goes on; whether it sees first what has come or that time has passed is left to chance. */
+    /** Resumes the process; whether its queued deliveries or its expired timers run first is random. */
     public void thaw() {
         if (!frozen) {
             return;
         }
         frozen = false;
-        List<Held> held = new ArrayList<>();
-        boolean timersFirst = world.random().nextBoolean();
-        held.addAll(timersFirst ? timers : arrivals);
-        held.addAll(timersFirst ? arrivals : timers);
+        List<QueuedWork> queued = new ArrayList<>();
+        boolean timersFirst = simulator.random().nextBoolean();
+        queued.addAll(timersFirst ? timers : arrivals);
+        queued.addAll(timersFirst ? arrivals : timers);
         timers.clear();
         arrivals.clear();
-        held.forEach(h -> perform(h.life, h.work, arrivals));
+        queued.forEach(task -> runOrQueue(task.incarnation, task.work, arrivals));
     }
 
-    /** From now on each piece of work takes this long; 0 for no time at all. */
+    /** Sets how long each task takes from now on; 0 for no time. */
     public void setProcessingMicros(long micros) {
-        workMicros = micros;
+        processingMicros = micros;
     }
 
-    /** A timer of the present process, in its own milliseconds; a little late, as timers are. */
+    /**
+     * Schedules a task of the current process by the clock of the machine; it runs up to 0.5 ms late, as real timers
+     * do.
+     */
     public void schedule(long millis, Runnable work) {
-        long mine = life;
-        long late = world.random().nextInt(500);
-        world.schedule((long) (millis * 1_000 / rate) + late, () -> perform(mine, work, timers));
+        long scheduledIn = incarnation;
+        long lateMicros = simulator.random().nextInt(500);
+        simulator.schedule((long) (millis * 1_000 / rate) + lateMicros, () -> runOrQueue(scheduledIn, work, timers));
     }
 
-    /** Something comes from outside to the process of this life; nothing where that is no more. */
-    public void deliver(long itsLife, Runnable work) {
-        perform(itsLife, work, arrivals);
+    /** Delivers a task from outside to the process of this incarnation; dropped where that process is gone. */
+    public void deliver(long taskIncarnation, Runnable work) {
+        runOrQueue(taskIncarnation, work, arrivals);
     }
 
-    private void perform(long itsLife, Runnable work, List<Held> queue) {
-        if (itsLife != life || !running) {
+    private void runOrQueue(long taskIncarnation, Runnable work, List<QueuedWork> queue) {
+        if (taskIncarnation != incarnation || !running) {
             return;
         }
         if (frozen) {
-            queue.add(new Held(itsLife, work));
-        } else if (workMicros > 0 || pending > 0) {
-            pending++;
-            busyUntil = Math.max(busyUntil, world.micros()) + workMicros;
-            world.schedule(busyUntil - world.micros(), () -> {
-                pending -= itsLife == life ? 1 : 0;
-                finish(itsLife, work, queue);
+            queue.add(new QueuedWork(taskIncarnation, work));
+        } else if (processingMicros > 0 || pendingTasks > 0) {
+            pendingTasks++;
+            busyUntil = Math.max(busyUntil, simulator.micros()) + processingMicros;
+            simulator.schedule(busyUntil - simulator.micros(), () -> {
+                pendingTasks -= taskIncarnation == incarnation ? 1 : 0;
+                runIfCurrent(taskIncarnation, work, queue);
             });
         } else {
-            finish(itsLife, work, queue);
+            runIfCurrent(taskIncarnation, work, queue);
         }
     }
 
-    private void finish(long itsLife, Runnable work, List<Held> queue) {
-        if (itsLife != life || !running) {
+    private void runIfCurrent(long taskIncarnation, Runnable work, List<QueuedWork> queue) {
+        if (taskIncarnation != incarnation || !running) {
             return;
         }
         if (frozen) {
-            queue.add(new Held(itsLife, work));
+            queue.add(new QueuedWork(taskIncarnation, work));
             return;
         }
         work.run();
--- a/src/test/java/tinworks/simulation/Simulator.java
+++ b/src/test/java/tinworks/simulation/Simulator.java
@@ -4,9 +4,12 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** One steady time, and what is to happen in it, in an order that the seed alone decides. All on one thread. */
+/**
+ * A deterministic discrete-event simulator: virtual time, a queue of scheduled events and one seeded random source. It
+ * runs all events on the calling thread, and equal seeds give equal runs.
+ */
 public final class Simulator {
-    private static final long MOST_EVENTS = 20_000_000;
+    private static final long MAX_EVENTS = 20_000_000;
 
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
@@ -16,44 +19,44 @@
 
     private record Event(long at, long order, Runnable work) {}
 
-    /** A world at time 0. */
+    /** Creates a simulator at time 0. */
     public Simulator(long seed) {
         random = new SplittableRandom(seed);
     }
 
-    /** Microseconds since the beginning. */
+    /** Returns the virtual time in microseconds. */
     public long micros() {
         return now;
     }
 
-    /** Milliseconds since the beginning. */
+    /** Returns the virtual time in milliseconds. */
     public long millis() {
         return now / 1_000;
     }
 
-    /** The chance that all parts of the world draw from. */
+    /** Returns the random source that all parts of the simulation share. */
     public SplittableRandom random() {
         return random;
     }
 
-    /** How many events there were. */
+    /** Returns the number of events that have been run. */
     public long events() {
         return order - events.size();
     }
 
-    /** Does something after so many microseconds. */
+    /** Schedules an event after a delay; a negative delay counts as 0. */
     public void schedule(long micros, Runnable work) {
         events.add(new Event(now + Math.max(0, micros), order++, work));
     }
 
-    /** Lets time pass up to this many milliseconds since the beginning. */
+    /** Runs all events up to this virtual time, and moves the clock there. */
     public void runUntil(long untilMillis) {
         while (!events.isEmpty() && events.peek().at <= untilMillis * 1_000) {
             Event event = events.poll();
             now = event.at;
             event.work.run();
-            if (order > MOST_EVENTS) {
-                throw new IllegalStateException("the world never comes to rest");
+            if (order > MAX_EVENTS) {
+                throw new IllegalStateException("the simulation exceeded its limit of scheduled events");
             }
         }
         now = untilMillis * 1_000;
--- a/src/test/java/tinworks/system/WholeSystemTest.java
+++ b/src/test/java/tinworks/system/WholeSystemTest.java
@@ -32,10 +32,10 @@
 import tinworks.raft.Snapshot;
 import tinworks.store.CoreStore;
 
-/** Three core machines and an edge over loopback, beside stand-ins of the platform and of a host. */
+/** End-to-end test: three core nodes and an edge over loopback, with stubs of the platform and of a host. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class WholeSystemTest {
-    private static final long LONGEST_WAIT_SECONDS = 20;
+    private static final long MAX_WAIT_SECONDS = 20;
 
     @TempDir
     private Path disks;
@@ -46,7 +46,7 @@
     private HttpServer platform;
     private HttpServer host;
     private EdgeNode edge;
-    private int inner;
+    private int peerPort;
     private int ctl;
     private int http;
     private int readyz;
@@ -74,34 +74,34 @@
         platform.start();
         host.start();
         List<Integer> ports = FreePorts.at("127.0.0.2", 4);
-        inner = ports.get(0);
+        peerPort = ports.get(0);
         ctl = ports.get(1);
         http = ports.get(2);
         readyz = ports.get(3);
         List<Member> voters = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            voters.add(new Member(i + 1, ip(i) + ":" + inner));
+            voters.add(new Member(i + 1, ip(i) + ":" + peerPort));
         }
         for (int i = 0; i < 3; i++) {
             CoreStore store = CoreStore.open(disks.resolve("core" + i));
             store.initialize(i + 1, HardState.NONE, new Snapshot(0, 0, voters, new byte[0]));
             long id = i + 1L;
             BootSettings settings = settings("core-" + i, ip(i));
-            CoreNode core = on(() -> new CoreNode(loop, settings, store, id, store.load()));
+            CoreNode core = onLoop(() -> new CoreNode(loop, settings, store, id, store.load()));
             cores.add(core);
-            on(core::start)
+            onLoop(core::start)
                     .forEach(bound ->
                             assertTrue(bound.awaitUninterruptibly().isSuccess(), String.valueOf(bound.cause())));
         }
-        edge = on(() -> new EdgeNode(loop, new MonotonicClock(), settings("edge-1", "127.0.0.9"), 77));
-        on(edge::start)
+        edge = onLoop(() -> new EdgeNode(loop, new MonotonicClock(), settings("edge-1", "127.0.0.9"), 77));
+        onLoop(edge::start)
                 .forEach(bound -> assertTrue(bound.awaitUninterruptibly().isSuccess(), String.valueOf(bound.cause())));
     }
 
     @AfterEach
     void stop() throws Exception {
         for (CoreNode core : cores) {
-            on(() -> {
+            onLoop(() -> {
                 core.close();
                 return true;
             });
@@ -123,8 +123,8 @@
                 new InetSocketAddress(ip, http),
                 new InetSocketAddress(ip, readyz),
                 new InetSocketAddress(ip, ctl),
-                new InetSocketAddress(ip, inner),
-                List.of(ip(0) + ":" + inner, ip(1) + ":" + inner, ip(2) + ":" + inner),
+                new InetSocketAddress(ip, peerPort),
+                List.of(ip(0) + ":" + peerPort, ip(1) + ":" + peerPort, ip(2) + ":" + peerPort),
                 true,
                 1_000,
                 null,
@@ -133,7 +133,7 @@
                 platform.getAddress());
     }
 
-    private <T> T on(Callable<T> work) {
+    private <T> T onLoop(Callable<T> work) {
         return NodeProcess.call(loop, work);
     }
 
@@ -145,7 +145,9 @@
         call.close();
     }
 
-    /** One call on a connection of its own; the whole answer as text, or empty where there was none. */
+    /**
+     * Sends one request on a new connection; returns the whole response as text, or an empty text where there was none.
+     */
     private static String call(String ip, int port, String head, String body) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(new InetSocketAddress(ip, port), 2_000);
@@ -160,9 +162,9 @@
     }
 
     private static void await(String what, Callable<Boolean> holds) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LONGEST_WAIT_SECONDS);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_SECONDS);
         while (!holds.call()) {
-            assertTrue(System.nanoTime() < until, "waited in vain: " + what);
+            assertTrue(System.nanoTime() < until, "timed out waiting: " + what);
             TimeUnit.MILLISECONDS.sleep(20);
         }
     }
@@ -176,7 +178,7 @@
         return call(ip(core), ctl, "POST /-/config/replace HTTP/1.1\r\nHost: ctl\r\nBase-Rev: " + base, body);
     }
 
-    private String ask(String path, String id) throws IOException {
+    private String request(String path, String id) throws IOException {
         return call(
                 "127.0.0.9",
                 http,
@@ -189,25 +191,27 @@
     }
 
     @Test
-    void aConfigurationReachesTheEdgeAndOutlivesTheLeader() throws Exception {
-        assertTrue(is(ask("/p/1", "a0"), 503), "without a configuration nothing is said of routes");
-        await("the first configuration is taken", () -> is(replace(0, 0, configuration(2, "/p/")), 200));
+    void aConfigurationReachesTheEdgeAndSurvivesTheLossOfTheLeader() throws Exception {
+        assertTrue(
+                is(request("/p/1", "a0"), 503),
+                "without a configuration, routes are unknown, so the answer is 503 and not 404");
+        await("the first configuration is accepted", () -> is(replace(0, 0, configuration(2, "/p/")), 200));
         await("the edge is ready", () -> is(call("127.0.0.9", readyz, "GET /-/readyz HTTP/1.1\r\nHost: e", ""), 200));
         await(
                 "a request is served",
-                () -> ask("/p/1?x=1", "a" + System.nanoTime()).endsWith("ran /p/1?x=1 for i-1"));
-        assertTrue(is(ask("/q/1", "a2"), 404));
+                () -> request("/p/1?x=1", "a" + System.nanoTime()).endsWith("ran /p/1?x=1 for i-1"));
+        assertTrue(is(request("/q/1", "a2"), 404));
         String edgeMetrics = call("127.0.0.9", readyz, "GET /-/metrics HTTP/1.1\r\nHost: e", "");
         assertTrue(edgeMetrics.contains("tinworks_configuration_version 2.0"), edgeMetrics);
         assertTrue(edgeMetrics.contains("tinworks_attempts_total{outcome=\"served\",service=\"s\"} 1.0"), edgeMetrics);
         assertTrue(call(ip(0), ctl, "GET /-/metrics HTTP/1.1\r\nHost: c", "").contains("tinworks_voters 3.0"));
 
         assertTrue(is(replace(1, 2, configuration(3, "/p/").replace("\"svc\":\"s\"", "\"svc\":\"t\"")), 400));
-        assertTrue(is(replace(1, 1, configuration(3, "/p/")), 412), "built on a version that is not current");
-        assertTrue(is(replace(2, 0, configuration(2, "/p/")), 200), "the same call again, elsewhere");
+        assertTrue(is(replace(1, 1, configuration(3, "/p/")), 412), "based on a version that is not current");
+        assertTrue(is(replace(2, 0, configuration(2, "/p/")), 200), "a retry of the same change at another node");
 
         await(
-                "the lease vouches for what a core machine tells",
+                "a core node is fresh under the leader lease",
                 () -> call(ip(1), ctl, "GET /-/status HTTP/1.1\r\nHost: c", "").contains("\"fresh\":true")
                         && is(call(ip(1), ctl, "GET /-/readyz HTTP/1.1\r\nHost: c", ""), 200));
 
@@ -218,16 +222,18 @@
             }
         }
         assertTrue(leader >= 0);
-        CoreNode gone = cores.remove(leader);
-        on(() -> {
-            gone.close();
+        CoreNode stopped = cores.remove(leader);
+        onLoop(() -> {
+            stopped.close();
             return true;
         });
-        gone.awaitClosed(5_000);
+        stopped.awaitClosed(5_000);
         int other = (leader + 1) % 3;
-        await("the others agree without it", () -> is(replace(other, 2, configuration(5, "/q/")), 200));
-        await("the edge follows", () -> is(ask("/q/1", "b" + System.nanoTime()), 200));
-        assertTrue(is(ask("/p/1", "b2"), 404), "the route that was dropped");
+        await(
+                "the other nodes commit a change without the old leader",
+                () -> is(replace(other, 2, configuration(5, "/q/")), 200));
+        await("the edge applies the new configuration", () -> is(request("/q/1", "b" + System.nanoTime()), 200));
+        assertTrue(is(request("/p/1", "b2"), 404), "the removed route");
         String shown = call(ip((leader + 2) % 3), ctl, "GET /-/config/show HTTP/1.1\r\nHost: c", "");
         assertEquals(configuration(5, "/q/"), shown.substring(shown.indexOf("\r\n\r\n") + 4));
     }
