--- a/src/test/java/tinworks/control/CoreNetwork.java
+++ b/src/test/java/tinworks/control/CoreNetwork.java
@@ -30,39 +30,39 @@
 import tinworks.raft.Snapshot;
 
 /**
- * Core machines on a simulated network, with simulated disks and one steady clock, all chance from one seed. Machines
- * are cut off, frozen, killed and started again; the machines, their agreement and the operator's calls are the
- * production classes.
+ * A deterministic simulation of core nodes: network, disks and one monotonic clock, with all randomness from one seed.
+ * Nodes can be partitioned, frozen, killed and restarted. The core machine, the consensus and the operator calls are
+ * the production classes.
  */
 final class CoreNetwork {
-    /** A machine as the test wants it, sound or flawed. */
+    /** Creates the core machine under test, correct or deliberately defective. */
     interface CoreMachineFactory {
         CoreMachine create(
                 CoreMachine.Identity self, PersistentState stored, Disk disk, CoreMachine.Environment around);
     }
 
-    private static final int SILENCE_MILLIS = 2_600;
+    private static final int SILENCE_TIMEOUT_MILLIS = 2_600;
 
     final SplittableRandom random;
     final List<Node> nodes = new ArrayList<>();
-    private final CoreMachineFactory maker;
+    private final CoreMachineFactory factory;
     private final List<Member> voters = new ArrayList<>();
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparing(Event::order));
-    private final Map<Set<SimulatedProcess>, Long> cuts = new HashMap<>();
+    private final Map<Set<SimulatedProcess>, Long> partitions = new HashMap<>();
     long nowMillis = 1_000;
     /** Whether leaders fetch a list of hosts. */
     boolean fetchesHostList;
-    /** Told of each announcement as it is sent. */
+    /** Called for each announcement when it is sent. */
     BiConsumer<Node, Announce> announceObserver = (node, announcement) -> {};
 
-    private long order;
+    private long nextEventOrder;
 
     private record Event(long at, long order, Runnable work) {}
 
-    CoreNetwork(long seed, int machines, CoreMachineFactory maker) {
+    CoreNetwork(long seed, int machines, CoreMachineFactory factory) {
         random = new SplittableRandom(seed);
-        this.maker = maker;
+        this.factory = factory;
         for (int i = 0; i < machines; i++) {
             voters.add(new Member(i + 1, "core-" + i));
         }
@@ -71,7 +71,7 @@
     }
 
     void schedule(long millis, Runnable work) {
-        events.add(new Event(nowMillis + millis, order++, work));
+        events.add(new Event(nowMillis + millis, nextEventOrder++, work));
     }
 
     void runUntil(long until) {
@@ -83,7 +83,7 @@
         nowMillis = until;
     }
 
-    /** The machine that leads the highest term, null where none does. */
+    /** Returns the node that leads in the highest term, null for none. */
     Node leader() {
         return nodes.stream()
                 .filter(n -> n.isRunning() && n.raft().hasCommittedInCurrentTerm())
@@ -91,24 +91,24 @@
                 .orElse(null);
     }
 
-    Node awaitLeader(long within) {
-        for (long until = nowMillis + within; nowMillis < until; ) {
+    Node awaitLeader(long withinMillis) {
+        for (long until = nowMillis + withinMillis; nowMillis < until; ) {
             runUntil(nowMillis + 10);
             if (leader() != null) {
                 return leader();
             }
         }
-        throw new AssertionError("no leader within " + within + " ms");
+        throw new AssertionError("no leader within " + withinMillis + " ms");
     }
 
     void partition(SimulatedProcess one, SimulatedProcess other) {
         Set<SimulatedProcess> pair = Set.of(one, other);
         long at = nowMillis;
-        if (cuts.putIfAbsent(pair, at) == null) {
-            schedule(SILENCE_MILLIS, () -> {
-                if (Long.valueOf(at).equals(cuts.get(pair))) {
-                    one.dropped(other);
-                    other.dropped(one);
+        if (partitions.putIfAbsent(pair, at) == null) {
+            schedule(SILENCE_TIMEOUT_MILLIS, () -> {
+                if (Long.valueOf(at).equals(partitions.get(pair))) {
+                    one.closeConnectionsTo(other);
+                    other.closeConnectionsTo(one);
                 }
             });
         }
@@ -119,20 +119,20 @@
     }
 
     void heal() {
-        cuts.clear();
+        partitions.clear();
     }
 
-    private boolean isCut(SimulatedProcess one, SimulatedProcess other) {
-        return cuts.containsKey(Set.of(one, other));
+    private boolean isPartitioned(SimulatedProcess one, SimulatedProcess other) {
+        return partitions.containsKey(Set.of(one, other));
     }
 
-    /** One process: its connections, and what waits for it while it is frozen. */
+    /** A process with its connections, and the tasks queued while it is frozen. */
     abstract class SimulatedProcess implements ConnectionManager {
-        final Map<String, End> dialled = new HashMap<>();
-        final Set<End> ends = new LinkedHashSet<>();
+        final Map<String, Endpoint> dialled = new HashMap<>();
+        final Set<Endpoint> endpoints = new LinkedHashSet<>();
         final ArrayDeque<Runnable> frozenWork = new ArrayDeque<>();
         boolean frozen;
-        long life;
+        long incarnation;
 
         abstract Hello hello();
 
@@ -140,14 +140,14 @@
 
         abstract boolean isRunning();
 
-        /** Does something in this process, once it isn't frozen, unless its life is over by then. */
+        /** Runs a task in this process after a delay: once it is not frozen, and only in the current incarnation. */
         final void scheduleInProcess(long millis, Runnable work) {
-            long mine = life;
-            schedule(millis, () -> inLife(mine, work));
+            long scheduledIn = incarnation;
+            schedule(millis, () -> runInIncarnation(scheduledIn, work));
         }
 
-        private void inLife(long mine, Runnable work) {
-            if (life == mine && isRunning()) {
+        private void runInIncarnation(long scheduledIn, Runnable work) {
+            if (incarnation == scheduledIn && isRunning()) {
                 if (frozen) {
                     frozenWork.add(work);
                 } else {
@@ -164,8 +164,8 @@
             frozen = false;
             List<Runnable> waiting = List.copyOf(frozenWork);
             frozenWork.clear();
-            long mine = life;
-            waiting.forEach(work -> inLife(mine, work));
+            long scheduledIn = incarnation;
+            waiting.forEach(work -> runInIncarnation(scheduledIn, work));
         }
 
         @Override
@@ -177,7 +177,7 @@
                 }
             }
             for (String address : wanted) {
-                End known = dialled.get(address);
+                Endpoint known = dialled.get(address);
                 if (known == null || known.closed) {
                     nodes.stream()
                             .filter(n -> n.hello().address().equals(address) && n != this)
@@ -188,59 +188,61 @@
         }
 
         private void dial(String address, Node target) {
-            if (!target.isRunning() || isCut(this, target)) {
+            if (!target.isRunning() || isPartitioned(this, target)) {
                 return;
             }
-            End here = new End(this, target.hello(), true);
-            End there = new End(target, hello(), false);
-            here.far = there;
-            there.far = here;
-            dialled.put(address, here);
-            there.deliver(() -> there.open());
-            there.send(() -> here.open());
+            Endpoint dialling = new Endpoint(this, target.hello(), true);
+            Endpoint accepted = new Endpoint(target, hello(), false);
+            dialling.remote = accepted;
+            accepted.remote = dialling;
+            dialled.put(address, dialling);
+            accepted.deliver(() -> accepted.open());
+            accepted.send(() -> dialling.open());
         }
 
         @Override
         public final List<PeerConnection> openConnections() {
             List<PeerConnection> open = new ArrayList<>();
-            dialled.values().stream().filter(End::isOpen).forEach(open::add);
+            dialled.values().stream().filter(Endpoint::isOpen).forEach(open::add);
             return open;
         }
 
-        final void dropped(SimulatedProcess far) {
-            List.copyOf(ends).stream().filter(e -> e.far.owner == far).forEach(e -> e.close("silent"));
+        final void closeConnectionsTo(SimulatedProcess remote) {
+            List.copyOf(endpoints).stream()
+                    .filter(e -> e.remote.owner == remote)
+                    .forEach(e -> e.close("unresponsive"));
         }
 
-        final void end() {
-            life++;
+        final void terminate() {
+            incarnation++;
             frozen = false;
             frozenWork.clear();
-            for (End end : List.copyOf(ends)) {
-                end.send(() -> end.far.close("reset"));
+            for (Endpoint end : List.copyOf(endpoints)) {
+                end.send(() -> end.remote.close("reset"));
                 end.closed = true;
             }
-            ends.clear();
+            endpoints.clear();
             dialled.clear();
         }
     }
 
     /** One side of a connection. */
-    private final class End implements PeerConnection {
+    private final class Endpoint implements PeerConnection {
         final SimulatedProcess owner;
         private final Hello peer;
         private final boolean dialled;
-        private final long itsLife;
-        private End far;
+        private final long ownerIncarnation;
+        private Endpoint remote;
         private boolean opened;
         private boolean closed;
         private long lastArrival;
 
-        End(SimulatedProcess owner, Hello peer, boolean dialled) {
+        Endpoint(SimulatedProcess owner, Hello peer, boolean dialled) {
             this.owner = owner;
             this.peer = peer;
             this.dialled = dialled;
-            itsLife = owner.life;
-            owner.ends.add(this);
+            ownerIncarnation = owner.incarnation;
+            owner.endpoints.add(this);
         }
 
         private void open() {
@@ -250,24 +252,24 @@
             }
         }
 
-        /** In order; lost on the way where the two are cut from each other. */
-        private void send(Runnable atFarSide) {
-            if (!isCut(owner, far.owner)) {
-                far.deliver(atFarSide);
+        /** Delivers in order; the message is lost where the two sides are partitioned. */
+        private void send(Runnable atRemote) {
+            if (!isPartitioned(owner, remote.owner)) {
+                remote.deliver(atRemote);
             }
         }
 
         private void deliver(Runnable work) {
             lastArrival = Math.max(lastArrival, nowMillis + 1 + random.nextInt(4));
-            long mine = itsLife;
+            long scheduledIn = ownerIncarnation;
             schedule(lastArrival - nowMillis, () -> {
-                if (isCut(owner, far.owner)) {
+                if (isPartitioned(owner, remote.owner)) {
                     return;
                 }
-                if (owner.life == mine) {
-                    owner.inLife(mine, work);
+                if (owner.incarnation == scheduledIn) {
+                    owner.runInIncarnation(scheduledIn, work);
                 } else {
-                    far.close("reset");
+                    remote.close("reset");
                 }
             });
         }
@@ -288,33 +290,33 @@
         }
 
         @Override
-        public void send(PeerMessage signal) {
+        public void send(PeerMessage message) {
             if (!closed) {
-                if (signal instanceof Announce s) {
+                if (message instanceof Announce s) {
                     announceObserver.accept((Node) owner, s);
                 }
                 send(() -> {
-                    if (far.isOpen()) {
-                        far.owner.listener().received(far, signal);
+                    if (remote.isOpen()) {
+                        remote.owner.listener().received(remote, message);
                     }
                 });
             }
         }
 
         @Override
-        public void close(String why) {
+        public void close(String reason) {
             if (!closed) {
                 closed = true;
-                owner.ends.remove(this);
-                if (opened && owner.life == itsLife && owner.isRunning()) {
+                owner.endpoints.remove(this);
+                if (opened && owner.incarnation == ownerIncarnation && owner.isRunning()) {
                     owner.listener().closed(this);
                 }
-                send(() -> far.close("closed there"));
+                send(() -> remote.close("closed by the remote side"));
             }
         }
     }
 
-    /** A core machine with its disk. */
+    /** A core node with its disk. */
     final class Node extends SimulatedProcess implements CoreMachine.Environment, Disk {
         private final Member member;
         private final ArrayDeque<Output> unsynced = new ArrayDeque<>();
@@ -323,7 +325,7 @@
         CoreMachine machine;
         private boolean fetching;
         private long fetches;
-        /** How long each write takes at most. */
+        /** The longest duration of a synced write. */
         int maxSyncMillis = 4;
 
         private Node(Member member) {
@@ -337,7 +339,7 @@
 
         void start() {
             fetching = false;
-            machine = maker.create(new CoreMachine.Identity(member.id(), member.address(), 1), synced, this, this);
+            machine = factory.create(new CoreMachine.Identity(member.id(), member.address(), 1), synced, this, this);
             tick();
         }
 
@@ -346,7 +348,7 @@
             scheduleInProcess(CoreMachine.TICK_MILLIS, this::tick);
         }
 
-        /** Of what isn't synced, the disk keeps what had come first, up to some point. */
+        /** Kills the process; the disk keeps a random prefix of the writes that were not synced. */
         void kill() {
             if (machine != null) {
                 for (int kept = random.nextInt(unsynced.size() + 1); kept > 0; kept--) {
@@ -354,7 +356,7 @@
                 }
                 unsynced.clear();
                 machine = null;
-                end();
+                terminate();
             }
         }
 
@@ -362,9 +364,9 @@
         public void write(Output output, Runnable done) {
             unsynced.add(output);
             diskFreeAt = Math.max(diskFreeAt, nowMillis) + (output.mustSync() ? 1 + random.nextInt(maxSyncMillis) : 0);
-            long mine = life;
+            long scheduledIn = incarnation;
             schedule(diskFreeAt - nowMillis, () -> {
-                if (life == mine && isRunning()) {
+                if (incarnation == scheduledIn && isRunning()) {
                     synced = written(synced, unsynced.poll());
                     scheduleInProcess(0, done);
                 }
@@ -412,16 +414,16 @@
             }
         }
 
-        /** As the poller does; the one host on the list bears the time at which it was asked for. */
-        private void fetch(long mine) {
-            long asked = nowMillis;
+        /** Fetches repeatedly, as the production poller does; the id of the one host is the time of the request. */
+        private void fetch(long fetchNumber) {
+            long requestedAt = nowMillis;
             scheduleInProcess(2 + random.nextInt(60), () -> {
-                if (fetching && fetches == mine) {
+                if (fetching && fetches == fetchNumber) {
                     machine.hostsFetched(
-                            List.of(new HostList.Host("i-" + asked, "s", "10.0.0.1:80", "z", 3, false, 0)));
+                            List.of(new HostList.Host("i-" + requestedAt, "s", "10.0.0.1:80", "z", 3, false, 0)));
                     scheduleInProcess(1_000, () -> {
-                        if (fetches == mine) {
-                            fetch(mine);
+                        if (fetches == fetchNumber) {
+                            fetch(fetchNumber);
                         }
                     });
                 }
@@ -430,17 +432,17 @@
 
         @Override
         public void log(String line) {
-            // Nobody reads it.
+            // Not used by these tests.
         }
     }
 
-    /** An edge that starts now; it follows the core machines as the production class does. */
+    /** An edge that starts now; it follows the core nodes with the production {@link CoreFollower}. */
     final class Edge extends SimulatedProcess implements CoreFollower.Callbacks {
-        private final Hello hello = new Hello(NodeRole.EDGE, 1_000 + order, "", "edge", "z");
+        private final Hello hello = new Hello(NodeRole.EDGE, 1_000 + nextEventOrder, "", "edge", "z");
         private final Runnable changed;
         final CoreFollower follower;
 
-        /** Told of each change of what it holds. */
+        /** Starts an edge; the callback runs after each change of its configuration or list of hosts. */
         Edge(Runnable changed) {
             this.changed = changed;
             follower = new CoreFollower(this);
@@ -492,22 +494,22 @@
 
         @Override
         public void edgeCountChanged(int edges) {
-            // Nobody asks.
+            // Not used by these tests.
         }
 
         @Override
         public void log(String line) {
-            // Nobody reads it.
+            // Not used by these tests.
         }
     }
 
     private static PersistentState written(PersistentState before, Output output) {
-        HardState hard = output.hardState() != null ? output.hardState() : before.hardState();
+        HardState hardState = output.hardState() != null ? output.hardState() : before.hardState();
         Snapshot snapshot = output.snapshot() != null ? output.snapshot() : before.snapshot();
         List<tinworks.raft.Entry> entries = new ArrayList<>(before.entries());
         entries.removeIf(e ->
                 e.index() <= snapshot.index() || (output.truncateFrom() > 0 && e.index() >= output.truncateFrom()));
         entries.addAll(output.entries());
-        return new PersistentState(hard, snapshot, entries);
+        return new PersistentState(hardState, snapshot, entries);
     }
 }
--- a/src/test/java/tinworks/control/DayCounts.java
+++ b/src/test/java/tinworks/control/DayCounts.java
@@ -8,79 +8,82 @@
 import tinworks.control.SimulatedDay.Result;
 import tinworks.control.SimulatedDay.Settings;
 
-/** Plays days and counts what they came to; may be shared by threads. A day that breaks a rule ends no other. */
+/**
+ * Simulates days and sums up their results. It is thread-safe, and a day that breaks a rule does not stop the others.
+ */
 final class DayCounts {
-    /** Each day that is shrunk is played dozens of times. */
-    private static final int MOST_SHRUNK = 20;
+    /** Limits the work: shrinking simulates a day dozens of times. */
+    private static final int MAX_SHRUNK = 20;
 
-    private final Map<Trouble.Kind, Integer> troubles = new EnumMap<>(Trouble.Kind.class);
-    /** Seeds by the rule that their days broke. */
-    private final Map<String, List<Long>> broken = new TreeMap<>();
+    private final Map<InjectedFault.Kind, Integer> faults = new EnumMap<>(InjectedFault.Kind.class);
+    /** The seeds of failed days by the rule that was broken. */
+    private final Map<String, List<Long>> seedsByRule = new TreeMap<>();
 
     private final List<String> reports = new ArrayList<>();
     private long days;
     private long events;
-    private long orders;
+    private long changes;
     private long acknowledged;
     private long refused;
-    private long tries;
-    private long repeats;
+    private long attempts;
+    private long resends;
     private long races;
-    private long shows;
+    private long reads;
 
-    /** Plays one day. */
-    void play(Settings day) {
+    /** Simulates one day. */
+    void simulate(Settings day) {
         try {
-            passed(SimulatedDay.play(day));
-        } catch (HistoryCheck.Broken e) {
+            passed(SimulatedDay.simulate(day));
+        } catch (HistoryChecker.RuleViolation e) {
             boolean shrinks = failed(day.seed(), e.rule());
-            report(shrinks ? Shrink.report(day, e) : Shrink.unshrunk(day, e));
+            report(shrinks ? DayShrinker.report(day, e) : DayShrinker.reportUnshrunk(day, e));
         }
     }
 
     private synchronized void passed(Result day) {
         days++;
         events += day.events();
-        orders += day.orders();
+        changes += day.changes();
         acknowledged += day.acknowledged();
         refused += day.refused();
-        tries += day.tries();
-        repeats += day.repeats();
+        attempts += day.attempts();
+        resends += day.resends();
         races += day.races();
-        shows += day.shows();
-        day.troubles().forEach((kind, n) -> troubles.merge(kind, n, Integer::sum));
+        reads += day.reads();
+        day.faults().forEach((kind, n) -> faults.merge(kind, n, Integer::sum));
     }
 
-    /** Counts a failure; true where there are few enough of them for it to be shrunk. */
+    /** Counts a failure; returns whether it is to be shrunk. */
     private synchronized boolean failed(long seed, String rule) {
         days++;
-        broken.computeIfAbsent(rule, r -> new ArrayList<>()).add(seed);
-        return failures() <= MOST_SHRUNK;
+        seedsByRule.computeIfAbsent(rule, r -> new ArrayList<>()).add(seed);
+        return failures() <= MAX_SHRUNK;
     }
 
     private synchronized void report(String text) {
         reports.add(text);
     }
 
-    /** How many days broke a rule. */
+    /** Returns the number of days that broke a rule. */
     synchronized int failures() {
-        return broken.values().stream().mapToInt(List::size).sum();
+        return seedsByRule.values().stream().mapToInt(List::size).sum();
     }
 
-    /** Each failure with its script. */
+    /** Returns the report of each failure with its script. */
     synchronized List<String> reports() {
         return List.copyOf(reports);
     }
 
-    /** The seeds of the days that failed, by the rule. */
+    /** Returns the seeds of the failed days by rule. */
     synchronized String failuresByRule() {
-        return broken.toString();
+        return seedsByRule.toString();
     }
 
     @Override
     public synchronized String toString() {
-        return days + " days, " + events + " events, " + orders + " orders in " + tries + " tries: " + acknowledged
-                + " acknowledged, " + refused + " refused; " + races + " races, " + repeats + " repeats, " + shows
-                + " shows; troubles " + troubles;
+        return days + " days, " + events + " events, " + changes + " changes in " + attempts + " attempts: "
+                + acknowledged
+                + " acknowledged, " + refused + " refused; " + races + " races, " + resends + " resends, " + reads
+                + " reads; faults " + faults;
     }
 }
--- a/src/test/java/tinworks/control/Order.java
+++ b/src/test/java/tinworks/control/OperatorChange.java
@@ -5,32 +5,32 @@
 import java.util.regex.Pattern;
 
 /**
- * A change of the configuration that an operator sends, and what came of it. Times are the world's milliseconds, -1 for
+ * A configuration change that an operator sends, and its outcome. Times are milliseconds of the simulator, -1 for
  * never.
  */
-final class Order {
+final class OperatorChange {
     private static final Pattern REV = Pattern.compile("\"rev\":(\\d+)");
     private static final Pattern NAME = Pattern.compile("\"name\":\"o(\\d+)\"");
 
     final int number;
-    /** The number of the version that it builds on; of two orders under one number it can't tell which. */
+    /** The version that the change is based on. Where two changes have the same version, it does not tell which. */
     final long base;
 
     final long rev;
     final byte[] body;
     final boolean valid;
     long sentAt = -1;
-    long ackedAt = -1;
+    long acknowledgedAt = -1;
     long refusedAt = -1;
     int refusedWith;
-    /** Refused while the one that it builds on wasn't in force. */
-    boolean early;
+    /** Whether it was refused while its base version was not known to be in force. */
+    boolean refusedBeforeBase;
 
     long inForceAt = -1;
-    /** Since when it could have been acknowledged in one calm stretch. */
-    long owedSince = -1;
+    /** Since when the cluster has been settled and the change due to be acknowledged. */
+    long dueSince = -1;
 
-    Order(int number, Order basedOn, long rev, boolean valid) {
+    OperatorChange(int number, OperatorChange basedOn, long rev, boolean valid) {
         this.number = number;
         base = basedOn == null ? 0 : basedOn.rev;
         this.rev = rev;
@@ -51,16 +51,16 @@
         body = json.append("],\"svcs\":[{\"name\":\"s\"}]}").toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    boolean ended() {
-        return ackedAt >= 0 || refusedAt >= 0 || early;
+    boolean isSettled() {
+        return acknowledgedAt >= 0 || refusedAt >= 0 || refusedBeforeBase;
     }
 
-    /** The number of the version in a body, or in an acknowledgement. */
+    /** Returns the version in a body or in an acknowledgement. */
     static long revOf(String json) {
         return group(REV, json);
     }
 
-    /** Which order a body is of. */
+    /** Returns the number of the change that a body belongs to. */
     static int numberOf(byte[] body) {
         return (int) group(NAME, new String(body, StandardCharsets.UTF_8));
     }
@@ -68,13 +68,13 @@
     private static long group(Pattern pattern, String json) {
         Matcher found = pattern.matcher(json);
         if (!found.find()) {
-            throw new IllegalArgumentException("not a version of the configuration: " + json);
+            throw new IllegalArgumentException("not a configuration: " + json);
         }
         return Long.parseLong(found.group(1));
     }
 
     @Override
     public String toString() {
-        return "order " + number + " (" + base + " to " + rev + ")";
+        return "change " + number + " (" + base + " to " + rev + ")";
     }
 }
--- a/src/test/java/tinworks/control/Operators.java
+++ b/src/test/java/tinworks/control/Operators.java
@@ -16,38 +16,38 @@
 import tinworks.config.ConfigurationHistory.Verdict;
 
 /**
- * Operators who send orders as the pages say: up to eight at once, to any machine, again as it was after a second
- * without a clear answer. Answers are lost on their way. What the core has said, whether or not it was heard, is
- * checked at the end.
+ * Simulated operators that follow the documented protocol: up to eight changes in flight, each sent to any node and
+ * retried unchanged after a second without a definite answer. Some responses are lost. All responses that nodes gave,
+ * received or lost, are checked at the end.
  */
 final class Operators {
     private static final Pattern REV = Pattern.compile("\"rev\":(\\d+)");
-    private static final int MOST = 8;
-    private static final int PATIENCE_MILLIS = 1_000;
+    private static final int MAX_IN_FLIGHT = 8;
+    private static final int TIMEOUT_MILLIS = 1_000;
 
     private final CoreNetwork network;
-    private final List<Order> orders = new ArrayList<>();
-    /** The newest version that anybody was told of, by the time from which that was so. */
-    private final TreeMap<Long, Long> told = new TreeMap<>(Map.of(0L, 0L));
+    private final List<Change> changes = new ArrayList<>();
+    /** The newest version reported in any response, by the time of that response. */
+    private final TreeMap<Long, Long> reportedRevs = new TreeMap<>(Map.of(0L, 0L));
 
-    private final double lost;
-    /** The newest version that operators have heard of. */
-    private long known;
+    private final double responseLossRate;
+    /** The newest version that operators have received. */
+    private long newestKnownRev;
 
-    private int open;
+    private int inFlight;
     int acknowledged;
     int refused;
 
-    /** One order: the answers that were given to it, heard or not. */
-    private static final class Order {
+    /** A configuration change and the responses given to it, received or lost. */
+    private static final class Change {
         final long base;
         final long rev;
         final byte[] body;
-        boolean taken;
+        boolean acknowledged;
         boolean refused;
-        boolean clear;
+        boolean settled;
 
-        Order(long base, long rev, byte[] body) {
+        Change(long base, long rev, byte[] body) {
             this.base = base;
             this.rev = rev;
             this.body = body;
@@ -59,10 +59,10 @@
         }
     }
 
-    /** A share of the answers is lost. */
-    Operators(CoreNetwork network, double lost) {
+    /** Creates operators that lose the given share of the responses. */
+    Operators(CoreNetwork network, double responseLossRate) {
         this.network = network;
-        this.lost = lost;
+        this.responseLossRate = responseLossRate;
     }
 
     static byte[] configurationJson(long rev, String tag) {
@@ -76,86 +76,87 @@
     }
 
     /**
-     * Sends an order, unless eight are under way: on the newest known version, an older one, or one that is only
-     * ordered yet.
+     * Sends a change unless eight are in flight. It is based on the newest known version, an older one, or one that is
+     * not yet confirmed.
      */
     void sendChange() {
-        if (open < MOST) {
-            open++;
-            int chance = network.random.nextInt(10);
-            Order last = orders.isEmpty() ? null : orders.get(orders.size() - 1);
-            long base = chance == 0 && last != null ? last.rev : chance == 1 && last != null ? last.base : known;
-            long rev = Math.max(1, base + 1 + network.random.nextInt(3) - (chance == 2 ? 3 : 0));
-            Order order = new Order(base, rev, configurationJson(rev, "s" + orders.size()));
-            orders.add(order);
-            send(order);
+        if (inFlight < MAX_IN_FLIGHT) {
+            inFlight++;
+            int choice = network.random.nextInt(10);
+            Change last = changes.isEmpty() ? null : changes.get(changes.size() - 1);
+            long base =
+                    choice == 0 && last != null ? last.rev : choice == 1 && last != null ? last.base : newestKnownRev;
+            long rev = Math.max(1, base + 1 + network.random.nextInt(3) - (choice == 2 ? 3 : 0));
+            Change change = new Change(base, rev, configurationJson(rev, "s" + changes.size()));
+            changes.add(change);
+            send(change);
         }
     }
 
-    private CoreNetwork.Node any() {
+    private CoreNetwork.Node anyNode() {
         return network.nodes.get(network.random.nextInt(network.nodes.size()));
     }
 
-    private void send(Order order) {
-        CoreNetwork.Node node = any();
-        boolean[] over = {false};
+    private void send(Change change) {
+        CoreNetwork.Node node = anyNode();
+        boolean[] done = {false};
         node.scheduleInProcess(
                 1 + network.random.nextInt(4),
-                () -> node.machine.calls().replace(List.of(Long.toString(order.base)), order.body, answer -> {
-                    judge(order, answer);
-                    boolean heard = network.random.nextDouble() >= lost;
+                () -> node.machine.calls().replace(List.of(Long.toString(change.base)), change.body, answer -> {
+                    recordResponse(change, answer);
+                    boolean delivered = network.random.nextDouble() >= responseLossRate;
                     network.schedule(1 + network.random.nextInt(4), () -> {
-                        if (heard && !over[0]) {
-                            over[0] = true;
-                            heard(order, answer);
+                        if (delivered && !done[0]) {
+                            done[0] = true;
+                            responseReceived(change, answer);
                         }
                     });
                 }));
-        network.schedule(PATIENCE_MILLIS, () -> {
-            if (!over[0]) {
-                over[0] = true;
-                again(order);
+        network.schedule(TIMEOUT_MILLIS, () -> {
+            if (!done[0]) {
+                done[0] = true;
+                retryLater(change);
             }
         });
     }
 
-    private void heard(Order order, CallResponse answer) {
+    private void responseReceived(Change change, CallResponse answer) {
         if (answer.status() == OperatorCalls.OUTCOME_UNKNOWN) {
-            again(order);
-        } else if (!order.clear) {
-            order.clear = true;
-            open--;
-            known = Math.max(known, order.taken ? order.rev : 0);
+            retryLater(change);
+        } else if (!change.settled) {
+            change.settled = true;
+            inFlight--;
+            newestKnownRev = Math.max(newestKnownRev, change.acknowledged ? change.rev : 0);
         }
     }
 
-    private void again(Order order) {
-        network.schedule(50 + network.random.nextInt(300), () -> send(order));
+    private void retryLater(Change change) {
+        network.schedule(50 + network.random.nextInt(300), () -> send(change));
     }
 
-    private void judge(Order order, CallResponse answer) {
+    private void recordResponse(Change change, CallResponse answer) {
         if (answer.status() == OperatorCalls.OK) {
-            order.taken = true;
-            assertEquals(order.rev, rev(answer), "confirmed under another's number: " + order);
-            tell(order.rev);
+            change.acknowledged = true;
+            assertEquals(change.rev, rev(answer), "confirmed with the version of another change: " + change);
+            recordReported(change.rev);
         } else if (answer.status() != OperatorCalls.OUTCOME_UNKNOWN) {
-            order.refused = true;
+            change.refused = true;
         }
-        assertFalse(order.taken && order.refused, "both taken and refused: " + order);
+        assertFalse(change.acknowledged && change.refused, "both acknowledged and refused: " + change);
     }
 
-    private void tell(long rev) {
-        told.put(network.nowMillis, Math.max(rev, newestReported(network.nowMillis)));
+    private void recordReported(long rev) {
+        reportedRevs.put(network.nowMillis, Math.max(rev, newestReported(network.nowMillis)));
     }
 
-    /** The newest version that anybody was told of up to that time. */
+    /** Returns the newest version reported in any response up to a time. */
     long newestReported(long at) {
-        return told.floorEntry(at).getValue();
+        return reportedRevs.floorEntry(at).getValue();
     }
 
-    /** Reads what is newest; it is never older than what anybody was told before the call. */
+    /** Reads the current version, and checks that it is not older than any version reported before the request. */
     void show() {
-        CoreNetwork.Node node = any();
+        CoreNetwork.Node node = anyNode();
         long before = newestReported(network.nowMillis);
         node.scheduleInProcess(
                 1,
@@ -163,27 +164,27 @@
                     if (answer.status() != OperatorCalls.OUTCOME_UNKNOWN) {
                         long rev = answer.status() == OperatorCalls.OK ? rev(answer) : 0;
                         assertTrue(rev >= before, "shown " + rev + " after " + before);
-                        tell(rev);
-                        known = Math.max(known, rev);
+                        recordReported(rev);
+                        newestKnownRev = Math.max(newestKnownRev, rev);
                     }
                 }));
     }
 
-    /** All that was said against what is in the log of a machine that is up to date. */
+    /** Checks all responses against the log of a node that is up to date. */
     void checkAgainst(ConfigurationHistory history) {
         List<Long> bases = new ArrayList<>();
-        for (Order order : orders) {
-            byte[] command = ConfigurationHistory.command(order.base, order.rev, order.body);
-            boolean isTaken =
-                    order.rev <= history.rev() && history.judge(order.base, order.rev, command) == Verdict.TAKEN;
-            assertTrue(isTaken || !order.taken, "acknowledged and gone: " + order);
-            assertFalse(isTaken && order.refused, "in force though it was refused: " + order);
-            assertFalse(isTaken && bases.contains(order.base), "two on one base: " + order);
-            if (isTaken) {
-                bases.add(order.base);
+        for (Change change : changes) {
+            byte[] command = ConfigurationHistory.command(change.base, change.rev, change.body);
+            boolean inForce =
+                    change.rev <= history.rev() && history.judge(change.base, change.rev, command) == Verdict.TAKEN;
+            assertTrue(inForce || !change.acknowledged, "acknowledged but lost: " + change);
+            assertFalse(inForce && change.refused, "refused but in force: " + change);
+            assertFalse(inForce && bases.contains(change.base), "two changes in force on one base: " + change);
+            if (inForce) {
+                bases.add(change.base);
             }
-            acknowledged += order.taken ? 1 : 0;
-            refused += order.refused ? 1 : 0;
+            acknowledged += change.acknowledged ? 1 : 0;
+            refused += change.refused ? 1 : 0;
         }
     }
 }
--- a/src/test/java/tinworks/control/ScriptedDaysTest.java
+++ b/src/test/java/tinworks/control/ScriptedDaysTest.java
@@ -18,37 +18,41 @@
 import tinworks.control.SimulatedDay.Settings;
 
 /**
- * Days that bring about what operators have met with systems of this kind, and those that simulated days have found.
+ * Scripted days: failures that operators of such systems have met, and failures that random simulated days have found.
  */
 @ExtendWith(SuppressedLogs.class)
 class ScriptedDaysTest {
-    private static final long OFTEN = 300;
-    private static final long VERY_OFTEN = 40;
+    private static final long SHORT_PAUSE_MILLIS = 300;
+    private static final long VERY_SHORT_PAUSE_MILLIS = 40;
 
-    private static void play(int machines, long pause, String script, Closing closing) {
+    private static void simulate(int machines, long pauseMillis, String script, Closing closing) {
         for (long seed = 1; seed <= 3; seed++) {
-            SimulatedDay.play(Settings.scripted(seed, machines, seed == 3, pause, script, closing));
+            SimulatedDay.simulate(Settings.scripted(seed, machines, seed == 3, pauseMillis, script, closing));
         }
     }
 
     /**
-     * 1: a machine that was cut off hands out nothing old, refuses nothing, and confirms nothing; edges start at it.
+     * Scenario 1: a partitioned node serves nothing stale, and neither refuses nor confirms changes; edges start with
+     * it as seed.
      */
     @ParameterizedTest
     @CsvSource({"3, 0", "3, 1", "3, 2", "4, 0", "4, 1", "5, 2"})
     void theLeaderIsCutOffForTwentySeconds(int machines, int way) {
-        play(
+        simulate(
                 machines,
-                OFTEN,
+                SHORT_PAUSE_MILLIS,
                 "5000 cut_seeds leader 20000 " + way + "\n6000 races operators 0 20\n10000 races operators 0 20",
                 Closing.NONE);
     }
 
-    /** 2: of two under one number one is confirmed, and an order that is sent again is not refused. */
+    /**
+     * Scenario 2: of two changes with one version only one is confirmed, and a change that is sent again is not
+     * refused.
+     */
     @ParameterizedTest
     @ValueSource(ints = {3, 4, 5})
     void ordersRaceWhileTheirAnswersAreLost(int machines) {
-        play(machines, OFTEN, """
+        simulate(machines, SHORT_PAUSE_MILLIS, """
                 5000 races operators 0 30
                 5500 after_ack acker 600 1
                 9900 after_send leader 600 20
@@ -58,11 +62,11 @@
                 19600 races operators 0 10""", Closing.KILL_ALL);
     }
 
-    /** 3: a second loss right after a replacement, and the last copy isn't with the one that leaves. */
+    /** Scenario 3: a second loss right after a replacement; the node that leaves must not hold the last copy. */
     @ParameterizedTest
     @ValueSource(ints = {3, 4})
     void aSecondLossFollowsAReplacement(int machines) {
-        play(machines, OFTEN, """
+        simulate(machines, SHORT_PAUSE_MILLIS, """
                 5000 replace leader 0 1000
                 9010 wipe leader 500 0
                 13600 replace other 0 1000
@@ -71,10 +75,10 @@
                 27500 after_ack acker 500 2""", Closing.WIPE_SOME_POWER_ALL);
     }
 
-    /** 3, with two losses to be borne. */
+    /** Scenario 3 with two tolerated losses. */
     @Test
     void twoOfFiveAreLostRightAfterAReplacement() {
-        play(5, OFTEN, """
+        simulate(5, SHORT_PAUSE_MILLIS, """
                 5000 replace leader 0 1000
                 5100 replace other 0 1000
                 9200 wipe leader 500 0
@@ -83,50 +87,50 @@
                 14600 after_ack acker 500 2""", Closing.WIPE_SOME_POWER_ALL);
     }
 
-    /** Found as seed 21497: of two lost voters the one that came back was kept from the other's place. */
+    /** Found as seed 21497: of two lost voters, the one that came back was not allowed to take the other's place. */
     @Test
     void twoPlacesAreFilledThoughTheFirstSuccessorTookAnothersPlace() {
-        play(5, OFTEN, "5000 lose m4 0 2300\n5400 cut m2 3000 0", Closing.WIPE_SOME_POWER_ALL);
+        simulate(5, SHORT_PAUSE_MILLIS, "5000 lose m4 0 2300\n5400 cut m2 3000 0", Closing.WIPE_SOME_POWER_ALL);
     }
 
-    /** Found as seed 30254: each leader counted the silence of a dead voter anew. */
+    /** Found as seed 30254: each new leader restarted the timeout of a dead voter from zero. */
     @Test
     void aLostLeadersPlaceIsFilledThoughTheNextOnesDiskIsFull() {
-        play(5, OFTEN, """
+        simulate(5, SHORT_PAUSE_MILLIS, """
                 5000 lose leader 0 1190
                 7400 full leader 2500 0
                 10200 wipe leader 500 0
                 10201 wipe other 500 0""", Closing.NONE);
     }
 
-    /** Found as seed 1497: a machine that lost its disk and can't take the log yet can vote. */
+    /** Found as seed 1497: a node that lost its disk and cannot store the log yet must still be able to vote. */
     @Test
     void aVoterThatLostItsDiskVotesThoughTheNewOneIsFull() {
-        play(3, OFTEN, """
+        simulate(3, SHORT_PAUSE_MILLIS, """
                 5000 wipe m3 500 0
                 5600 full m3 4000 0
                 9601 wipe leader 500 0""", Closing.NONE);
     }
 
     /**
-     * 3: the disk of a machine that came back empty takes nothing for as long as the machine counts as lost, and right
-     * after that as many as may be lost lose their disks.
+     * Scenario 3: the disk of a node that came back empty accepts no write for as long as the node counts as lost;
+     * right after that, as many nodes as may be lost lose their disks.
      */
     @ParameterizedTest
     @CsvSource({"3, stall", "3, full", "5, stall", "5, full"})
-    void aSecondLossFollowsAnEmptyDiskThatTakesNothing(int machines, String trouble) {
-        play(machines, OFTEN, """
+    void aSecondLossFollowsAnEmptyDiskThatTakesNothing(int machines, String fault) {
+        simulate(machines, SHORT_PAUSE_MILLIS, """
                 5000 wipe m1 1000 0
                 6250 %s m1 3800 0
                 10080 wipe leader 500 0
-                10090 wipe other 500 0""".formatted(trouble), Closing.NONE);
+                10090 wipe other 500 0""".formatted(fault), Closing.NONE);
     }
 
-    /** 4: members that start again in the middle of hundreds of changes catch up, also on a snapshot. */
+    /** Scenario 4: members that restart amid hundreds of changes catch up, also from a snapshot. */
     @ParameterizedTest
     @ValueSource(ints = {3, 4})
     void membersStartAgainAmongHundredsOfChanges(int machines) {
-        play(machines, VERY_OFTEN, """
+        simulate(machines, VERY_SHORT_PAUSE_MILLIS, """
                 4500 changes operators 0 300
                 6000 kill other 4500 0
                 15000 power leader 4500 0
@@ -135,7 +139,7 @@
                 29500 wipe other 500 0""", Closing.POWER_ALL);
     }
 
-    /** 5, as far as the core's own calls go: connections break and machines stand still with calls passed on. */
+    /** Scenario 5, for calls between core nodes: connections break and nodes freeze while they have forwarded calls. */
     @ParameterizedTest
     @ValueSource(ints = {3, 4})
     void callsArePassedOnOverBrokenConnections(int machines) {
@@ -144,17 +148,17 @@
         for (int at = 5_000; at < 20_000; at += 700) {
             script.append(at).append(" reset other 0 2\n");
         }
-        play(machines, VERY_OFTEN, script.toString(), Closing.NONE);
+        simulate(machines, VERY_SHORT_PAUSE_MILLIS, script.toString(), Closing.NONE);
     }
 
-    /** Found by simulated days: the cause stands in the day's file. */
+    /** Days found by simulation; the cause is described in the file of each day. */
     @ParameterizedTest(name = "{0}, seed {1}")
-    @MethodSource("found")
-    void foundOnceBreaksNothing(String file, long seed, Settings day) {
-        SimulatedDay.play(day);
+    @MethodSource("recordedDays")
+    void recordedDayBreaksNoRule(String file, long seed, Settings day) {
+        SimulatedDay.simulate(day);
     }
 
-    static List<Arguments> found() throws IOException, URISyntaxException {
+    static List<Arguments> recordedDays() throws IOException, URISyntaxException {
         Path folder =
                 Path.of(ScriptedDaysTest.class.getResource("/simulated-days").toURI());
         List<Arguments> days = new ArrayList<>();
--- a/src/test/java/tinworks/control/SimulatedCore.java
+++ b/src/test/java/tinworks/control/SimulatedCore.java
@@ -27,56 +27,56 @@
 import tinworks.simulation.Machine;
 import tinworks.simulation.Simulator;
 
-/** A core machine of the simulation: the production {@link CoreMachine} with a simulated clock, network and disk. */
+/** A simulated core node: the production {@link CoreMachine} on a simulated clock, network and disk. */
 final class SimulatedCore implements CoreMachine.Environment {
     private static final long RETRY_MICROS = 200_000;
-    private static final long START_AGAIN_MICROS = 500_000;
+    private static final long RESTART_MICROS = 500_000;
     private static final long POLL_MILLIS = 1_000;
 
-    /** What a simulated core machine needs of the day round it. */
-    interface Around {
-        /** The platform's list at present. */
-        List<HostList.Host> platform();
+    /** The callbacks of a simulated core node to the day that it runs in. */
+    interface Callbacks {
+        /** Returns the current hosts of the platform. */
+        List<HostList.Host> platformHosts();
 
-        /** A core machine has said this on a call of the operator. */
-        void answered(SimulatedCore core, CallResponse answer);
+        /** Called when a node has answered an operator's call. */
+        void responseSent(SimulatedCore core, CallResponse answer);
 
-        /** Something may have changed at this machine. */
-        void worked(SimulatedCore core);
+        /** Called after each task of the node. */
+        void afterEvent(SimulatedCore core);
     }
 
     final Machine machine;
     final String name;
-    private final Simulator world;
+    private final Simulator simulator;
     private final SimulatedNetwork network;
     private final Map<String, Machine> machines;
     private final SimulatedStore store;
     private final SplittableRandom random;
-    private final Around around;
-    private final Flaw flaw;
+    private final Callbacks callbacks;
+    private final Mutation mutation;
     private final int losses;
     private final long syncMicros;
-    private final Set<Consumer<CallResponse>> open = new LinkedHashSet<>();
+    private final Set<Consumer<CallResponse>> openCalls = new LinkedHashSet<>();
     private CoreMachine core;
-    private ConnectionManager links;
+    private ConnectionManager connections;
     private Writer writer;
     private List<String> seeds = List.of();
     private long knownId;
     private long stalledUntil;
-    private boolean full;
+    private boolean diskFull;
     private boolean fetching;
     private long fetches;
-    /** Removed for good. */
-    boolean gone;
-    /** When it stops counting as lost, in the world's milliseconds. */
-    long lostUntil;
-    /** The version that the checker last saw in force here, in this life. */
-    long seenRev;
+    /** Whether the node has been removed for good. */
+    boolean removed;
+    /** The simulator time in milliseconds until which the node counts as lost. */
+    long countsAsLostUntil;
+    /** The version in force that was last checked in this incarnation. */
+    long lastCheckedRev;
 
-    Raft.Role seenRole;
+    Raft.Role lastLoggedRole;
 
     SimulatedCore(
-            Simulator world,
+            Simulator simulator,
             SimulatedNetwork network,
             Map<String, Machine> machines,
             String name,
@@ -84,64 +84,66 @@
             int losses,
             long syncMicros,
             boolean onFiles,
-            Flaw flaw,
-            Around around) {
-        this.world = world;
+            Mutation mutation,
+            Callbacks callbacks) {
+        this.simulator = simulator;
         this.network = network;
         this.machines = machines;
         this.name = name;
         this.losses = losses;
         this.syncMicros = syncMicros;
-        this.flaw = flaw;
-        this.around = around;
-        random = world.random().split();
-        machine = new Machine(world, address, () -> around.worked(this));
+        this.mutation = mutation;
+        this.callbacks = callbacks;
+        random = simulator.random().split();
+        machine = new Machine(simulator, address, () -> callbacks.afterEvent(this));
         machines.put(address, machine);
         long seed = random.nextLong();
         store = onFiles
-                ? new SimulatedStore.Files(seed, flaw != Flaw.FOLDER_NOT_SYNCED)
-                : new SimulatedStore.Memory(seed);
+                ? new SimulatedStore.OnDisk(seed, mutation != Mutation.DIRECTORY_NOT_SYNCED)
+                : new SimulatedStore.InMemory(seed);
     }
 
-    // ---- its lives
+    // ---- lifecycle
 
-    void start(boolean bootstrap, List<String> itsSeeds) {
+    void start(boolean bootstrap, List<String> newSeeds) {
         machine.start();
-        seeds = itsSeeds;
-        seenRev = 0;
+        seeds = newSeeds;
+        lastCheckedRev = 0;
         fetching = false;
-        // Above all ids of a first start.
-        long newId =
-                flaw == Flaw.IDENTITY_KEPT && knownId != 0 ? knownId : (random.nextLong() | 1L << 62) & Long.MAX_VALUE;
-        SimulatedStore.Found found = store.open(machine.address(), bootstrap, seeds, newId);
-        if (found == null) {
-            // The process ends and is started again.
+        // The bit keeps it above all ids of a bootstrap.
+        long newId = mutation == Mutation.IDENTITY_KEPT && knownId != 0
+                ? knownId
+                : (random.nextLong() | 1L << 62) & Long.MAX_VALUE;
+        SimulatedStore.OpenedStore opened = store.open(machine.address(), bootstrap, seeds, newId);
+        if (opened == null) {
+            // As in production, the process exits and is restarted.
             machine.kill();
-            world.schedule(START_AGAIN_MICROS, () -> {
-                if (machine.powered() && !machine.running() && !gone) {
-                    start(false, itsSeeds);
+            simulator.schedule(RESTART_MICROS, () -> {
+                if (machine.powered() && !machine.running() && !removed) {
+                    start(false, newSeeds);
                 }
             });
             return;
         }
-        knownId = found.id();
-        PersistentState stored = found.stored();
-        if (flaw == Flaw.VOTE_FORGOTTEN) {
+        knownId = opened.id();
+        PersistentState stored = opened.stored();
+        if (mutation == Mutation.VOTE_FORGOTTEN) {
             stored = new PersistentState(HardState.NONE, stored.snapshot(), stored.entries());
         }
         writer = new Writer(machine.incarnation());
-        core = new CoreMachine(new CoreMachine.Identity(found.id(), machine.address(), losses), stored, writer, this);
-        if (flaw == Flaw.REPEATS_FORGOTTEN) {
-            forgetRepeats();
+        core = new CoreMachine(new CoreMachine.Identity(opened.id(), machine.address(), losses), stored, writer, this);
+        if (mutation == Mutation.RETRIES_NOT_RECOGNIZED) {
+            forgetRetries();
         }
-        Hello own = new Hello(NodeRole.CORE, found.id(), machine.address(), name, "z");
-        PeerConnection.Listener listener = flaw == Flaw.ALWAYS_FRESH ? new SaysFresh(core, new HashMap<>()) : core;
-        links = network.connectionManager(machine, machines, own, listener);
+        Hello own = new Hello(NodeRole.CORE, opened.id(), machine.address(), name, "z");
+        PeerConnection.Listener listener =
+                mutation == Mutation.ALWAYS_FRESH ? new AlwaysFreshListener(core, new HashMap<>()) : core;
+        connections = network.connectionManager(machine, machines, own, listener);
         network.listen(machine, own, listener);
         tick();
     }
 
-    private void forgetRepeats() {
+    private void forgetRetries() {
         try {
             Field history = RaftDriver.class.getDeclaredField("history");
             history.setAccessible(true);
@@ -158,31 +160,31 @@
 
     void kill() {
         if (machine.running()) {
-            store.killed(writer.midway());
+            store.processKilled(writer.writeInProgress());
             machine.kill();
             network.processKilled(machine);
-            hangUp();
+            breakOpenCalls();
         }
     }
 
     void powerOff() {
         if (machine.powered()) {
-            store.powerLost(machine.running() ? writer.midway() : null);
+            store.powerLost(machine.running() ? writer.writeInProgress() : null);
             machine.powerOff();
             network.powerOff(machine);
-            // Callers hear nothing.
-            open.clear();
+            // A machine without power sends no reset, so callers get no response.
+            openCalls.clear();
         }
     }
 
-    /** The disk is lost; the machine is off. */
+    /** Cuts the power and erases the disk. */
     void wipe() {
         powerOff();
         store.wipe();
     }
 
-    /** SIGTERM, and then the end as {@link Core} does it. */
-    void end() {
+    /** Shuts the process down gracefully, as {@link Core} does on SIGTERM. */
+    void terminate() {
         if (!machine.running()) {
             return;
         }
@@ -199,31 +201,31 @@
         }
     }
 
-    private void hangUp() {
-        List<Consumer<CallResponse>> callers = List.copyOf(open);
-        open.clear();
+    private void breakOpenCalls() {
+        List<Consumer<CallResponse>> callers = List.copyOf(openCalls);
+        openCalls.clear();
         callers.forEach(caller -> caller.accept(null));
     }
 
-    /** The disk takes its time with everything until then, in the world's milliseconds. */
+    /** Stalls all writes until this simulator time in milliseconds. */
     void stallDisk(long untilMillis) {
         stalledUntil = untilMillis * 1_000;
     }
 
-    void fillDisk(boolean nowFull) {
-        full = nowFull;
-        store.full(nowFull);
+    void fillDisk(boolean full) {
+        diskFull = full;
+        store.setFull(full);
     }
 
-    boolean diskInTrouble() {
-        return full || stalledUntil > world.micros();
+    boolean isDiskFaulty() {
+        return diskFull || stalledUntil > simulator.micros();
     }
 
-    void resettle(List<String> newSeeds) {
+    void setSeeds(List<String> newSeeds) {
         seeds = newSeeds;
     }
 
-    // ---- what is seen of it
+    // ---- state
 
     boolean running() {
         return machine.running() && core != null;
@@ -237,34 +239,34 @@
         return running() && core.raftDriver().raft().role() == Raft.Role.LEADER;
     }
 
-    // ---- the operator's calls, on the machine's own thread
+    // ---- operator calls, on the machine's own thread
 
-    /** Told null where the connection breaks. */
-    void replace(long base, byte[] body, Consumer<CallResponse> told) {
-        take(told, answer -> {
+    /** Sends a change; the callback gets null where the connection breaks. */
+    void replace(long base, byte[] body, Consumer<CallResponse> callback) {
+        trackCall(callback, answer -> {
             core.calls().replace(List.of(Long.toString(base)), body, answer);
-            if (flaw == Flaw.EARLY_VERDICT
+            if (mutation == Mutation.ACKNOWLEDGED_BEFORE_COMMIT
                     && leads()
                     && core.raftDriver().history().rev() == base
-                    && open.contains(told)) {
+                    && openCalls.contains(callback)) {
                 String text = new String(body, StandardCharsets.UTF_8);
-                long rev = Order.revOf(text);
+                long rev = OperatorChange.revOf(text);
                 answer.accept(new CallResponse(
                         0, OperatorCalls.OK, ("{\"rev\":" + rev + "}\n").getBytes(StandardCharsets.UTF_8)));
             }
         });
     }
 
-    void show(Consumer<CallResponse> told) {
-        take(told, answer -> core.calls().show(answer));
+    void show(Consumer<CallResponse> callback) {
+        trackCall(callback, answer -> core.calls().show(answer));
     }
 
-    private void take(Consumer<CallResponse> told, Consumer<Consumer<CallResponse>> work) {
-        open.add(told);
+    private void trackCall(Consumer<CallResponse> callback, Consumer<Consumer<CallResponse>> work) {
+        openCalls.add(callback);
         work.accept(answer -> {
-            if (open.remove(told)) {
-                told.accept(answer);
-                around.answered(this, answer);
+            if (openCalls.remove(callback)) {
+                callback.accept(answer);
+                callbacks.responseSent(this, answer);
             }
         });
     }
@@ -278,7 +280,7 @@
 
     @Override
     public ConnectionManager connectionManager() {
-        return links;
+        return connections;
     }
 
     @Override
@@ -295,12 +297,12 @@
     }
 
     private void fetch(long run) {
-        long took = 3_000L + random.nextInt(10_000);
-        long life = machine.incarnation();
-        List<HostList.Host> list = around.platform();
-        world.schedule(
-                took,
-                () -> machine.deliver(life, () -> {
+        long durationMicros = 3_000L + random.nextInt(10_000);
+        long incarnation = machine.incarnation();
+        List<HostList.Host> list = callbacks.platformHosts();
+        simulator.schedule(
+                durationMicros,
+                () -> machine.deliver(incarnation, () -> {
                     if (fetching && run == fetches) {
                         core.hostsFetched(list);
                         machine.schedule(POLL_MILLIS, () -> {
@@ -315,54 +317,56 @@
     @Override
     public void log(String line) {
         if (Boolean.getBoolean("tinworks.simulation.log")) {
-            System.out.println(world.millis() + " " + name + ": " + line);
+            System.out.println(simulator.millis() + " " + name + ": " + line);
         }
     }
 
     /** Writes one output after the other, as {@link DiskThread} does. */
     private final class Writer implements Disk {
-        private final long life;
+        private final long incarnation;
         private final ArrayDeque<Write> writes = new ArrayDeque<>();
         private boolean busy;
 
         private record Write(Output output, Runnable done) {}
 
-        Writer(long life) {
-            this.life = life;
+        Writer(long incarnation) {
+            this.incarnation = incarnation;
         }
 
         @Override
         public void write(Output output, Runnable done) {
-            if (flaw == Flaw.SYNC_SKIPPED) {
-                // Said to be on the disk at once, and there a good while later.
-                world.schedule(0, () -> machine.deliver(life, done));
+            if (mutation == Mutation.SYNC_SKIPPED) {
+                // Confirmed at once, but written 300 ms later.
+                simulator.schedule(0, () -> machine.deliver(incarnation, done));
                 writes.add(new Write(output, () -> {}));
             } else {
                 writes.add(new Write(output, done));
             }
-            next();
+            writeNext();
         }
 
-        private void next() {
+        private void writeNext() {
             if (!busy && !writes.isEmpty()) {
                 busy = true;
-                long takes = syncMicros / 2 + random.nextLong(syncMicros) + (flaw == Flaw.SYNC_SKIPPED ? 300_000 : 0);
-                sync(takes + Math.max(0, stalledUntil - world.micros()));
+                long durationMicros = syncMicros / 2
+                        + random.nextLong(syncMicros)
+                        + (mutation == Mutation.SYNC_SKIPPED ? 300_000 : 0);
+                sync(durationMicros + Math.max(0, stalledUntil - simulator.micros()));
             }
         }
 
         private void sync(long micros) {
-            world.schedule(micros, () -> {
-                if (machine.incarnation() != life || !machine.running()) {
+            simulator.schedule(micros, () -> {
+                if (machine.incarnation() != incarnation || !machine.running()) {
                     return;
                 }
                 Write write = writes.peek();
                 if (store.write(write.output)) {
                     writes.poll();
-                    machine.deliver(life, () -> {
+                    machine.deliver(incarnation, () -> {
                         write.done.run();
                         busy = false;
-                        next();
+                        writeNext();
                     });
                 } else {
                     sync(RETRY_MICROS);
@@ -370,31 +374,31 @@
             });
         }
 
-        Output midway() {
-            return busy && !writes.isEmpty() && !full ? writes.peek().output : null;
+        Output writeInProgress() {
+            return busy && !writes.isEmpty() && !diskFull ? writes.peek().output : null;
         }
     }
 
-    /** What a machine says that takes itself for up to date whatever happens. */
-    private record SaysFresh(CoreMachine core, Map<PeerConnection, PeerConnection> said)
+    /** Passes on all announcements of a node as up to date, whatever its state. */
+    private record AlwaysFreshListener(CoreMachine core, Map<PeerConnection, PeerConnection> wrappers)
             implements PeerConnection.Listener {
-        private PeerConnection fresh(PeerConnection conversation) {
-            return said.computeIfAbsent(conversation, Fresh::new);
+        private PeerConnection wrapper(PeerConnection connection) {
+            return wrappers.computeIfAbsent(connection, AlwaysFreshConnection::new);
         }
 
         @Override
-        public void opened(PeerConnection conversation) {
-            core.opened(fresh(conversation));
+        public void opened(PeerConnection connection) {
+            core.opened(wrapper(connection));
         }
 
         @Override
-        public void received(PeerConnection conversation, PeerMessage signal) {
-            core.received(fresh(conversation), signal);
+        public void received(PeerConnection connection, PeerMessage message) {
+            core.received(wrapper(connection), message);
         }
 
         @Override
-        public void closed(PeerConnection conversation) {
-            core.closed(said.remove(conversation));
+        public void closed(PeerConnection connection) {
+            core.closed(wrappers.remove(connection));
         }
 
         @Override
@@ -403,7 +407,7 @@
         }
     }
 
-    private record Fresh(PeerConnection inner) implements PeerConnection {
+    private record AlwaysFreshConnection(PeerConnection inner) implements PeerConnection {
         @Override
         public Hello peer() {
             return inner.peer();
@@ -420,21 +424,21 @@
         }
 
         @Override
-        public void send(PeerMessage signal) {
-            inner.send(signal instanceof PeerMessage.Announce a ? fresh(a) : signal);
+        public void send(PeerMessage message) {
+            inner.send(message instanceof PeerMessage.Announce a ? withFreshFlag(a) : message);
         }
 
-        /** The same, whatever else it says, but fresh. */
-        private static PeerMessage.Announce fresh(PeerMessage.Announce said) {
-            RecordComponent[] parts = PeerMessage.Announce.class.getRecordComponents();
-            Class<?>[] types = new Class<?>[parts.length];
-            Object[] values = new Object[parts.length];
+        /** Copies an announcement with its {@code fresh} flag set. */
+        private static PeerMessage.Announce withFreshFlag(PeerMessage.Announce announcement) {
+            RecordComponent[] components = PeerMessage.Announce.class.getRecordComponents();
+            Class<?>[] types = new Class<?>[components.length];
+            Object[] values = new Object[components.length];
             try {
-                for (int i = 0; i < parts.length; i++) {
-                    types[i] = parts[i].getType();
-                    values[i] = parts[i].getName().equals("fresh")
+                for (int i = 0; i < components.length; i++) {
+                    types[i] = components[i].getType();
+                    values[i] = components[i].getName().equals("fresh")
                             ? true
-                            : parts[i].getAccessor().invoke(said);
+                            : components[i].getAccessor().invoke(announcement);
                 }
                 return PeerMessage.Announce.class.getConstructor(types).newInstance(values);
             } catch (ReflectiveOperationException e) {
@@ -443,8 +447,8 @@
         }
 
         @Override
-        public void close(String why) {
-            inner.close(why);
+        public void close(String reason) {
+            inner.close(reason);
         }
     }
 }
--- a/src/test/java/tinworks/control/SimulatedDay.java
+++ b/src/test/java/tinworks/control/SimulatedDay.java
@@ -20,11 +20,11 @@
 import tinworks.simulation.Simulator;
 
 /**
- * A day of the control side: core machines, edges and operators on one simulated network, troubles at their times, and
- * checks all along. Equal settings give equal days.
+ * A simulated day of the control plane: core nodes, edges and operators on one simulated network, with faults injected
+ * at given times and rules checked throughout. Equal settings give equal days.
  */
-final class SimulatedDay implements SimulatedCore.Around {
-    /** What strikes at the end, right after one more change was acknowledged. */
+final class SimulatedDay implements SimulatedCore.Callbacks {
+    /** The closing fault, which is injected right after one more change was acknowledged. */
     enum Closing {
         NONE,
         POWER_ALL,
@@ -34,11 +34,13 @@
     }
 
     /**
-     * All that a day is made from.
+     * The settings that determine a day.
      *
-     * @param losses how many of the machines may be lost at once
-     * @param pauseMillis between two changes, in the mean
-     * @param millis when troubles and changes end
+     * @param losses the number of core nodes that may be lost at once
+     * @param applyMillis the time within which edges must apply an acknowledged change
+     * @param onFiles whether nodes use the production store on a simulated disk
+     * @param pauseMillis the mean pause between two changes
+     * @param millis the time at which faults and changes end
      */
     record Settings(
             long seed,
@@ -50,10 +52,10 @@
             long syncMicros,
             long pauseMillis,
             long millis,
-            List<Trouble> troubles,
+            List<InjectedFault> faults,
             Closing closing,
-            Flaw flaw) {
-        /** What a seed stands for. */
+            Mutation mutation) {
+        /** Draws the settings of a day from a seed. */
         static Settings of(long seed) {
             SplittableRandom random = new SplittableRandom(seed);
             int kind = random.nextInt(20);
@@ -72,16 +74,19 @@
                     random.nextBoolean() ? 1_000 : 5_000,
                     pause,
                     millis,
-                    Trouble.draw(random, FIRST_TROUBLE, millis, machines, edges),
+                    InjectedFault.drawFaults(random, FIRST_FAULT_MILLIS, millis, machines, edges),
                     closing,
-                    Flaw.NONE);
+                    Mutation.NONE);
         }
 
-        /** A day of a script; the seed decides the rest. */
+        /** Creates the settings of a scripted day; the seed determines everything else. */
         static Settings scripted(long seed, int machines, boolean onFiles, long pause, String script, Closing closing) {
-            List<Trouble> troubles = Trouble.script(script);
-            long millis =
-                    troubles.stream().mapToLong(t -> t.at() + t.lasts()).max().orElse(FIRST_TROUBLE) + 6_000;
+            List<InjectedFault> faults = InjectedFault.parseScript(script);
+            long millis = faults.stream()
+                            .mapToLong(fault -> fault.atMillis() + fault.durationMillis())
+                            .max()
+                            .orElse(FIRST_FAULT_MILLIS)
+                    + 6_000;
             return new Settings(
                     seed,
                     machines,
@@ -92,12 +97,12 @@
                     1_000,
                     pause,
                     millis,
-                    troubles,
+                    faults,
                     closing,
-                    Flaw.NONE);
+                    Mutation.NONE);
         }
 
-        Settings with(List<Trouble> others) {
+        Settings with(List<InjectedFault> others) {
             return new Settings(
                     seed,
                     machines,
@@ -110,7 +115,7 @@
                     millis,
                     others,
                     closing,
-                    flaw);
+                    mutation);
         }
 
         Settings with(Closing other) {
@@ -124,13 +129,13 @@
                     syncMicros,
                     pauseMillis,
                     millis,
-                    troubles,
+                    faults,
                     other,
-                    flaw);
+                    mutation);
         }
 
-        Settings with(Flaw other) {
-            Settings day = other == Flaw.FOLDER_NOT_SYNCED ? onFiles(true) : this;
+        Settings with(Mutation other) {
+            Settings day = other == Mutation.DIRECTORY_NOT_SYNCED ? onFiles(true) : this;
             return new Settings(
                     seed,
                     machines,
@@ -141,7 +146,7 @@
                     syncMicros,
                     pauseMillis,
                     millis,
-                    troubles,
+                    faults,
                     closing,
                     other);
         }
@@ -157,142 +162,143 @@
                     syncMicros,
                     pauseMillis,
                     millis,
-                    troubles,
+                    faults,
                     closing,
-                    flaw);
+                    mutation);
         }
     }
 
-    /** What a day came to. */
+    /** The counts of a day. */
     record Result(
             long events,
-            Map<Trouble.Kind, Integer> troubles,
-            int orders,
+            Map<InjectedFault.Kind, Integer> faults,
+            int changes,
             int acknowledged,
             int refused,
-            int tries,
-            int repeats,
+            int attempts,
+            int resends,
             int races,
-            int shows) {}
-
-    static final long FIRST_TROUBLE = 4_000;
-    static final long CONTACT = 4_000;
-    static final long ACK = 5_000;
-    static final long SYNC = 4_000;
-    static final long RECOVER = 15_000;
-    private static final long LAG = 3_000;
-    private static final long LISTING = 500;
-    private static final long CHECK = 100;
-    private static final long TURN = 300;
-    private static final long LONGEST_WAIT = 60_000;
-    private static final long FIRST_ORDER = 1_000;
-    private static final long GONE_MICROS = 3_000_000;
-    private static final int SEEDS = 3;
+            int reads) {}
+
+    static final long FIRST_FAULT_MILLIS = 4_000;
+    static final long SETTLE_MILLIS = 4_000;
+    static final long ACKNOWLEDGE_MILLIS = 5_000;
+    static final long CATCH_UP_MILLIS = 4_000;
+    static final long RECOVERY_MILLIS = 15_000;
+    private static final long LISTING_LAG_MILLIS = 3_000;
+    private static final long LISTING_INTERVAL_MILLIS = 500;
+    private static final long CHECK_INTERVAL_MILLIS = 100;
+    private static final long FAULT_RETRY_MILLIS = 300;
+    private static final long MAX_WAIT_MILLIS = 60_000;
+    private static final long FIRST_CHANGE_MILLIS = 1_000;
+    private static final long SHUTDOWN_MICROS = 3_000_000;
+    private static final int MAX_SEEDS = 3;
     private static final int SLOW_BYTES_PER_MILLI = 40;
 
     private final Settings settings;
-    private final Simulator world;
+    private final Simulator simulator;
     private final SplittableRandom random;
     private final SimulatedNetwork network;
     private final Map<String, Machine> machines = new HashMap<>();
     private final Map<String, SimulatedCore> cores = new LinkedHashMap<>();
     private final Map<String, SimulatedEdge> edges = new LinkedHashMap<>();
-    private final Map<SimulatedEdge, Long> served = new HashMap<>();
-    private final Map<SimulatedCore, Integer> troubled = new HashMap<>();
+    private final Map<SimulatedEdge, Long> servedRevs = new HashMap<>();
+    private final Map<SimulatedCore, Integer> activeFaults = new HashMap<>();
     private final Map<Long, SimulatedCore> leaders = new HashMap<>();
-    private final ArrayDeque<List<SimulatedCore>> listings = new ArrayDeque<>();
-    private final List<Trouble> afterAck = new ArrayList<>();
-    private final List<Trouble> afterSend = new ArrayList<>();
-    private final Map<Trouble.Kind, Integer> counts = new EnumMap<>(Trouble.Kind.class);
-    private final List<Order> open = new ArrayList<>();
-    private final HistoryCheck check = new HistoryCheck();
+    private final ArrayDeque<List<SimulatedCore>> recentListings = new ArrayDeque<>();
+    private final List<InjectedFault> faultsAfterAck = new ArrayList<>();
+    private final List<InjectedFault> faultsAfterSend = new ArrayList<>();
+    private final Map<InjectedFault.Kind, Integer> faultCounts = new EnumMap<>(InjectedFault.Kind.class);
+    private final List<OperatorChange> openChanges = new ArrayList<>();
+    private final HistoryChecker history = new HistoryChecker();
     private final SimulatedOperators operators;
     private List<HostList.Host> platform = List.of();
     private long platformChanges;
-    private long lastEvent;
-    private long contact = CONTACT;
-    private int slowed;
-    private boolean closingArmed;
+    private long lastFaultEventMillis;
+    private long settleMillis = SETTLE_MILLIS;
+    private int slowedCores;
+    private boolean closingFaultArmed;
     private boolean ending;
-    private boolean struck;
+    private boolean closingFaultInjected;
 
     private SimulatedDay(Settings settings) {
         this.settings = settings;
-        world = new Simulator(settings.seed);
-        random = world.random().split();
-        network = new SimulatedNetwork(world);
-        operators = new SimulatedOperators(world, check, this::listed, this::orderSent);
+        simulator = new Simulator(settings.seed);
+        random = simulator.random().split();
+        network = new SimulatedNetwork(simulator);
+        operators = new SimulatedOperators(simulator, history, this::listed, this::changeSent);
     }
 
-    /** Plays a day; a broken rule ends as a {@link HistoryCheck.Broken}. */
-    static Result play(Settings settings) {
+    /** Simulates a day; a broken rule is thrown as a {@link HistoryChecker.RuleViolation}. */
+    static Result simulate(Settings settings) {
         SimulatedDay day = new SimulatedDay(settings);
         try {
             day.run();
         } catch (RuntimeException e) {
-            HistoryCheck.Broken broken = new HistoryCheck.Broken("CRASH: " + e + " at " + day.world.millis() + " ms");
+            HistoryChecker.RuleViolation broken =
+                    new HistoryChecker.RuleViolation("CRASH: " + e + " at " + day.simulator.millis() + " ms");
             broken.initCause(e);
             throw broken;
         }
         return new Result(
-                day.world.events(),
-                day.counts,
-                day.check.orders.size(),
-                day.check.acknowledged,
-                day.check.refused,
-                day.operators.tries,
-                day.operators.repeats,
+                day.simulator.events(),
+                day.faultCounts,
+                day.history.changes.size(),
+                day.history.acknowledged,
+                day.history.refused,
+                day.operators.attempts,
+                day.operators.resends,
                 day.operators.races,
-                day.check.shows);
+                day.history.reads);
     }
 
     private void run() {
-        begin();
-        world.runUntil(settings.millis);
-        operators.stopOrdering();
-        // What is acknowledged again from here on strikes nothing: the reader at the end waits for no machine to come
-        // back.
-        afterAck.clear();
+        startAll();
+        simulator.runUntil(settings.millis);
+        operators.stopSending();
+        // Later acknowledgements must not trigger a fault: the final read does not wait for a node
+        // to restart.
+        faultsAfterAck.clear();
         if (settings.closing != Closing.NONE) {
-            close();
+            runClosingFault();
         }
-        runUntil(() -> quiet(), "the day never comes to rest");
-        world.runUntil(world.millis() + 2 * CONTACT + 1_000);
-        finish();
+        runUntil(() -> hasNoActiveFault(), "faults are still active");
+        simulator.runUntil(simulator.millis() + 2 * SETTLE_MILLIS + 1_000);
+        verifyAtEnd();
     }
 
-    // ---- the beginning
+    // ---- start
 
-    private void begin() {
+    private void startAll() {
         List<String> first = new ArrayList<>();
         for (int i = 1; i <= settings.machines; i++) {
             first.add(add("m" + i).machine.address());
         }
-        List<String> seeds = List.copyOf(first.subList(0, Math.min(SEEDS, first.size())));
-        listings.add(List.copyOf(cores.values()));
+        List<String> seeds = List.copyOf(first.subList(0, Math.min(MAX_SEEDS, first.size())));
+        recentListings.add(List.copyOf(cores.values()));
         for (SimulatedCore core : List.copyOf(cores.values())) {
-            world.schedule(1_000L * random.nextInt(300), () -> core.start(true, seeds));
+            simulator.schedule(1_000L * random.nextInt(300), () -> core.start(true, seeds));
         }
         for (int i = 1; i <= settings.edges; i++) {
-            SimulatedEdge edge = new SimulatedEdge(world, network, machines, "e" + i, follower(), this::edgeWorked);
+            SimulatedEdge edge = new SimulatedEdge(simulator, network, machines, "e" + i, follower(), this::checkEdges);
             edges.put(edge.name, edge);
-            world.schedule(1_000L * random.nextInt(300), () -> edge.start(seeds));
+            simulator.schedule(1_000L * random.nextInt(300), () -> edge.start(seeds));
         }
         changePlatform();
-        list();
-        world.schedule(CHECK * 1_000, this::checkNow);
-        world.schedule(FIRST_ORDER * 1_000, () -> operators.begin(settings.pauseMillis));
-        settings.troubles.forEach(t -> world.schedule(t.at() * 1_000, () -> strike(t)));
+        updateListing();
+        simulator.schedule(CHECK_INTERVAL_MILLIS * 1_000, this::checkPeriodically);
+        simulator.schedule(FIRST_CHANGE_MILLIS * 1_000, () -> operators.begin(settings.pauseMillis));
+        settings.faults.forEach(fault -> simulator.schedule(fault.atMillis() * 1_000, () -> inject(fault)));
     }
 
     private Function<CoreFollower.Callbacks, CoreFollower> follower() {
-        return settings.flaw == Flaw.VERSIONS_NOT_COMPARED ? StaleVersionFollower::new : CoreFollower::new;
+        return settings.mutation == Mutation.VERSIONS_NOT_COMPARED ? StaleVersionFollower::new : CoreFollower::new;
     }
 
     private SimulatedCore add(String name) {
         String address = "10.0.0." + name.substring(1) + ":7000";
         SimulatedCore core = new SimulatedCore(
-                world,
+                simulator,
                 network,
                 machines,
                 name,
@@ -300,7 +306,7 @@
                 settings.losses,
                 settings.syncMicros,
                 settings.onFiles,
-                settings.flaw,
+                settings.mutation,
                 this);
         cores.put(name, core);
         return core;
@@ -311,22 +317,22 @@
         platform = List.of(
                 new HostList.Host("h" + platformChanges, "s", "10.1.0.1:80", "z", 3, false, 0),
                 new HostList.Host("same", "s", "10.1.0.2:80", "z", 3, platformChanges % 2 == 0, 0));
-        world.schedule(1_000 * (1_000 + random.nextLong(4_000)), this::changePlatform);
+        simulator.schedule(1_000 * (1_000 + random.nextLong(4_000)), this::changePlatform);
     }
 
-    private void list() {
-        List<SimulatedCore> up =
-                cores.values().stream().filter(c -> c.running() && !c.gone).toList();
-        // A list without anyone tells nobody anything: the last one stays.
-        listings.add(up.isEmpty() ? listings.peekLast() : up);
-        if (listings.size() > LAG / LISTING) {
-            listings.poll();
+    private void updateListing() {
+        List<SimulatedCore> running =
+                cores.values().stream().filter(c -> c.running() && !c.removed).toList();
+        // While no node runs, the last listing that had nodes stays in use.
+        recentListings.add(running.isEmpty() ? recentListings.peekLast() : running);
+        if (recentListings.size() > LISTING_LAG_MILLIS / LISTING_INTERVAL_MILLIS) {
+            recentListings.poll();
         }
-        world.schedule(LISTING * 1_000, this::list);
+        simulator.schedule(LISTING_INTERVAL_MILLIS * 1_000, this::updateListing);
     }
 
     private List<SimulatedCore> listed() {
-        return listings.peek();
+        return recentListings.peek();
     }
 
     private List<String> seeds() {
@@ -335,52 +341,52 @@
         for (int i = seeds.size(); i > 1; i--) {
             Collections.swap(seeds, i - 1, random.nextInt(i));
         }
-        return List.copyOf(seeds.subList(0, Math.min(SEEDS, seeds.size())));
+        return List.copyOf(seeds.subList(0, Math.min(MAX_SEEDS, seeds.size())));
     }
 
     private void log(String line) {
         if (Boolean.getBoolean("tinworks.simulation.log")) {
-            System.out.println(world.millis() + " " + line);
+            System.out.println(simulator.millis() + " " + line);
         }
     }
 
-    // ---- losses
+    // ---- fault injection
 
-    private boolean lost(SimulatedCore core) {
-        return troubled.getOrDefault(core, 0) > 0 || world.millis() < core.lostUntil;
+    private boolean countsAsLost(SimulatedCore core) {
+        return activeFaults.getOrDefault(core, 0) > 0 || simulator.millis() < core.countsAsLostUntil;
     }
 
-    private boolean mayLose(SimulatedCore core) {
-        return cores.values().stream().filter(c -> c != core && lost(c)).count() < settings.losses;
+    private boolean mayBeLost(SimulatedCore core) {
+        return cores.values().stream().filter(c -> c != core && countsAsLost(c)).count() < settings.losses;
     }
 
-    private void beginTrouble(SimulatedCore core) {
-        troubled.merge(core, 1, Integer::sum);
-        lastEvent = world.millis();
+    private void beginFault(SimulatedCore core) {
+        activeFaults.merge(core, 1, Integer::sum);
+        lastFaultEventMillis = simulator.millis();
     }
 
-    private void endTrouble(SimulatedCore core) {
-        troubled.merge(core, -1, Integer::sum);
-        core.lostUntil = Math.max(core.lostUntil, world.millis() + SYNC);
-        lastEvent = world.millis();
+    private void endFault(SimulatedCore core) {
+        activeFaults.merge(core, -1, Integer::sum);
+        core.countsAsLostUntil = Math.max(core.countsAsLostUntil, simulator.millis() + CATCH_UP_MILLIS);
+        lastFaultEventMillis = simulator.millis();
     }
 
-    private void comeBack(SimulatedCore core, long millis) {
-        world.schedule(millis * 1_000, () -> {
-            if (!core.gone && !core.running()) {
+    private void restartAfter(SimulatedCore core, long millis) {
+        simulator.schedule(millis * 1_000, () -> {
+            if (!core.removed && !core.running()) {
                 core.start(false, seeds());
             }
-            log(core.name + " is back");
-            endTrouble(core);
+            log(core.name + " restarted");
+            endFault(core);
         });
     }
 
-    private SimulatedCore find(String who) {
-        List<SimulatedCore> may = cores.values().stream()
-                .filter(c -> c.running() && !c.gone && troubled.getOrDefault(c, 0) == 0)
+    private SimulatedCore findTarget(String target) {
+        List<SimulatedCore> candidates = cores.values().stream()
+                .filter(c -> c.running() && !c.removed && activeFaults.getOrDefault(c, 0) == 0)
                 .toList();
         SimulatedCore leader = null;
-        for (SimulatedCore core : may) {
+        for (SimulatedCore core : candidates) {
             if (core.leads()
                     && (leader == null
                             || core.core().raftDriver().raft().term()
@@ -388,142 +394,143 @@
                 leader = core;
             }
         }
-        if (who.equals("leader")) {
+        if (target.equals("leader")) {
             return leader;
         }
-        if (who.startsWith("m")) {
-            return may.contains(cores.get(who)) ? cores.get(who) : null;
+        if (target.startsWith("m")) {
+            return candidates.contains(cores.get(target)) ? cores.get(target) : null;
         }
-        SimulatedCore notThis = who.equals("other") ? leader : null;
-        List<SimulatedCore> others = may.stream().filter(c -> c != notThis).toList();
+        SimulatedCore excluded = target.equals("other") ? leader : null;
+        List<SimulatedCore> others =
+                candidates.stream().filter(c -> c != excluded).toList();
         return others.isEmpty() ? null : others.get(random.nextInt(others.size()));
     }
 
-    private void wait(Trouble trouble) {
-        if (world.millis() < settings.millis) {
-            world.schedule(TURN * 1_000, () -> strike(trouble));
+    private void postpone(InjectedFault fault) {
+        if (simulator.millis() < settings.millis) {
+            simulator.schedule(FAULT_RETRY_MILLIS * 1_000, () -> inject(fault));
         }
     }
 
-    private void strike(Trouble t) {
-        if (ending || !onWhole(t)) {
-            SimulatedCore core = ending ? null : find(t.who());
-            if (core == null || !mayLose(core)) {
-                wait(t);
+    private void inject(InjectedFault fault) {
+        if (ending || !injectClusterFault(fault)) {
+            SimulatedCore core = ending ? null : findTarget(fault.target());
+            if (core == null || !mayBeLost(core)) {
+                postpone(fault);
                 return;
             }
-            on(core, t);
+            injectCoreFault(core, fault);
         }
     }
 
-    private void counted(Trouble t, String who) {
-        log(who + ": " + t);
-        counts.merge(t.kind(), 1, Integer::sum);
+    private void countFault(InjectedFault fault, String target) {
+        log(target + ": " + fault);
+        faultCounts.merge(fault.kind(), 1, Integer::sum);
     }
 
-    /** Troubles that strike more than one core machine or none. */
-    private boolean onWhole(Trouble t) {
-        switch (t.kind()) {
-            case ALL -> all(t.x() == 1, t.lasts());
-            case RESET -> resetSome((int) t.x());
-            case AFTER_ACK -> afterAck.add(t);
-            case AFTER_SEND, WIPE_AFTER_SEND -> afterSend.add(t);
-            case EDGE_START -> startEdge(edges.get(t.who()), t.lasts() / 4);
-            case EDGE_CUT -> cutEdge(edges.get(t.who()), t.lasts());
-            case RACES -> races(t.x());
-            case CHANGES -> changes(t.x());
+    /** Injects a fault that affects several core nodes or none; returns false for a fault of one core node. */
+    private boolean injectClusterFault(InjectedFault fault) {
+        switch (fault.kind()) {
+            case ALL -> stopAllCores(fault.argument() == 1, fault.durationMillis());
+            case RESET -> resetConnections((int) fault.argument());
+            case AFTER_ACK -> faultsAfterAck.add(fault);
+            case AFTER_SEND, WIPE_AFTER_SEND -> faultsAfterSend.add(fault);
+            case EDGE_START -> startEdge(edges.get(fault.target()), fault.durationMillis() / 4);
+            case EDGE_CUT -> partitionEdge(edges.get(fault.target()), fault.durationMillis());
+            case RACES -> sendRaces(fault.argument());
+            case CHANGES -> sendChanges(fault.argument());
             default -> {
                 return false;
             }
         }
-        counted(t, "all");
+        countFault(fault, "all");
         return true;
     }
 
-    private void on(SimulatedCore core, Trouble t) {
-        counted(t, core.name);
-        switch (t.kind()) {
+    private void injectCoreFault(SimulatedCore core, InjectedFault fault) {
+        countFault(fault, core.name);
+        switch (fault.kind()) {
             case KILL -> {
-                beginTrouble(core);
+                beginFault(core);
                 core.kill();
-                comeBack(core, t.lasts());
+                restartAfter(core, fault.durationMillis());
             }
-            case POWER -> darken(core, t.lasts(), false);
-            case WIPE -> darken(core, t.lasts(), true);
-            case FREEZE -> freeze(core, t.lasts());
-            case SLOW -> slow(core, t.lasts(), t.x());
-            case CUT -> cut(core, t.lasts(), (int) t.x());
+            case POWER -> powerDown(core, fault.durationMillis(), false);
+            case WIPE -> powerDown(core, fault.durationMillis(), true);
+            case FREEZE -> freeze(core, fault.durationMillis());
+            case SLOW -> slow(core, fault.durationMillis(), fault.argument());
+            case CUT -> partition(core, fault.durationMillis(), (int) fault.argument());
             case CUT_BOTH -> {
-                cut(core, t.lasts(), 0);
-                startAnewDuringCut(core, t.lasts());
+                partition(core, fault.durationMillis(), 0);
+                restartDuringPartition(core, fault.durationMillis());
             }
             case CUT_SEEDS -> {
-                cut(core, t.lasts(), (int) t.x());
-                world.schedule(
-                        t.lasts() * 750,
+                partition(core, fault.durationMillis(), (int) fault.argument());
+                simulator.schedule(
+                        fault.durationMillis() * 750,
                         () -> edges.values().forEach(e -> startEdge(e, 100, List.of(core.machine.address()))));
             }
-            case REPLACE -> replace(core, t.x());
-            case LOSE -> lose(core, t.x());
-            case STALL -> stall(core, t.lasts());
-            case FULL -> fill(core, t.lasts());
-            default -> throw new IllegalArgumentException("not of one machine: " + t);
+            case REPLACE -> replace(core, fault.argument());
+            case LOSE -> lose(core, fault.argument());
+            case STALL -> stall(core, fault.durationMillis());
+            case FULL -> fill(core, fault.durationMillis());
+            default -> throw new IllegalArgumentException("not a fault of one core node: " + fault);
         }
     }
 
-    private void darken(SimulatedCore core, long millis, boolean wiped) {
-        beginTrouble(core);
+    private void powerDown(SimulatedCore core, long millis, boolean wiped) {
+        beginFault(core);
         if (wiped) {
             core.wipe();
         } else {
             core.powerOff();
         }
-        comeBack(core, millis);
+        restartAfter(core, millis);
     }
 
-    private void all(boolean power, long millis) {
+    private void stopAllCores(boolean power, long millis) {
         for (SimulatedCore core : cores.values()) {
-            if (!core.gone && core.running()) {
-                beginTrouble(core);
+            if (!core.removed && core.running()) {
+                beginFault(core);
                 if (power) {
                     core.powerOff();
                 } else {
                     core.kill();
                 }
-                comeBack(core, millis + random.nextLong(300));
+                restartAfter(core, millis + random.nextLong(300));
             }
         }
     }
 
     private void freeze(SimulatedCore core, long millis) {
-        beginTrouble(core);
+        beginFault(core);
         core.machine.freeze();
         long life = core.machine.incarnation();
-        world.schedule(millis * 1_000, () -> {
+        simulator.schedule(millis * 1_000, () -> {
             if (core.machine.incarnation() == life) {
                 core.machine.thaw();
             }
-            endTrouble(core);
+            endFault(core);
         });
     }
 
     private void slow(SimulatedCore core, long millis, long micros) {
-        beginTrouble(core);
-        slowed++;
+        beginFault(core);
+        slowedCores++;
         core.machine.setProcessingMicros(micros);
         network.throttle(core.machine, SLOW_BYTES_PER_MILLI);
-        world.schedule(millis * 1_000, () -> {
+        simulator.schedule(millis * 1_000, () -> {
             core.machine.setProcessingMicros(0);
             network.unthrottle(core.machine);
-            slowed--;
-            endTrouble(core);
+            slowedCores--;
+            endFault(core);
         });
     }
 
-    private void cut(SimulatedCore core, long millis, int way) {
-        beginTrouble(core);
+    private void partition(SimulatedCore core, long millis, int way) {
+        beginFault(core);
         List<SimulatedCore> others =
-                cores.values().stream().filter(c -> c != core && !c.gone).toList();
+                cores.values().stream().filter(c -> c != core && !c.removed).toList();
         for (SimulatedCore other : others) {
             if (way != 2) {
                 network.partition(other.machine, core.machine);
@@ -532,102 +539,105 @@
                 network.partition(core.machine, other.machine);
             }
         }
-        world.schedule(millis * 1_000, () -> {
+        simulator.schedule(millis * 1_000, () -> {
             for (SimulatedCore other : others) {
                 network.heal(other.machine, core.machine);
                 network.heal(core.machine, other.machine);
             }
-            endTrouble(core);
+            endFault(core);
         });
     }
 
-    private void startAnewDuringCut(SimulatedCore core, long millis) {
-        restart(core, millis / 4);
+    private void restartDuringPartition(SimulatedCore core, long millis) {
+        restartLater(core, millis / 4);
         int after = 1;
         for (SimulatedCore other : List.copyOf(cores.values())) {
             if (other != core) {
-                // One after the other, and each only where one more may be lost.
-                world.schedule(millis * 1_000 + 1_000 * SYNC * after++, () -> {
-                    if (other.running() && troubled.getOrDefault(other, 0) == 0 && mayLose(other)) {
-                        beginTrouble(other);
+                // Restarted one after the other, each only where one more node may be lost.
+                simulator.schedule(millis * 1_000 + 1_000 * CATCH_UP_MILLIS * after++, () -> {
+                    if (other.running() && activeFaults.getOrDefault(other, 0) == 0 && mayBeLost(other)) {
+                        beginFault(other);
                         other.kill();
-                        comeBack(other, 300);
+                        restartAfter(other, 300);
                     }
                 });
             }
         }
     }
 
-    private void restart(SimulatedCore core, long inMillis) {
-        world.schedule(inMillis * 1_000, () -> {
-            if (core.running() && !core.gone) {
+    private void restartLater(SimulatedCore core, long inMillis) {
+        simulator.schedule(inMillis * 1_000, () -> {
+            if (core.running() && !core.removed) {
                 core.kill();
-                lastEvent = world.millis();
-                world.schedule(300_000, () -> {
-                    if (!core.running() && !core.gone) {
+                lastFaultEventMillis = simulator.millis();
+                simulator.schedule(300_000, () -> {
+                    if (!core.running() && !core.removed) {
                         core.start(false, seeds());
-                        lastEvent = world.millis();
+                        lastFaultEventMillis = simulator.millis();
                     }
                 });
             }
         });
     }
 
-    private void resetSome(int count) {
-        List<SimulatedCore> all = cores.values().stream().filter(c -> !c.gone).toList();
+    private void resetConnections(int count) {
+        List<SimulatedCore> all =
+                cores.values().stream().filter(c -> !c.removed).toList();
         for (int i = 0; i < count; i++) {
             SimulatedCore one = all.get(random.nextInt(all.size()));
             all.forEach(other -> network.resetConnections(one.machine, other.machine));
         }
-        lastEvent = world.millis();
+        lastFaultEventMillis = simulator.millis();
     }
 
     private void replace(SimulatedCore core, long millis) {
         SimulatedCore successor = add("m" + (cores.size() + 1));
-        log(successor.name + " starts anew");
+        log(successor.name + " starts as a replacement");
         successor.start(false, seeds());
-        beginTrouble(core);
-        world.schedule(millis * 1_000, () -> {
-            log(core.name + " ends");
-            lastEvent = world.millis();
-            core.gone = true;
-            core.end();
-            world.schedule(GONE_MICROS, () -> {
+        beginFault(core);
+        simulator.schedule(millis * 1_000, () -> {
+            log(core.name + " shuts down");
+            lastFaultEventMillis = simulator.millis();
+            core.removed = true;
+            core.terminate();
+            simulator.schedule(SHUTDOWN_MICROS, () -> {
                 core.powerOff();
-                lastEvent = world.millis();
+                lastFaultEventMillis = simulator.millis();
             });
-            world.schedule(Math.max(1_000, SYNC - millis) * 1_000, () -> troubled.merge(core, -1, Integer::sum));
+            simulator.schedule(
+                    Math.max(1_000, CATCH_UP_MILLIS - millis) * 1_000,
+                    () -> activeFaults.merge(core, -1, Integer::sum));
         });
     }
 
     private void lose(SimulatedCore core, long millis) {
-        beginTrouble(core);
-        core.gone = true;
+        beginFault(core);
+        core.removed = true;
         core.wipe();
-        world.schedule(millis * 1_000, () -> {
+        simulator.schedule(millis * 1_000, () -> {
             SimulatedCore successor = add("m" + (cores.size() + 1));
             successor.start(false, seeds());
-            lastEvent = world.millis();
-            world.schedule(SYNC * 1_000, () -> troubled.merge(core, -1, Integer::sum));
+            lastFaultEventMillis = simulator.millis();
+            simulator.schedule(CATCH_UP_MILLIS * 1_000, () -> activeFaults.merge(core, -1, Integer::sum));
         });
     }
 
     private void stall(SimulatedCore core, long millis) {
-        troubled.merge(core, 1, Integer::sum);
-        core.stallDisk(world.millis() + millis);
-        world.schedule(millis * 1_000, () -> troubled.merge(core, -1, Integer::sum));
+        activeFaults.merge(core, 1, Integer::sum);
+        core.stallDisk(simulator.millis() + millis);
+        simulator.schedule(millis * 1_000, () -> activeFaults.merge(core, -1, Integer::sum));
     }
 
     private void fill(SimulatedCore core, long millis) {
-        troubled.merge(core, 1, Integer::sum);
+        activeFaults.merge(core, 1, Integer::sum);
         core.fillDisk(true);
-        world.schedule(millis * 1_000, () -> {
+        simulator.schedule(millis * 1_000, () -> {
             core.fillDisk(false);
-            troubled.merge(core, -1, Integer::sum);
+            activeFaults.merge(core, -1, Integer::sum);
         });
     }
 
-    // ---- edges and orders
+    // ---- edges and changes
 
     private void startEdge(SimulatedEdge edge, long downMillis) {
         startEdge(edge, downMillis, seeds());
@@ -638,306 +648,323 @@
             return;
         }
         edge.kill();
-        world.schedule(downMillis * 1_000, () -> {
+        simulator.schedule(downMillis * 1_000, () -> {
             List<String> seeds = new ArrayList<>(first);
-            List<String> others = seeds.size() < SEEDS && random.nextBoolean() ? List.of() : seeds();
+            List<String> others = seeds.size() < MAX_SEEDS && random.nextBoolean() ? List.of() : seeds();
             others.stream()
-                    .filter(s -> !seeds.contains(s) && seeds.size() < SEEDS)
+                    .filter(s -> !seeds.contains(s) && seeds.size() < MAX_SEEDS)
                     .forEach(seeds::add);
             edge.start(seeds);
-            edge.fewerSeeds = seeds.size() < Math.min(SEEDS, listed().size());
+            edge.fewerSeeds = seeds.size() < Math.min(MAX_SEEDS, listed().size());
         });
     }
 
     /**
-     * Whether an edge can find no core machine: it was given fewer seeds than the users' page promises (three, or all
-     * where fewer serve), which is harder than a real start, and none of them is up.
+     * Returns whether an edge cannot find any core node: it has fewer seeds than documented for users (three, or all
+     * where fewer nodes serve), which is harder than a real start, and none of them is up.
      */
-    private boolean seedsLeadNowhere(SimulatedEdge edge) {
+    private boolean hasNoReachableSeed(SimulatedEdge edge) {
         return edge.fewerSeeds
                 && cores.values().stream()
                         .filter(core -> edge.seeds().contains(core.machine.address()))
-                        .noneMatch(core -> core.running() && !core.gone && !core.machine.frozen());
+                        .noneMatch(core -> core.running() && !core.removed && !core.machine.frozen());
     }
 
-    private void cutEdge(SimulatedEdge edge, long millis) {
-        if (edge.cut) {
+    private void partitionEdge(SimulatedEdge edge, long millis) {
+        if (edge.partitioned) {
             return;
         }
-        edge.cut = true;
-        edge.cutSinceStart = true;
+        edge.partitioned = true;
+        edge.partitionedSinceStart = true;
         List<SimulatedCore> all = List.copyOf(cores.values());
         all.forEach(c -> {
             network.partition(edge.machine, c.machine);
             network.partition(c.machine, edge.machine);
         });
-        world.schedule(millis * 1_000, () -> {
+        simulator.schedule(millis * 1_000, () -> {
             all.forEach(c -> {
                 network.heal(edge.machine, c.machine);
                 network.heal(c.machine, edge.machine);
             });
-            edge.cut = false;
-            edge.troubledAt = world.millis();
+            edge.partitioned = false;
+            edge.lastFaultAt = simulator.millis();
         });
     }
 
-    private void races(long left) {
+    private void sendRaces(long left) {
         if (left > 0 && !ending) {
-            operators.race();
-            world.schedule(100_000 + random.nextLong(400_000), () -> races(left - 1));
+            operators.sendRace();
+            simulator.schedule(100_000 + random.nextLong(400_000), () -> sendRaces(left - 1));
         }
     }
 
-    private void changes(long left) {
+    private void sendChanges(long left) {
         if (left > 0 && !ending) {
-            operators.change();
-            world.schedule(10_000 + random.nextLong(80_000), () -> changes(left - 1));
+            operators.sendRandomChange();
+            simulator.schedule(10_000 + random.nextLong(80_000), () -> sendChanges(left - 1));
         }
     }
 
-    private void orderSent() {
-        Order order = check.orders.get(check.orders.size() - 1);
-        if (order.valid && order.rev > order.base) {
-            open.add(order);
+    private void changeSent() {
+        OperatorChange change = history.changes.get(history.changes.size() - 1);
+        if (change.valid && change.rev > change.base) {
+            openChanges.add(change);
         }
-        if (!afterSend.isEmpty()) {
-            Trouble t = afterSend.remove(0);
-            world.schedule(t.x() * 1_000, () -> {
-                SimulatedCore core = ending ? null : find(t.who());
-                if (core != null && mayLose(core)) {
-                    darken(core, t.lasts(), t.kind() == Trouble.Kind.WIPE_AFTER_SEND);
+        if (!faultsAfterSend.isEmpty()) {
+            InjectedFault fault = faultsAfterSend.remove(0);
+            simulator.schedule(fault.argument() * 1_000, () -> {
+                SimulatedCore core = ending ? null : findTarget(fault.target());
+                if (core != null && mayBeLost(core)) {
+                    powerDown(core, fault.durationMillis(), fault.kind() == InjectedFault.Kind.WIPE_AFTER_SEND);
                 } else {
-                    afterSend.add(t);
+                    faultsAfterSend.add(fault);
                 }
             });
         }
     }
 
-    // ---- SimulatedCore.Around
+    // ---- SimulatedCore.Callbacks
 
     @Override
-    public List<HostList.Host> platform() {
+    public List<HostList.Host> platformHosts() {
         return platform;
     }
 
     @Override
-    public void answered(SimulatedCore core, CallResponse answer) {
+    public void responseSent(SimulatedCore core, CallResponse answer) {
         boolean acknowledges = answer.status() == OperatorCalls.OK && answer.body().length < 64;
-        if (acknowledges && !afterAck.isEmpty() && !core.gone && troubled.getOrDefault(core, 0) == 0 && mayLose(core)) {
-            Trouble t = afterAck.remove(0);
-            beginTrouble(core);
-            world.schedule(random.nextInt(4_000), () -> {
-                if (t.x() == 0) {
+        if (acknowledges
+                && !faultsAfterAck.isEmpty()
+                && !core.removed
+                && activeFaults.getOrDefault(core, 0) == 0
+                && mayBeLost(core)) {
+            InjectedFault fault = faultsAfterAck.remove(0);
+            beginFault(core);
+            simulator.schedule(random.nextInt(4_000), () -> {
+                if (fault.argument() == 0) {
                     core.kill();
-                } else if (t.x() == 1) {
+                } else if (fault.argument() == 1) {
                     core.powerOff();
                 } else {
                     core.wipe();
                 }
-                comeBack(core, t.lasts());
+                restartAfter(core, fault.durationMillis());
             });
         }
-        if (acknowledges && closingArmed) {
-            closingArmed = false;
-            world.schedule(random.nextInt(4_000), () -> strikeLast(core));
+        if (acknowledges && closingFaultArmed) {
+            closingFaultArmed = false;
+            simulator.schedule(random.nextInt(4_000), () -> injectClosingFault(core));
         }
     }
 
     @Override
-    public void worked(SimulatedCore core) {
+    public void afterEvent(SimulatedCore core) {
         Raft raft = core.core().raftDriver().raft();
-        if (raft.role() != core.seenRole) {
-            core.seenRole = raft.role();
+        if (raft.role() != core.lastLoggedRole) {
+            core.lastLoggedRole = raft.role();
             log(core.name + " is " + raft.role() + " in term " + raft.term());
         }
         if (raft.role() == Raft.Role.LEADER) {
             SimulatedCore before = leaders.putIfAbsent(raft.term(), core);
             if (before != null && before != core) {
-                throw new HistoryCheck.Broken(
+                throw new HistoryChecker.RuleViolation(
                         "TWO LEADERS: " + before.name + " and " + core.name + " in term " + raft.term());
             }
         }
         long rev = core.core().raftDriver().history().rev();
-        if (rev != core.seenRev) {
-            if (rev < core.seenRev) {
-                throw new HistoryCheck.Broken("WENT BACK: " + core.name + " from " + core.seenRev + " to " + rev);
+        if (rev != core.lastCheckedRev) {
+            if (rev < core.lastCheckedRev) {
+                throw new HistoryChecker.RuleViolation(
+                        "WENT BACK: " + core.name + " from " + core.lastCheckedRev + " to " + rev);
             }
-            core.seenRev = rev;
-            check.inForce(
-                    check.order(
-                            Order.numberOf(core.core().raftDriver().history().body())),
+            core.lastCheckedRev = rev;
+            history.recordInForce(
+                    history.change(OperatorChange.numberOf(
+                            core.core().raftDriver().history().body())),
                     core.name,
-                    world.millis());
+                    simulator.millis());
         }
     }
 
     // ---- checks
 
-    private void edgeWorked() {
-        long owed = calm() ? check.ackedBy(world.millis() - settings.applyMillis) : 0;
+    private void checkEdges() {
+        long dueRev = isSettled() ? history.acknowledgedBy(simulator.millis() - settings.applyMillis) : 0;
         for (SimulatedEdge edge : edges.values()) {
-            checkReady(edge, owed);
-            long before = served.getOrDefault(edge, 0L);
+            checkReady(edge, dueRev);
+            long before = servedRevs.getOrDefault(edge, 0L);
             long rev = edge.machine.running() ? edge.rev() : 0;
             if (rev != before) {
-                served.put(edge, rev);
+                servedRevs.put(edge, rev);
                 if (rev != 0) {
                     if (rev < before) {
-                        throw new HistoryCheck.Broken(
+                        throw new HistoryChecker.RuleViolation(
                                 "EDGE WENT BACK: " + edge.name + " from " + before + " to " + rev);
                     }
-                    check.inForce(check.order(edge.order()), edge.name, world.millis());
+                    history.recordInForce(history.change(edge.changeNumber()), edge.name, simulator.millis());
                 }
             }
         }
     }
 
-    private void checkReady(SimulatedEdge edge, long owed) {
-        if (edge.machine.running() && !edge.cutSinceStart && edge.ready() && edge.rev() < owed) {
-            throw new HistoryCheck.Broken("READY BUT OLD: " + edge.name + " serves " + edge.rev() + " at "
-                    + world.millis() + " where " + owed + " was acknowledged");
+    private void checkReady(SimulatedEdge edge, long dueRev) {
+        if (edge.machine.running() && !edge.partitionedSinceStart && edge.ready() && edge.rev() < dueRev) {
+            throw new HistoryChecker.RuleViolation("READY BUT OLD: " + edge.name + " serves " + edge.rev() + " at "
+                    + simulator.millis() + " though " + dueRev + " was acknowledged");
         }
     }
 
-    /** The core is settled, as the page has it. */
-    private boolean calm() {
-        long now = world.millis();
-        long out = cores.values().stream()
-                .filter(c -> !c.gone && (troubled.getOrDefault(c, 0) > 0 || !c.running()))
+    /**
+     * Returns whether the core is settled: no fault for the documented time, and no more nodes down than may be lost.
+     */
+    private boolean isSettled() {
+        long now = simulator.millis();
+        long down = cores.values().stream()
+                .filter(c -> !c.removed && (activeFaults.getOrDefault(c, 0) > 0 || !c.running()))
                 .count();
-        return slowed == 0 && now - lastEvent >= contact && out <= settings.losses;
+        return slowedCores == 0 && now - lastFaultEventMillis >= settleMillis && down <= settings.losses;
     }
 
-    private void checkNow() {
-        world.schedule(CHECK * 1_000, this::checkNow);
-        long now = world.millis();
-        boolean calm = calm();
+    private void checkPeriodically() {
+        simulator.schedule(CHECK_INTERVAL_MILLIS * 1_000, this::checkPeriodically);
+        long now = simulator.millis();
+        boolean settled = isSettled();
         for (SimulatedEdge edge : edges.values()) {
             if (!edge.machine.running()) {
-                served.put(edge, 0L);
-            } else if (calm && !edge.cut) {
-                long owed = check.ackedBy(now - settings.applyMillis);
-                boolean inTouch = now - edge.troubledAt >= CONTACT && !seedsLeadNowhere(edge);
-                checkReady(edge, owed);
-                if (edge.rev() < owed && inTouch) {
-                    throw new HistoryCheck.Broken("EDGE BEHIND: " + edge.name + " serves " + edge.rev() + " at " + now
-                            + " where " + owed + " was acknowledged");
+                servedRevs.put(edge, 0L);
+            } else if (settled && !edge.partitioned) {
+                long dueRev = history.acknowledgedBy(now - settings.applyMillis);
+                boolean inContact = now - edge.lastFaultAt >= SETTLE_MILLIS && !hasNoReachableSeed(edge);
+                checkReady(edge, dueRev);
+                if (edge.rev() < dueRev && inContact) {
+                    throw new HistoryChecker.RuleViolation("EDGE BEHIND: " + edge.name + " serves " + edge.rev()
+                            + " at " + now + " though " + dueRev + " was acknowledged");
                 }
-                if (inTouch && now > 3 * CONTACT && edge.list().hosts().isEmpty()) {
-                    throw new HistoryCheck.Broken("NO LIST: " + edge.name + " at " + now);
+                if (inContact
+                        && now > 3 * SETTLE_MILLIS
+                        && edge.hostList().hosts().isEmpty()) {
+                    throw new HistoryChecker.RuleViolation("NO LIST: " + edge.name + " at " + now);
                 }
             }
         }
-        open.removeIf(Order::ended);
-        Order newest = check.newest();
-        for (Order order : open) {
-            boolean owed = calm && (order == newest || order.base == (newest == null ? 0 : newest.rev));
-            if (!owed) {
-                order.owedSince = -1;
-            } else if (order.owedSince < 0) {
-                order.owedSince = now;
-            } else if (now - order.owedSince > ACK) {
-                throw new HistoryCheck.Broken(
-                        "NOT ACKNOWLEDGED: " + order + " of " + order.sentAt + " isn't by " + now);
+        openChanges.removeIf(OperatorChange::isSettled);
+        OperatorChange newest = history.newest();
+        for (OperatorChange change : openChanges) {
+            boolean due = settled && (change == newest || change.base == (newest == null ? 0 : newest.rev));
+            if (!due) {
+                change.dueSince = -1;
+            } else if (change.dueSince < 0) {
+                change.dueSince = now;
+            } else if (now - change.dueSince > ACKNOWLEDGE_MILLIS) {
+                throw new HistoryChecker.RuleViolation(
+                        "NOT ACKNOWLEDGED: " + change + " of " + change.sentAt + " is not acknowledged by " + now);
             }
         }
     }
 
-    // ---- the end
+    // ---- end of the day
 
     private interface Condition {
         boolean holds();
     }
 
     private void runUntil(Condition condition, String otherwise) {
-        long until = world.millis() + LONGEST_WAIT;
+        long until = simulator.millis() + MAX_WAIT_MILLIS;
         while (!condition.holds()) {
-            if (world.millis() >= until) {
-                throw new HistoryCheck.Broken("NO END: " + otherwise + " by " + world.millis());
+            if (simulator.millis() >= until) {
+                throw new HistoryChecker.RuleViolation("NO END: " + otherwise + " by " + simulator.millis());
             }
-            world.runUntil(world.millis() + CHECK);
+            simulator.runUntil(simulator.millis() + CHECK_INTERVAL_MILLIS);
         }
     }
 
-    private boolean quiet() {
-        return cores.values().stream().noneMatch(c -> troubled.getOrDefault(c, 0) > 0)
-                && edges.values().stream().noneMatch(e -> e.cut);
+    private boolean hasNoActiveFault() {
+        return cores.values().stream().noneMatch(c -> activeFaults.getOrDefault(c, 0) > 0)
+                && edges.values().stream().noneMatch(e -> e.partitioned);
     }
 
-    /** The closing fault comes when as many as may be lost are there to be lost. */
-    private void close() {
+    /** Injects the closing fault once no node counts as lost, so that as many as are tolerated may be lost. */
+    private void runClosingFault() {
         ending = true;
-        runUntil(() -> cores.values().stream().noneMatch(this::lost), "machines stay lost");
-        closingArmed = true;
-        operators.proper();
-        runUntil(() -> struck, "the last change isn't acknowledged");
+        runUntil(() -> cores.values().stream().noneMatch(this::countsAsLost), "core nodes still count as lost");
+        closingFaultArmed = true;
+        operators.sendValidChange();
+        runUntil(() -> closingFaultInjected, "the last change is not acknowledged");
     }
 
-    private void strikeLast(SimulatedCore acker) {
-        struck = true;
-        contact = 2 * CONTACT;
-        List<SimulatedCore> all = cores.values().stream().filter(c -> !c.gone).toList();
+    private void injectClosingFault(SimulatedCore acknowledger) {
+        closingFaultInjected = true;
+        settleMillis = 2 * SETTLE_MILLIS;
+        List<SimulatedCore> all =
+                cores.values().stream().filter(c -> !c.removed).toList();
         List<SimulatedCore> wiped = new ArrayList<>();
         if (settings.closing == Closing.WIPE_SOME || settings.closing == Closing.WIPE_SOME_POWER_ALL) {
-            wiped.add(acker);
-            all.stream().filter(c -> c != acker).limit(settings.losses - 1).forEach(wiped::add);
+            wiped.add(acknowledger);
+            all.stream()
+                    .filter(c -> c != acknowledger)
+                    .limit(settings.losses - 1)
+                    .forEach(wiped::add);
         }
         for (SimulatedCore core : all) {
             if (wiped.contains(core)) {
-                beginTrouble(core);
+                beginFault(core);
                 core.wipe();
             } else if (settings.closing == Closing.KILL_ALL) {
-                beginTrouble(core);
+                beginFault(core);
                 core.kill();
             } else if (settings.closing != Closing.WIPE_SOME) {
-                beginTrouble(core);
+                beginFault(core);
                 core.powerOff();
             } else {
                 continue;
             }
-            comeBack(core, 1_500 + random.nextLong(500));
-        }
-        long back = world.millis() + 2_000;
-        world.schedule(2_000_000, () -> {
-            orderUntilTaken(back);
-            Order[] shown = new Order[1];
-            operators.show(answered -> shown[0] = answered);
-            world.schedule(RECOVER * 1_000, () -> {
-                if (!takenSince(back) || shown[0] == null) {
-                    throw new HistoryCheck.Broken("NOT RECOVERED: " + RECOVER + " ms after " + back);
+            restartAfter(core, 1_500 + random.nextLong(500));
+        }
+        long back = simulator.millis() + 2_000;
+        simulator.schedule(2_000_000, () -> {
+            sendUntilAcknowledged(back);
+            OperatorChange[] shown = new OperatorChange[1];
+            operators.read(answered -> shown[0] = answered);
+            simulator.schedule(RECOVERY_MILLIS * 1_000, () -> {
+                if (!acknowledgedSince(back) || shown[0] == null) {
+                    throw new HistoryChecker.RuleViolation("NOT RECOVERED: " + RECOVERY_MILLIS + " ms after " + back);
                 }
             });
         });
     }
 
-    private boolean takenSince(long millis) {
-        return check.orders.stream().anyMatch(o -> o.sentAt >= millis && o.ackedAt >= 0);
+    private boolean acknowledgedSince(long millis) {
+        return history.changes.stream().anyMatch(o -> o.sentAt >= millis && o.acknowledgedAt >= 0);
     }
 
-    /** One that was still under way may have come before. */
-    private void orderUntilTaken(long since) {
-        if (!takenSince(since)) {
-            operators.proper();
-            world.schedule(1_000_000, () -> orderUntilTaken(since));
-        }
-    }
-
-    /** All that was acknowledged is sent once more, and read back. */
-    private void finish() {
-        // What is sent here would set off a trouble that has waited since, and the reader below relies on a calm core.
-        afterAck.clear();
-        afterSend.clear();
-        check.orders.stream().filter(o -> o.ackedAt >= 0).forEach(operators::repeat);
-        Order[] shown = new Order[1];
-        operators.show(answered -> shown[0] = answered);
-        world.runUntil(world.millis() + (settings.closing == Closing.NONE ? CONTACT : RECOVER));
-        if (shown[0] == null || shown[0] != check.newest()) {
-            throw new HistoryCheck.Broken(
-                    "LOST: " + shown[0] + " is shown at the end, and " + check.newest() + " was in force");
-        }
-        for (Order order : check.orders) {
-            if (order.ackedAt >= 0 && order.inForceAt < 0) {
-                throw new HistoryCheck.Broken("LOST: " + order);
+    /**
+     * Sends changes until one sent after this time is acknowledged; one still in flight may have been accepted before
+     * it.
+     */
+    private void sendUntilAcknowledged(long since) {
+        if (!acknowledgedSince(since)) {
+            operators.sendValidChange();
+            simulator.schedule(1_000_000, () -> sendUntilAcknowledged(since));
+        }
+    }
+
+    /** Sends all acknowledged changes once more, and checks that the newest version is read back. */
+    private void verifyAtEnd() {
+        // Pending faults would be triggered by the changes sent here, and the read below relies on a
+        // settled core.
+        faultsAfterAck.clear();
+        faultsAfterSend.clear();
+        history.changes.stream().filter(o -> o.acknowledgedAt >= 0).forEach(operators::resend);
+        OperatorChange[] shown = new OperatorChange[1];
+        operators.read(answered -> shown[0] = answered);
+        simulator.runUntil(simulator.millis() + (settings.closing == Closing.NONE ? SETTLE_MILLIS : RECOVERY_MILLIS));
+        if (shown[0] == null || shown[0] != history.newest()) {
+            throw new HistoryChecker.RuleViolation(
+                    "LOST: " + shown[0] + " is shown at the end, but " + history.newest() + " was in force");
+        }
+        for (OperatorChange change : history.changes) {
+            if (change.acknowledgedAt >= 0 && change.inForceAt < 0) {
+                throw new HistoryChecker.RuleViolation("LOST: " + change);
             }
         }
     }
--- a/src/test/java/tinworks/control/SimulatedEdge.java
+++ b/src/test/java/tinworks/control/SimulatedEdge.java
@@ -16,56 +16,56 @@
 import tinworks.simulation.Simulator;
 
 /**
- * An edge of the simulation, as far as it follows the core: the production {@link CoreFollower}, ready as EdgeNode
- * says.
+ * A simulated edge, limited to following the core: the production {@link CoreFollower} with the readiness rule of
+ * EdgeNode.
  */
 final class SimulatedEdge implements CoreFollower.Callbacks {
     private static final long TICK_MILLIS = 250;
-    private static final long PLAIN_START_MILLIS = 3_000;
+    private static final long READY_WHEN_STALE_MILLIS = 3_000;
 
     final Machine machine;
     final String name;
-    private final Simulator world;
+    private final Simulator simulator;
     private final SimulatedNetwork network;
     private final Map<String, Machine> machines;
-    private final Function<CoreFollower.Callbacks, CoreFollower> maker;
+    private final Function<CoreFollower.Callbacks, CoreFollower> followerFactory;
     private final SplittableRandom random;
     private CoreFollower follower;
-    private ConnectionManager links;
+    private ConnectionManager connections;
     private List<String> seeds;
     private long startedAt;
-    /** The world's milliseconds of its last trouble's end. */
-    long troubledAt;
+    /** The simulator time in milliseconds at which its last fault ended. */
+    long lastFaultAt;
 
-    boolean cut;
-    boolean cutSinceStart;
-    /** It was given fewer seeds than there were machines to give. */
+    boolean partitioned;
+    boolean partitionedSinceStart;
+    /** Whether it was started with fewer seeds than there were nodes to list. */
     boolean fewerSeeds;
 
     SimulatedEdge(
-            Simulator world,
+            Simulator simulator,
             SimulatedNetwork network,
             Map<String, Machine> machines,
             String name,
-            Function<CoreFollower.Callbacks, CoreFollower> maker,
+            Function<CoreFollower.Callbacks, CoreFollower> followerFactory,
             Runnable observer) {
-        this.world = world;
+        this.simulator = simulator;
         this.network = network;
         this.machines = machines;
         this.name = name;
-        this.maker = maker;
-        random = world.random().split();
-        machine = new Machine(world, name, observer);
+        this.followerFactory = followerFactory;
+        random = simulator.random().split();
+        machine = new Machine(simulator, name, observer);
     }
 
-    void start(List<String> itsSeeds) {
-        seeds = itsSeeds;
+    void start(List<String> newSeeds) {
+        seeds = newSeeds;
         machine.start();
-        troubledAt = world.millis();
+        lastFaultAt = simulator.millis();
         startedAt = millis();
-        cutSinceStart = cut;
-        follower = maker.apply(this);
-        links = network.connectionManager(
+        partitionedSinceStart = partitioned;
+        follower = followerFactory.apply(this);
+        connections = network.connectionManager(
                 machine,
                 machines,
                 new Hello(NodeRole.EDGE, random.nextLong() & Long.MAX_VALUE, "", name, "z"),
@@ -80,12 +80,12 @@
 
     private void tick() {
         machine.schedule(TICK_MILLIS, this::tick);
-        links.setAddresses(follower.addressesToDial(seeds));
+        connections.setAddresses(follower.addressesToDial(seeds));
     }
 
-    /** As EdgeNode has it. */
+    /** Returns whether the edge is ready, by the same rule as EdgeNode. */
     boolean ready() {
-        boolean waited = millis() - startedAt > PLAIN_START_MILLIS;
+        boolean waited = millis() - startedAt > READY_WHEN_STALE_MILLIS;
         return follower.configuration() != null
                 && !follower.hostList().hosts().isEmpty()
                 && (follower.hasBeenUpToDate() || waited);
@@ -95,13 +95,13 @@
         return follower.rev();
     }
 
-    /** The addresses that it was given at its start. */
+    /** Returns the addresses given at its start. */
     List<String> seeds() {
         return seeds;
     }
 
-    /** Which order it serves by, -1 for none. */
-    int order() {
+    /** Returns the number of the change that it serves, -1 for none. */
+    int changeNumber() {
         return follower.configuration() == null
                 ? -1
                 : Integer.parseInt(follower.configuration().routes().stream()
@@ -112,16 +112,16 @@
                         .substring(1));
     }
 
-    /** The core machines that it is linked with. */
-    List<String> links() {
-        return links.openConnections().stream().map(c -> c.peer().node()).toList();
+    /** Returns the core nodes that it is connected to. */
+    List<String> connections() {
+        return connections.openConnections().stream().map(c -> c.peer().node()).toList();
     }
 
-    HostList list() {
+    HostList hostList() {
         return follower.hostList();
     }
 
-    // ---- CoreFollower.Owner
+    // ---- CoreFollower.Callbacks
 
     @Override
     public long millis() {
@@ -130,30 +130,30 @@
 
     @Override
     public void decode(long rev, Callable<Configuration> version) {
-        long life = machine.incarnation();
-        world.schedule(
+        long incarnation = machine.incarnation();
+        simulator.schedule(
                 1_000 + random.nextInt(20_000),
-                () -> machine.deliver(life, () -> {
+                () -> machine.deliver(incarnation, () -> {
                     try {
                         follower.apply(version.call());
                     } catch (Exception e) {
-                        throw new HistoryCheck.Broken("an edge can't read the version " + rev + ": " + e);
+                        throw new HistoryChecker.RuleViolation("an edge cannot decode version " + rev + ": " + e);
                     }
                 }));
     }
 
     @Override
     public void hostListChanged(HostList list) {
-        // Read from the follower when it is checked.
+        // The checks read the list from the follower.
     }
 
     @Override
     public void edgeCountChanged(int edges) {
-        // Only quotas go by it.
+        // Only quotas depend on the number of edges.
     }
 
     @Override
     public void log(String line) {
-        // Nobody reads it.
+        // The simulation does not use the log of edges.
     }
 }
--- a/src/test/java/tinworks/control/SimulatedOperators.java
+++ b/src/test/java/tinworks/control/SimulatedOperators.java
@@ -9,212 +9,218 @@
 import tinworks.simulation.Simulator;
 
 /**
- * Those who call the core: they choose among the machines of a list that lags, go on to another after a failure, a 5xx
- * or a second of silence with a pause that grows, and send an order that has no clear answer again as it was.
+ * Simulated operators. They pick nodes from a list that lags, and after a failure, a 5xx or a second without a response
+ * try another node with exponential backoff. A change without a definite answer is retried unchanged.
  */
 final class SimulatedOperators {
-    private static final long SILENCE_MICROS = 1_000_000;
-    private static final long FIRST_PAUSE = 100_000;
-    private static final long LONGEST_PAUSE = 1_000_000;
-    private static final int MOST_UNDER_WAY = 8;
-    private static final int LOST_ANSWERS = 10;
-    private static final int MOST_LOST = 2;
+    private static final long TIMEOUT_MICROS = 1_000_000;
+    private static final long INITIAL_BACKOFF_MICROS = 100_000;
+    private static final long MAX_BACKOFF_MICROS = 1_000_000;
+    private static final int MAX_IN_FLIGHT = 8;
+    private static final int LOST_RESPONSE_ONE_IN = 10;
+    private static final int MAX_LOST_RESPONSES = 2;
     private static final int CONFLICT = 412;
     private static final int INVALID = 400;
     private static final int NOT_FOUND = 404;
 
-    private final Simulator world;
+    private final Simulator simulator;
     private final SplittableRandom random;
-    private final HistoryCheck check;
-    private final Supplier<List<SimulatedCore>> listed;
-    /** Told when an order is sent for the first time. */
-    private final Runnable sent;
+    private final HistoryChecker history;
+    private final Supplier<List<SimulatedCore>> listedCores;
+    /** Called when a change is sent for the first time. */
+    private final Runnable changeSent;
 
-    private int underWay;
+    private int inFlight;
     private long meanPauseMillis;
-    private boolean ordering;
-    int tries;
-    int repeats;
+    private boolean sending;
+    int attempts;
+    int resends;
     int races;
 
-    SimulatedOperators(Simulator world, HistoryCheck check, Supplier<List<SimulatedCore>> listed, Runnable sent) {
-        this.world = world;
-        this.check = check;
-        this.listed = listed;
-        this.sent = sent;
-        random = world.random().split();
+    SimulatedOperators(
+            Simulator simulator,
+            HistoryChecker history,
+            Supplier<List<SimulatedCore>> listedCores,
+            Runnable changeSent) {
+        this.simulator = simulator;
+        this.history = history;
+        this.listedCores = listedCores;
+        this.changeSent = changeSent;
+        random = simulator.random().split();
     }
 
-    /** Begins with the first version, and goes on with one change after such a pause in the mean. */
+    /** Sends the first version, and then changes at random intervals with this mean. */
     void begin(long pauseMillis) {
         meanPauseMillis = pauseMillis;
-        ordering = true;
-        order(null, 1, true);
-        nextOrder();
-        nextShow();
+        sending = true;
+        send(null, 1, true);
+        scheduleNextChange();
+        scheduleNextRead();
     }
 
-    void stopOrdering() {
-        ordering = false;
+    void stopSending() {
+        sending = false;
     }
 
-    private void nextOrder() {
-        world.schedule(1_000 * (1 + random.nextLong(2 * meanPauseMillis)), () -> {
-            if (ordering) {
-                change();
-                nextOrder();
+    private void scheduleNextChange() {
+        simulator.schedule(1_000 * (1 + random.nextLong(2 * meanPauseMillis)), () -> {
+            if (sending) {
+                sendRandomChange();
+                scheduleNextChange();
             }
         });
     }
 
-    /** One more change, of whatever sort. */
-    void change() {
-        Order newest = check.newest();
-        if (newest == null || underWay >= MOST_UNDER_WAY) {
+    /** Sends a change of a random kind: valid, invalid, conflicting, or based on one still in flight. */
+    void sendRandomChange() {
+        OperatorChange newest = history.newest();
+        if (newest == null || inFlight >= MAX_IN_FLIGHT) {
             return;
         }
-        int sort = random.nextInt(20);
-        if (sort == 0) {
-            order(newest, newest.rev + 1, false);
-        } else if (sort == 1) {
-            order(newest, newest.rev, true);
-        } else if (sort <= 4) {
-            race();
-        } else if (sort <= 6) {
-            // On one that is still under way.
-            Order last = check.orders.get(check.orders.size() - 1);
-            Order base = last.valid && last.rev > newest.rev ? last : newest;
-            order(base, base.rev + 1, true);
+        int kind = random.nextInt(20);
+        if (kind == 0) {
+            send(newest, newest.rev + 1, false);
+        } else if (kind == 1) {
+            send(newest, newest.rev, true);
+        } else if (kind <= 4) {
+            sendRace();
+        } else if (kind <= 6) {
+            // Based on a change that is still in flight.
+            OperatorChange last = history.changes.get(history.changes.size() - 1);
+            OperatorChange base = last.valid && last.rev > newest.rev ? last : newest;
+            send(base, base.rev + 1, true);
         } else {
-            order(newest, newest.rev + 1 + (random.nextInt(4) == 0 ? random.nextInt(3) : 0), true);
+            send(newest, newest.rev + 1 + (random.nextInt(4) == 0 ? random.nextInt(3) : 0), true);
         }
     }
 
-    /** Two at once on the newest version, with one number or two. */
-    void race() {
-        Order newest = check.newest();
+    /** Sends two changes at once on the newest version, with the same or different versions. */
+    void sendRace() {
+        OperatorChange newest = history.newest();
         if (newest != null) {
             races++;
-            order(newest, newest.rev + 1, true);
-            order(newest, newest.rev + 1 + random.nextInt(2), true);
+            send(newest, newest.rev + 1, true);
+            send(newest, newest.rev + 1 + random.nextInt(2), true);
         }
     }
 
-    /** A change that must be taken; null where there is nothing to build on. */
-    Order proper() {
-        Order newest = check.newest();
-        return newest == null ? null : order(newest, newest.rev + 1, true);
+    /** Sends a change that must be accepted; returns null where there is no version to base it on. */
+    OperatorChange sendValidChange() {
+        OperatorChange newest = history.newest();
+        return newest == null ? null : send(newest, newest.rev + 1, true);
     }
 
-    private Order order(Order basedOn, long rev, boolean valid) {
-        Order order = new Order(check.orders.size(), basedOn, rev, valid);
-        check.orders.add(order);
-        order.sentAt = world.millis();
-        underWay++;
-        sent.run();
-        attempt(order, new Target(), FIRST_PAUSE, new int[1]);
-        return order;
+    private OperatorChange send(OperatorChange basedOn, long rev, boolean valid) {
+        OperatorChange change = new OperatorChange(history.changes.size(), basedOn, rev, valid);
+        history.changes.add(change);
+        change.sentAt = simulator.millis();
+        inFlight++;
+        changeSent.run();
+        attempt(change, new Target(), INITIAL_BACKOFF_MICROS, new int[1]);
+        return change;
     }
 
-    private void attempt(Order order, Target target, long pause, int[] lost) {
-        tries++;
-        long triedAt = world.millis();
-        call(target, (core, told) -> core.replace(order.base, order.body, told), answer -> {
-            boolean clear = answer != null && clear(answer.status());
-            if (clear && lost[0] < MOST_LOST && random.nextInt(LOST_ANSWERS) == 0) {
-                lost[0]++;
-                clear = false;
-                target.forget();
+    private void attempt(OperatorChange change, Target target, long backoffMicros, int[] lostResponses) {
+        attempts++;
+        long attemptedAt = simulator.millis();
+        call(target, (core, callback) -> core.replace(change.base, change.body, callback), answer -> {
+            boolean definite = answer != null && isDefinite(answer.status());
+            if (definite && lostResponses[0] < MAX_LOST_RESPONSES && random.nextInt(LOST_RESPONSE_ONE_IN) == 0) {
+                lostResponses[0]++;
+                definite = false;
+                target.forgetLast();
             }
-            if (clear) {
-                judge(order, answer, triedAt);
-                underWay--;
+            if (definite) {
+                recordOutcome(change, answer, attemptedAt);
+                inFlight--;
                 if (random.nextInt(4) == 0) {
-                    world.schedule(random.nextLong(4_000_000), () -> repeat(order));
+                    simulator.schedule(random.nextLong(4_000_000), () -> resend(change));
                 }
             } else {
-                world.schedule(
-                        pause / 2 + random.nextLong(pause),
-                        () -> attempt(order, target, Math.min(LONGEST_PAUSE, 2 * pause), lost));
+                simulator.schedule(
+                        backoffMicros / 2 + random.nextLong(backoffMicros),
+                        () -> attempt(change, target, Math.min(MAX_BACKOFF_MICROS, 2 * backoffMicros), lostResponses));
             }
         });
     }
 
-    /** Sends an order once more that has had its answer: the answer may have been lost on its way. */
-    void repeat(Order order) {
-        if (order.valid && order.rev > order.base && !order.early) {
-            repeats++;
-            long triedAt = world.millis();
-            call(new Target(), (core, told) -> core.replace(order.base, order.body, told), answer -> {
-                if (answer != null && clear(answer.status())) {
-                    judge(order, answer, triedAt);
+    /** Sends an answered change once more, as an operator does whose response was lost. */
+    void resend(OperatorChange change) {
+        if (change.valid && change.rev > change.base && !change.refusedBeforeBase) {
+            resends++;
+            long attemptedAt = simulator.millis();
+            call(new Target(), (core, callback) -> core.replace(change.base, change.body, callback), answer -> {
+                if (answer != null && isDefinite(answer.status())) {
+                    recordOutcome(change, answer, attemptedAt);
                 }
             });
         }
     }
 
-    private void judge(Order order, CallResponse answer, long triedAt) {
+    private void recordOutcome(OperatorChange change, CallResponse answer, long attemptedAt) {
         if (answer.status() == OperatorCalls.OK) {
-            check.acknowledged(order, Order.revOf(new String(answer.body(), StandardCharsets.UTF_8)), world.millis());
+            history.recordAcknowledged(
+                    change,
+                    OperatorChange.revOf(new String(answer.body(), StandardCharsets.UTF_8)),
+                    simulator.millis());
         } else {
-            check.refused(order, answer.status(), triedAt, world.millis());
+            history.recordRefused(change, answer.status(), attemptedAt, simulator.millis());
         }
     }
 
-    private static boolean clear(int status) {
+    private static boolean isDefinite(int status) {
         return status == OperatorCalls.OK || status == CONFLICT || status == INVALID;
     }
 
     // ---- readers
 
-    private void nextShow() {
-        world.schedule(1_000 * (50 + random.nextLong(1_500)), () -> {
-            show(answered -> {});
-            nextShow();
+    private void scheduleNextRead() {
+        simulator.schedule(1_000 * (50 + random.nextLong(1_500)), () -> {
+            read(answered -> {});
+            scheduleNextRead();
         });
     }
 
-    /** Asks for the version in force until there is an answer. */
-    void show(Consumer<Order> told) {
-        show(new Target(), told);
+    /** Reads the version in force, and retries until there is an answer. */
+    void read(Consumer<OperatorChange> callback) {
+        read(new Target(), callback);
     }
 
-    private void show(Target target, Consumer<Order> told) {
-        long askedAt = world.millis();
-        String[] where = new String[1];
+    private void read(Target target, Consumer<OperatorChange> callback) {
+        long requestedAt = simulator.millis();
+        String[] answeringNode = new String[1];
         call(
                 target,
                 (core, answer) -> {
-                    where[0] = core.name;
+                    answeringNode[0] = core.name;
                     core.show(answer);
                 },
                 answer -> {
                     if (answer != null && (answer.status() == OperatorCalls.OK || answer.status() == NOT_FOUND)) {
-                        Order shown = answer.status() == NOT_FOUND ? null : check.order(Order.numberOf(answer.body()));
-                        check.shown(shown, askedAt, where[0], world.millis());
-                        told.accept(shown);
+                        OperatorChange shown = answer.status() == NOT_FOUND
+                                ? null
+                                : history.change(OperatorChange.numberOf(answer.body()));
+                        history.recordShown(shown, requestedAt, answeringNode[0], simulator.millis());
+                        callback.accept(shown);
                     } else {
-                        world.schedule(200_000 + random.nextLong(300_000), () -> show(target, told));
+                        simulator.schedule(200_000 + random.nextLong(300_000), () -> read(target, callback));
                     }
                 });
     }
 
-    // ---- the wire
+    // ---- calls
 
-    private interface Asked {
-        void of(SimulatedCore core, Consumer<CallResponse> told);
+    private interface Call {
+        void sendTo(SimulatedCore core, Consumer<CallResponse> callback);
     }
 
-    /** Which machine the tries of one call go to. */
+    /** Chooses the node for each attempt of one call. */
     private final class Target {
         private SimulatedCore last;
 
-        /**
-         * One of the list, and after a failure another than the last, where there is another; null while none is
-         * listed.
-         */
+        /** Returns a random listed node other than the last one where there is another, null while none is listed. */
         SimulatedCore next() {
-            List<SimulatedCore> all = listed.get();
+            List<SimulatedCore> all = listedCores.get();
             List<SimulatedCore> others =
                     all.stream().filter(core -> core != last).toList();
             List<SimulatedCore> choice = others.isEmpty() ? all : others;
@@ -222,41 +228,42 @@
             return last;
         }
 
-        /** The machine didn't fail: it may be the next as well. */
-        void forget() {
+        /** Allows the last node again, as it did not fail. */
+        void forgetLast() {
             last = null;
         }
     }
 
-    /** One try at a machine; told null where there is no answer. */
-    private void call(Target target, Asked asked, Consumer<CallResponse> told) {
-        boolean[] over = new boolean[1];
-        Consumer<CallResponse> once = answer -> {
-            if (!over[0]) {
-                over[0] = true;
-                told.accept(answer);
+    /** Makes one attempt at a node; the callback gets null where there is no response. */
+    private void call(Target target, Call request, Consumer<CallResponse> callback) {
+        boolean[] done = new boolean[1];
+        Consumer<CallResponse> firstOnly = answer -> {
+            if (!done[0]) {
+                done[0] = true;
+                callback.accept(answer);
             }
         };
-        world.schedule(SILENCE_MICROS, () -> once.accept(null));
+        simulator.schedule(TIMEOUT_MICROS, () -> firstOnly.accept(null));
         SimulatedCore core = target.next();
         if (core == null) {
             return;
         }
-        world.schedule(delay(), () -> {
+        simulator.schedule(networkDelayMicros(), () -> {
             if (!core.machine.powered()) {
                 return;
             }
             if (!core.running()) {
-                world.schedule(delay(), () -> once.accept(null));
+                simulator.schedule(networkDelayMicros(), () -> firstOnly.accept(null));
                 return;
             }
             core.machine.deliver(
                     core.machine.incarnation(),
-                    () -> asked.of(core, answer -> world.schedule(delay(), () -> once.accept(answer))));
+                    () -> request.sendTo(
+                            core, answer -> simulator.schedule(networkDelayMicros(), () -> firstOnly.accept(answer))));
         });
     }
 
-    private long delay() {
+    private long networkDelayMicros() {
         return 3_000L + random.nextInt(1_000);
     }
 }
--- a/src/test/java/tinworks/control/SimulatedStore.java
+++ b/src/test/java/tinworks/control/SimulatedStore.java
@@ -16,57 +16,55 @@
 import tinworks.store.SimulatedDisk;
 import tinworks.store.StoreDirectory;
 
-/** The disk of a simulated core machine, and what a start of the process finds on it. */
+/** The persistent storage of a simulated core node. */
 interface SimulatedStore {
-    /** Who the machine is, and what it has agreed to. */
-    record Found(long id, PersistentState stored) {}
+    /** The member id and the persistent Raft state found at a start. */
+    record OpenedStore(long id, PersistentState stored) {}
 
     /**
-     * What {@link Core} does first; {@code newId} is for a machine whose disk is empty. Null where the disk takes
-     * nothing now.
+     * Opens the store as {@link Core} does at its start; an empty disk gets {@code newId}. Returns null where the disk
+     * rejects writes.
      */
-    Found open(String address, boolean bootstrap, List<String> seeds, long newId);
+    OpenedStore open(String address, boolean bootstrap, List<String> seeds, long newId);
 
-    /** Writes and syncs; false where the disk takes nothing now. */
+    /** Writes and syncs; returns false where the disk rejects writes. */
     boolean write(Output output);
 
-    /** The process is gone; a write that it was at, or null, is done to some part. */
-    void killed(Output midway);
+    /** Handles the end of the process: the write in progress, null for none, may be applied in part. */
+    void processKilled(Output writeInProgress);
 
-    /** Power is gone; of a write that was going on, or null, some part may be there. */
-    void powerLost(Output midway);
+    /** Handles a power loss: the write in progress, null for none, may be applied in part. */
+    void powerLost(Output writeInProgress);
 
-    /** The machine comes back with an empty disk. */
+    /** Erases the disk. */
     void wipe();
 
-    /** From now on the disk takes nothing, or takes all again. */
-    void full(boolean full);
+    /** Sets whether the disk rejects all writes. */
+    void setFull(boolean full);
 
-    /**
-     * A fast one: whole outputs in memory, where what is synced is kept and the write that was going on is or isn't.
-     */
-    final class Memory implements SimulatedStore {
+    /** A fast store in memory: synced outputs are kept, and a write in progress is applied as a whole or not at all. */
+    final class InMemory implements SimulatedStore {
         private final SplittableRandom random;
         private long id;
         private PersistentState stored = PersistentState.EMPTY;
         private boolean full;
 
-        Memory(long seed) {
+        InMemory(long seed) {
             random = new SplittableRandom(seed);
         }
 
         @Override
-        public Found open(String address, boolean bootstrap, List<String> seeds, long newId) {
+        public OpenedStore open(String address, boolean bootstrap, List<String> seeds, long newId) {
             if (id == 0 && full) {
                 return null;
             }
             if (id == 0) {
-                boolean first = bootstrap && seeds.contains(address);
-                id = first ? Core.bootstrapId(address) : newId;
+                boolean bootstraps = bootstrap && seeds.contains(address);
+                id = bootstraps ? Core.bootstrapId(address) : newId;
                 stored = new PersistentState(
-                        HardState.NONE, first ? Core.bootstrapVoters(seeds) : Snapshot.NONE, List.of());
+                        HardState.NONE, bootstraps ? Core.bootstrapVoters(seeds) : Snapshot.NONE, List.of());
             }
-            return new Found(id, stored);
+            return new OpenedStore(id, stored);
         }
 
         @Override
@@ -78,15 +76,15 @@
         }
 
         @Override
-        public void killed(Output midway) {
-            if (midway != null && !full && random.nextBoolean()) {
-                stored = written(stored, midway);
+        public void processKilled(Output writeInProgress) {
+            if (writeInProgress != null && !full && random.nextBoolean()) {
+                stored = written(stored, writeInProgress);
             }
         }
 
         @Override
-        public void powerLost(Output midway) {
-            killed(midway);
+        public void powerLost(Output writeInProgress) {
+            processKilled(writeInProgress);
         }
 
         @Override
@@ -96,47 +94,47 @@
         }
 
         @Override
-        public void full(boolean nowFull) {
-            full = nowFull;
+        public void setFull(boolean full) {
+            this.full = full;
         }
 
         private static PersistentState written(PersistentState before, Output output) {
-            HardState hard = output.hardState() != null ? output.hardState() : before.hardState();
+            HardState hardState = output.hardState() != null ? output.hardState() : before.hardState();
             Snapshot snapshot = output.snapshot() != null ? output.snapshot() : before.snapshot();
             List<Entry> entries = new ArrayList<>(before.entries());
             entries.removeIf(e ->
                     e.index() <= snapshot.index() || (output.truncateFrom() > 0 && e.index() >= output.truncateFrom()));
             entries.addAll(output.entries());
-            return new PersistentState(hard, snapshot, entries);
+            return new PersistentState(hardState, snapshot, entries);
         }
     }
 
     /** The production store on a simulated disk. */
-    final class Files implements SimulatedStore {
-        private static final int MOST_OPERATIONS = 12;
+    final class OnDisk implements SimulatedStore {
+        private static final int MAX_OPERATIONS = 12;
 
         private final SplittableRandom random;
         private final SimulatedDisk disk;
-        private final boolean folderSyncs;
+        private final boolean directorySyncs;
         private CoreStore store;
         private boolean full;
 
-        /** Without the folder's syncs it is broken on purpose. */
-        Files(long seed, boolean folderSyncs) {
+        /** Creates a store; without syncs of the directory it is defective on purpose. */
+        OnDisk(long seed, boolean directorySyncs) {
             random = new SplittableRandom(seed);
             disk = new SimulatedDisk(seed);
-            this.folderSyncs = folderSyncs;
+            this.directorySyncs = directorySyncs;
         }
 
         @Override
-        public Found open(String address, boolean bootstrap, List<String> seeds, long newId) {
+        public OpenedStore open(String address, boolean bootstrap, List<String> seeds, long newId) {
             try {
-                store = Core.open(folderSyncs ? disk.directory() : unsynced(disk.directory()));
+                store = Core.open(directorySyncs ? disk.directory() : unsynced(disk.directory()));
                 long id = Core.identity(store, address, bootstrap, seeds, newId);
-                return new Found(id, store.load());
+                return new OpenedStore(id, store.load());
             } catch (IOException | CoreStore.CorruptStoreException | IllegalStateException e) {
                 if (!full) {
-                    throw new IllegalStateException("the store at " + address + " can't be opened", e);
+                    throw new IllegalStateException("cannot open the store of " + address, e);
                 }
                 return null;
             }
@@ -157,29 +155,29 @@
             try {
                 store.reopen();
             } catch (CoreStore.CorruptStoreException e) {
-                // Tried again with the next write, as the production thread does.
+                // The next write tries again, as the production disk thread does.
             }
         }
 
         @Override
-        public void killed(Output midway) {
-            part(midway);
+        public void processKilled(Output writeInProgress) {
+            writePartially(writeInProgress);
             disk.crash();
         }
 
         @Override
-        public void powerLost(Output midway) {
-            part(midway);
+        public void powerLost(Output writeInProgress) {
+            writePartially(writeInProgress);
             disk.powerLoss();
         }
 
-        private void part(Output midway) {
-            if (midway != null) {
-                disk.failAfter(random.nextInt(MOST_OPERATIONS));
+        private void writePartially(Output writeInProgress) {
+            if (writeInProgress != null) {
+                disk.failAfter(random.nextInt(MAX_OPERATIONS));
                 try {
-                    store.write(midway);
+                    store.write(writeInProgress);
                 } catch (MVStoreException | IllegalStateException e) {
-                    // The process or the power is gone in the middle of it.
+                    // The crash interrupts the write.
                 }
             }
         }
@@ -190,19 +188,19 @@
         }
 
         @Override
-        public void full(boolean nowFull) {
-            full = nowFull;
-            disk.setFull(nowFull);
+        public void setFull(boolean full) {
+            this.full = full;
+            disk.setFull(full);
         }
 
-        /** The folder, but its syncs do nothing. */
-        private static StoreDirectory unsynced(StoreDirectory folder) {
+        /** Wraps a directory so that its syncs do nothing. */
+        private static StoreDirectory unsynced(StoreDirectory directory) {
             return (StoreDirectory) Proxy.newProxyInstance(
                     StoreDirectory.class.getClassLoader(),
                     new Class<?>[] {StoreDirectory.class},
                     (proxy, method, arguments) -> {
                         try {
-                            return method.getName().equals("sync") ? null : method.invoke(folder, arguments);
+                            return method.getName().equals("sync") ? null : method.invoke(directory, arguments);
                         } catch (InvocationTargetException e) {
                             throw e.getCause();
                         }
