--- a/src/main/java/tinworks/channel/ConfigurationCodec.java
+++ b/src/main/java/tinworks/channel/ConfigurationCodec.java
@@ -14,8 +14,8 @@
 import tinworks.config.Configuration.Service;
 import tinworks.config.Configuration.Split;
 import tinworks.config.ConfigurationChange;
-import tinworks.config.ConfigurationChange.Place;
-import tinworks.config.SharedValues;
+import tinworks.config.ConfigurationChange.RouteKey;
+import tinworks.config.ValueInterner;
 
 /**
  * The bytes of a configuration and of a change of one, between a core machine that has read the operator's JSON and
@@ -48,12 +48,12 @@
     public static byte[] write(ConfigurationChange change) {
         ByteWriter out = new ByteWriter().writeLong(change.base()).writeLong(change.rev());
         writeLimits(out, change.limits());
-        writeServices(out, change.services());
-        writeRoutes(out, change.set());
-        out.writeInt(change.goneServices().size());
-        change.goneServices().forEach(out::writeString);
-        out.writeInt(change.gone().size());
-        change.gone().forEach(place -> out.writeString(place.domain()).writeString(place.prefix()));
+        writeServices(out, change.changedServices());
+        writeRoutes(out, change.changedRoutes());
+        out.writeInt(change.removedServices().size());
+        change.removedServices().forEach(out::writeString);
+        out.writeInt(change.removedRoutes().size());
+        change.removedRoutes().forEach(place -> out.writeString(place.domain()).writeString(place.prefix()));
         return toBytes(out);
     }
 
@@ -79,8 +79,8 @@
             List<Service> services = readServices(in);
             List<Route> set = readRoutes(in);
             List<String> goneServices = readList(in, Integer.BYTES, ConfigurationCodec::readString);
-            List<Place> gone =
-                    readList(in, 2 * Integer.BYTES, place -> new Place(readString(place), readString(place)));
+            List<RouteKey> gone =
+                    readList(in, 2 * Integer.BYTES, place -> new RouteKey(readString(place), readString(place)));
             return new ConfigurationChange(base, rev, set, gone, services, goneServices, limits);
         });
     }
@@ -155,18 +155,18 @@
                     .writeInt(route.split().size());
             route.split()
                     .forEach(part -> out.writeString(part.service()).writeLong(Double.doubleToLongBits(part.weight())));
-            out.writeInt(route.tries());
+            out.writeInt(route.maxAttempts());
         }
     }
 
     private static List<Route> readRoutes(ByteReader in) throws MalformedDataException {
-        SharedValues shared = new SharedValues();
+        ValueInterner shared = new ValueInterner();
         return readList(
                 in,
                 MIN_ROUTE_BYTES,
                 route -> new Route(
                         readString(route),
-                        shared.text(readString(route)),
+                        shared.intern(readString(route)),
                         readString(route),
                         route.readConstant(ROUTE_TYPES),
                         route.readLong(),
@@ -176,10 +176,10 @@
                         route.readInt()));
     }
 
-    private static List<Split> readSplit(ByteReader in, SharedValues shared) throws MalformedDataException {
-        return shared.list(readList(
+    private static List<Split> readSplit(ByteReader in, ValueInterner shared) throws MalformedDataException {
+        return shared.internSplits(readList(
                 in,
                 MIN_SPLIT_BYTES,
-                part -> new Split(shared.text(readString(part)), Double.longBitsToDouble(part.readLong()))));
+                part -> new Split(shared.intern(readString(part)), Double.longBitsToDouble(part.readLong()))));
     }
 }
--- a/src/main/java/tinworks/channel/TcpConnectionManager.java
+++ b/src/main/java/tinworks/channel/TcpConnectionManager.java
@@ -135,7 +135,7 @@
             }
             InetSocketAddress target;
             try {
-                target = Address.read(address);
+                target = Address.parse(address);
             } catch (IllegalArgumentException e) {
                 listener.log("can't dial: " + e.getMessage());
                 return;
--- a/src/main/java/tinworks/channel/TcpPeerConnection.java
+++ b/src/main/java/tinworks/channel/TcpPeerConnection.java
@@ -191,7 +191,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        Fatal.pass(cause);
+        Fatal.reportIfFatal(cause);
         listener.log("the connection with " + peerName() + " broke: " + cause);
         ctx.close();
     }
--- a/src/main/java/tinworks/config/TakenVersions.java
+++ b/src/main/java/tinworks/config/AcceptedVersions.java
@@ -8,7 +8,7 @@
  * by. Of what is older only the highest number is kept, so that nothing is said of a call that may have been taken and
  * forgotten.
  */
-class TakenVersions {
+class AcceptedVersions {
     /** Of a digest: no two commands under one number are alike in as many bits by chance. */
     static final int DIGEST_BYTES = 16;
 
@@ -28,11 +28,11 @@
     private int count;
     private long forgotten;
 
-    TakenVersions() {
+    AcceptedVersions() {
         this(MOST);
     }
 
-    TakenVersions(int most) {
+    AcceptedVersions(int most) {
         this.most = most;
     }
 
@@ -76,8 +76,8 @@
     }
 
     /** What {@link #save} wrote, with the bound of this one; an {@link IllegalArgumentException} where it can't be. */
-    TakenVersions load(ByteBuffer in) {
-        TakenVersions loaded = new TakenVersions(most);
+    AcceptedVersions load(ByteBuffer in) {
+        AcceptedVersions loaded = new AcceptedVersions(most);
         long lowest = in.getLong();
         int saved = in.getInt();
         if (lowest < 0 || saved < 0 || saved > in.remaining() / ENTRY_BYTES) {
--- a/src/main/java/tinworks/config/CompressedBytes.java
+++ b/src/main/java/tinworks/config/CompressedBytes.java
@@ -12,27 +12,27 @@
 
 /**
  * Long texts on narrow links: the length of the whole (4 bytes), then its bytes, deflated where the length is above
- * {@link #PLAIN}.
+ * {@link #MAX_UNCOMPRESSED_BYTES}.
  */
 public final class CompressedBytes {
     private static final int CHUNK = 8_192;
     /** What takes a few packets at most travels as it is: to inflate it takes an edge longer than to receive it. */
-    static final int PLAIN = 4_096;
+    static final int MAX_UNCOMPRESSED_BYTES = 4_096;
 
     private CompressedBytes() {}
 
     /** Packs bytes; a configuration of many routes comes to about a tenth. */
-    public static byte[] pack(byte[] whole) {
-        return pack(ByteBuffer.wrap(whole));
+    public static byte[] compress(byte[] whole) {
+        return compress(ByteBuffer.wrap(whole));
     }
 
     /** Packs what is left in buffers one after the other, and leaves them as they were. */
-    public static byte[] pack(ByteBuffer... parts) {
+    public static byte[] compress(ByteBuffer... parts) {
         int length = 0;
         for (ByteBuffer part : parts) {
             length += part.remaining();
         }
-        if (length <= PLAIN) {
+        if (length <= MAX_UNCOMPRESSED_BYTES) {
             ByteBuffer plain = ByteBuffer.allocate(Integer.BYTES + length).putInt(length);
             for (ByteBuffer part : parts) {
                 plain.put(part.duplicate());
@@ -61,7 +61,7 @@
     }
 
     /** The length that packed bytes say the whole has, or -1 where they are too short to say it. */
-    public static int length(byte[] packed) {
+    public static int uncompressedLength(byte[] packed) {
         return packed.length < Integer.BYTES ? -1 : ByteBuffer.wrap(packed).getInt();
     }
 
@@ -69,19 +69,19 @@
      * The whole as a stream, so that it need never be in memory at once. What is cut short or spoilt is an
      * {@link java.io.IOException} at its place; whoever reads bounds how much.
      */
-    public static InputStream open(byte[] packed) {
-        int length = length(packed);
+    public static InputStream decompressingStream(byte[] packed) {
+        int length = uncompressedLength(packed);
         InputStream rest = new ByteArrayInputStream(packed, Integer.BYTES, Math.max(0, packed.length - Integer.BYTES));
-        return length <= PLAIN ? rest : new InflaterInputStream(rest);
+        return length <= MAX_UNCOMPRESSED_BYTES ? rest : new InflaterInputStream(rest);
     }
 
     /** Unpacks at most so many bytes; what is longer, cut short or spoilt is an {@link IllegalArgumentException}. */
-    public static byte[] unpack(byte[] packed, int most) {
-        int length = length(packed);
+    public static byte[] decompress(byte[] packed, int most) {
+        int length = uncompressedLength(packed);
         if (length < 0 || length > most) {
             throw new IllegalArgumentException("packed: a length of " + length);
         }
-        if (length <= PLAIN) {
+        if (length <= MAX_UNCOMPRESSED_BYTES) {
             if (packed.length - Integer.BYTES != length) {
                 throw new IllegalArgumentException(
                         "packed: " + (packed.length - Integer.BYTES) + " of " + length + " bytes");
--- a/src/main/java/tinworks/config/Configuration.java
+++ b/src/main/java/tinworks/config/Configuration.java
@@ -30,7 +30,7 @@
      * @param targetMs the time within which an answer earns its full worth
      * @param prio rank, 0 the highest
      * @param split services and the weights by which they are drawn; at least one weight is above 0
-     * @param tries the most hosts that one try of a client may go to, 1 or more
+     * @param maxAttempts the most hosts that one try of a client may go to, 1 or more
      */
     public record Route(
             String name,
@@ -41,7 +41,7 @@
             long targetMs,
             int prio,
             List<Split> split,
-            int tries) {
+            int maxAttempts) {
         /** Keeps its own list. */
         public Route {
             split = List.copyOf(split);
@@ -69,6 +69,6 @@
      */
     public record Limits(int hdrBytes, long bodyMaxBytes, long hdrMs, long idleMs) {
         /** Where a configuration names none. */
-        public static final Limits USUAL = new Limits(16_384, 64L << 20, 3_000, 15_000);
+        public static final Limits DEFAULTS = new Limits(16_384, 64L << 20, 3_000, 15_000);
     }
 }
--- a/src/main/java/tinworks/config/ConfigurationChange.java
+++ b/src/main/java/tinworks/config/ConfigurationChange.java
@@ -11,45 +11,45 @@
 import tinworks.config.Configuration.Service;
 
 /**
- * What leads from one version of the configuration to a later one. Routes are known by their {@link Place}, of which a
- * valid configuration has each once; their order means nothing.
+ * What leads from one version of the configuration to a later one. Routes are known by their {@link RouteKey}, of which
+ * a valid configuration has each once; their order means nothing.
  *
  * @param base the version that it builds on
  * @param rev the version that it leads to
- * @param set routes that are new, or not as they were
- * @param gone places that have no route any more
- * @param services services that are new, or not as they were
- * @param goneServices names of services that are there no more
+ * @param changedRoutes routes that are new, or not as they were
+ * @param removedRoutes places that have no route any more
+ * @param changedServices services that are new, or not as they were
+ * @param removedServices names of services that are there no more
  */
 public record ConfigurationChange(
         long base,
         long rev,
-        List<Route> set,
-        List<Place> gone,
-        List<Service> services,
-        List<String> goneServices,
+        List<Route> changedRoutes,
+        List<RouteKey> removedRoutes,
+        List<Service> changedServices,
+        List<String> removedServices,
         Limits limits) {
     /** Where a route applies. */
-    public record Place(String domain, String prefix) {
-        static Place of(Route route) {
-            return new Place(route.domain(), route.prefix());
+    public record RouteKey(String domain, String prefix) {
+        static RouteKey of(Route route) {
+            return new RouteKey(route.domain(), route.prefix());
         }
     }
 
     /** Keeps its own lists. */
     public ConfigurationChange {
-        set = List.copyOf(set);
-        gone = List.copyOf(gone);
-        services = List.copyOf(services);
-        goneServices = List.copyOf(goneServices);
+        changedRoutes = List.copyOf(changedRoutes);
+        removedRoutes = List.copyOf(removedRoutes);
+        changedServices = List.copyOf(changedServices);
+        removedServices = List.copyOf(removedServices);
     }
 
     /** What leads from one configuration to another. */
     public static ConfigurationChange between(Configuration from, Configuration to) {
-        Map<Place, Route> before = byPlace(from.routes());
+        Map<RouteKey, Route> before = byPlace(from.routes());
         List<Route> set = new ArrayList<>();
         for (Route route : to.routes()) {
-            if (!route.equals(before.remove(Place.of(route)))) {
+            if (!route.equals(before.remove(RouteKey.of(route)))) {
                 set.add(route);
             }
         }
@@ -66,33 +66,33 @@
      * The later configuration. One that isn't of the version that this builds on is an
      * {@link IllegalArgumentException}.
      */
-    public Configuration appliedTo(Configuration configuration) {
+    public Configuration applyTo(Configuration configuration) {
         if (configuration.rev() != base) {
             throw new IllegalArgumentException("builds on " + base + ", not on " + configuration.rev());
         }
-        Map<Place, Route> routes = byPlace(configuration.routes());
-        gone.forEach(routes::remove);
-        set.forEach(route -> routes.put(Place.of(route), route));
+        Map<RouteKey, Route> routes = byPlace(configuration.routes());
+        removedRoutes.forEach(routes::remove);
+        changedRoutes.forEach(route -> routes.put(RouteKey.of(route), route));
         Map<String, Service> all = new LinkedHashMap<>(configuration.services());
-        goneServices.forEach(all::remove);
-        services.forEach(service -> all.put(service.name(), service));
+        removedServices.forEach(all::remove);
+        changedServices.forEach(service -> all.put(service.name(), service));
         return new Configuration(rev, List.copyOf(routes.values()), all, limits);
     }
 
     /** This change and, after it, the next one as one. */
-    public ConfigurationChange then(ConfigurationChange next) {
-        Map<Place, Route> routes = byPlace(set);
-        Set<Place> noRoute = new HashSet<>(gone);
-        next.gone.forEach(routes::remove);
-        noRoute.addAll(next.gone);
-        next.set.forEach(route -> routes.put(Place.of(route), route));
+    public ConfigurationChange andThen(ConfigurationChange next) {
+        Map<RouteKey, Route> routes = byPlace(changedRoutes);
+        Set<RouteKey> noRoute = new HashSet<>(removedRoutes);
+        next.removedRoutes.forEach(routes::remove);
+        noRoute.addAll(next.removedRoutes);
+        next.changedRoutes.forEach(route -> routes.put(RouteKey.of(route), route));
         noRoute.removeAll(routes.keySet());
         Map<String, Service> named = new LinkedHashMap<>();
-        services.forEach(service -> named.put(service.name(), service));
-        Set<String> noService = new HashSet<>(goneServices);
-        next.goneServices.forEach(named::remove);
-        noService.addAll(next.goneServices);
-        next.services.forEach(service -> named.put(service.name(), service));
+        changedServices.forEach(service -> named.put(service.name(), service));
+        Set<String> noService = new HashSet<>(removedServices);
+        next.removedServices.forEach(named::remove);
+        noService.addAll(next.removedServices);
+        next.changedServices.forEach(service -> named.put(service.name(), service));
         noService.removeAll(named.keySet());
         return new ConfigurationChange(
                 base,
@@ -104,9 +104,9 @@
                 next.limits);
     }
 
-    private static Map<Place, Route> byPlace(List<Route> routes) {
-        Map<Place, Route> byPlace = new LinkedHashMap<>();
-        routes.forEach(route -> byPlace.put(Place.of(route), route));
+    private static Map<RouteKey, Route> byPlace(List<Route> routes) {
+        Map<RouteKey, Route> byPlace = new LinkedHashMap<>();
+        routes.forEach(route -> byPlace.put(RouteKey.of(route), route));
         return byPlace;
     }
 }
--- a/src/main/java/tinworks/config/ConfigurationHistory.java
+++ b/src/main/java/tinworks/config/ConfigurationHistory.java
@@ -9,39 +9,39 @@
 /**
  * The versions of the configuration: the state machine that the agreed log drives. Equal commands in equal order give
  * equal verdicts at every member. Of older versions only a digest is kept, so that a call that is repeated is known
- * again ({@link TakenVersions}).
+ * again ({@link AcceptedVersions}).
  */
 public final class ConfigurationHistory {
     /** What became of a command. */
     public enum Verdict {
         /** It is in force, or was: this very configuration has been taken. */
-        TAKEN,
+        ACCEPTED,
         /** It was built on a version that is not the current one. */
         CONFLICT,
         /** Its number isn't above the version that it was built on. */
-        NOT_ABOVE,
+        VERSION_NOT_INCREASED,
         /** It may have been taken: its number is among those that are no longer known. */
-        FORGOTTEN
+        OUTSIDE_WINDOW
     }
 
     private static final int DIGEST_BYTES = 32;
     private static final int HEAD_BYTES = 2 * Long.BYTES + DIGEST_BYTES;
     /** The longest configuration that is taken, as the operator sends it. */
-    public static final int LONGEST_BODY = 8 << 20;
+    public static final int MAX_BODY_BYTES = 8 << 20;
     /** The first byte of what {@link #save} writes. */
     private static final byte FORMAT = 1;
 
-    private TakenVersions taken;
+    private AcceptedVersions taken;
     private long rev;
     /** The version in force, {@link CompressedBytes}; empty where there is none. */
     private byte[] packed = {};
 
     /** Before the first version. */
     public ConfigurationHistory() {
-        this(new TakenVersions());
+        this(new AcceptedVersions());
     }
 
-    ConfigurationHistory(TakenVersions taken) {
+    ConfigurationHistory(AcceptedVersions taken) {
         this.taken = taken;
     }
 
@@ -56,7 +56,7 @@
      * left as they were.
      */
     public static byte[] command(long base, long rev, ByteBuffer... body) {
-        byte[] packed = CompressedBytes.pack(body);
+        byte[] packed = CompressedBytes.compress(body);
         ByteBuffer command =
                 ByteBuffer.allocate(HEAD_BYTES + packed.length).putLong(base).putLong(rev);
         return command.put(digest(base, rev, body)).put(packed).array();
@@ -75,8 +75,8 @@
     /** Carries out a command. */
     public Verdict apply(byte[] command) {
         long next = rev(command);
-        Verdict verdict = judge(base(command), next, command);
-        if (verdict == Verdict.TAKEN && next > rev) {
+        Verdict verdict = evaluate(base(command), next, command);
+        if (verdict == Verdict.ACCEPTED && next > rev) {
             rev = next;
             packed = Arrays.copyOfRange(command, HEAD_BYTES, command.length);
             taken.add(next, digest(command));
@@ -85,19 +85,19 @@
     }
 
     /** What would become of a command now. */
-    public Verdict judge(long base, long next, byte[] command) {
+    public Verdict evaluate(long base, long next, byte[] command) {
         if (taken.has(next, digest(command))) {
-            return Verdict.TAKEN;
+            return Verdict.ACCEPTED;
         }
         // It never was, and never can be.
         if (next <= base) {
-            return Verdict.NOT_ABOVE;
+            return Verdict.VERSION_NOT_INCREASED;
         }
         // Guards against refusing what was taken long ago.
         if (next <= taken.forgotten()) {
-            return Verdict.FORGOTTEN;
+            return Verdict.OUTSIDE_WINDOW;
         }
-        return base == rev ? Verdict.TAKEN : Verdict.CONFLICT;
+        return base == rev ? Verdict.ACCEPTED : Verdict.CONFLICT;
     }
 
     /** The number of the version in force, 0 where there is none yet. */
@@ -107,11 +107,11 @@
 
     /** The version in force as it was sent, unpacked for the caller; empty where there is none yet. */
     public byte[] body() {
-        return rev == 0 ? new byte[0] : CompressedBytes.unpack(packed, LONGEST_BODY);
+        return rev == 0 ? new byte[0] : CompressedBytes.decompress(packed, MAX_BODY_BYTES);
     }
 
     /** The version in force, {@link CompressedBytes}; empty where there is none yet. The caller doesn't write to it. */
-    public byte[] packed() {
+    public byte[] compressedBody() {
         return packed;
     }
 
--- a/src/main/java/tinworks/config/ConfigurationWeight.java
+++ b/src/main/java/tinworks/config/ConfigurationMemoryEstimate.java
@@ -12,7 +12,7 @@
  * <p>What operators are told to be in force has to fit into every machine. So a core machine takes a configuration only
  * up to a part of its own heap, and edges are given no less heap than core machines.
  */
-public final class ConfigurationWeight {
+public final class ConfigurationMemoryEstimate {
     /** Records, map entries and the decision module's state of a route, its texts and parts left out. */
     private static final long ROUTE_BYTES = 600;
     /** A route's texts are held twice, as they came and joined into the name of its class. */
@@ -23,10 +23,10 @@
     /** Two versions and the traffic have to fit side by side. */
     private static final double PART_OF_HEAP = 0.4;
 
-    private ConfigurationWeight() {}
+    private ConfigurationMemoryEstimate() {}
 
     /** What one configuration may weigh by this process's heap, in bytes. */
-    public static long mostByHeap() {
+    public static long maxBytesForHeap() {
         return (long) (Runtime.getRuntime().maxMemory() * PART_OF_HEAP);
     }
 
--- a/src/main/java/tinworks/config/ConfigurationReader.java
+++ b/src/main/java/tinworks/config/ConfigurationReader.java
@@ -44,7 +44,10 @@
         return read(json, Long.MAX_VALUE);
     }
 
-    /** The same; one of a higher {@link ConfigurationWeight} is refused as too large, and not held while it is read. */
+    /**
+     * The same; one of a higher {@link ConfigurationMemoryEstimate} is refused as too large, and not held while it is
+     * read.
+     */
     public static Configuration read(InputStream json, long mostWeight) throws InvalidConfiguration {
         Parts parts = new Parts(mostWeight);
         boolean isObject;
@@ -68,15 +71,15 @@
     /**
      * What has been read so far. Faults wait until the end: a text that isn't JSON throughout has no places to name.
      */
-    private static final class Parts implements Json.Pieces {
+    private static final class Parts implements Json.Handler {
         private final Map<String, Object> fields = new HashMap<>();
-        private final SharedValues shared = new SharedValues();
+        private final ValueInterner shared = new ValueInterner();
         /** The routes that name one service and no split. */
         private final BitSet plain = new BitSet();
 
         private Map<String, Service> services;
         private List<Route> routes;
-        private Set<ConfigurationChange.Place> places;
+        private Set<ConfigurationChange.RouteKey> places;
         private InvalidConfiguration servicesFault;
         private InvalidConfiguration routesFault;
         private final long mostWeight;
@@ -157,7 +160,7 @@
             }
             String at = SERVICES + "[" + services.size() + "].";
             Service service = service(entry, at);
-            weigh(ConfigurationWeight.of(service));
+            weigh(ConfigurationMemoryEstimate.of(service));
             if (services.put(service.name(), service) != null) {
                 throw new InvalidConfiguration(at + "name", "a second service '" + service.name() + "'");
             }
@@ -170,10 +173,10 @@
             }
             String at = ROUTES + "[" + routes.size() + "].";
             Route route = route(entry, at, shared);
-            weigh(ConfigurationWeight.of(route));
+            weigh(ConfigurationMemoryEstimate.of(route));
             plain.set(routes.size(), entry.field("split").value() == null);
             routes.add(route);
-            if (!places.add(ConfigurationChange.Place.of(route))) {
+            if (!places.add(ConfigurationChange.RouteKey.of(route))) {
                 throw new InvalidConfiguration(at + "prefix", "another route has this domain and prefix");
             }
         }
@@ -237,9 +240,9 @@
                 name, check, (int) whole(entry, at, "maxconn", 1, Integer.MAX_VALUE, (long) Integer.MAX_VALUE));
     }
 
-    private static Route route(Json entry, String at, SharedValues shared) throws InvalidConfiguration {
+    private static Route route(Json entry, String at, ValueInterner shared) throws InvalidConfiguration {
         String name = text(entry, at, "name");
-        String domain = shared.text(text(entry, at, "domain").toLowerCase(Locale.ROOT));
+        String domain = shared.intern(text(entry, at, "domain").toLowerCase(Locale.ROOT));
         String prefix = text(entry, at, "prefix");
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
             throw new InvalidConfiguration(at + "prefix", "wanted a slash at both ends of '" + prefix + "'");
@@ -257,9 +260,9 @@
         return new Route(name, domain, prefix, type, timeout, target, prio, split(entry, at, shared), tries);
     }
 
-    private static List<Split> split(Json entry, String at, SharedValues shared) throws InvalidConfiguration {
+    private static List<Split> split(Json entry, String at, ValueInterner shared) throws InvalidConfiguration {
         if (entry.field("split").value() == null) {
-            return shared.list(List.of(new Split(shared.text(text(entry, at, "svc")), 1)));
+            return shared.internSplits(List.of(new Split(shared.intern(text(entry, at, "svc")), 1)));
         }
         if (!entry.field("split").isArray()) {
             throw new InvalidConfiguration(at + "split", "wanted an array");
@@ -273,17 +276,17 @@
             if (!(weight >= 0 && weight < 1e12)) {
                 throw new InvalidConfiguration(here + "weight", "wanted a number that isn't below 0");
             }
-            parts.add(new Split(shared.text(text(part, here, "svc")), weight));
+            parts.add(new Split(shared.intern(text(part, here, "svc")), weight));
             sum += weight;
         }
         if (sum <= 0) {
             throw new InvalidConfiguration(at + "split", "the weights sum to 0");
         }
-        return shared.list(List.copyOf(parts));
+        return shared.internSplits(List.copyOf(parts));
     }
 
     private static Limits limits(Json entry) throws InvalidConfiguration {
-        Limits usual = Limits.USUAL;
+        Limits usual = Limits.DEFAULTS;
         return new Limits(
                 (int) whole(entry, "limits.", "hdrBytes", 256, 1 << 20, (long) usual.hdrBytes()),
                 whole(entry, "limits.", "bodyMaxBytes", 0, Long.MAX_VALUE, usual.bodyMaxBytes()),
--- a/src/main/java/tinworks/config/InvalidConfiguration.java
+++ b/src/main/java/tinworks/config/InvalidConfiguration.java
@@ -30,7 +30,7 @@
     }
 
     /** The field at fault. */
-    public String where() {
+    public String fieldPath() {
         return where;
     }
 }
--- a/src/main/java/tinworks/control/ConfigurationFeed.java
+++ b/src/main/java/tinworks/control/ConfigurationFeed.java
@@ -46,7 +46,7 @@
         followedRev = history.rev();
         Configuration next;
         try {
-            next = ConfigurationReader.read(CompressedBytes.open(history.packed()));
+            next = ConfigurationReader.read(CompressedBytes.decompressingStream(history.compressedBody()));
         } catch (InvalidConfiguration e) {
             LOG.error("can't read the configuration {} that was taken: {}", history.rev(), e.getMessage());
             return;
@@ -86,19 +86,19 @@
         for (EncodedChange kept : changes) {
             ConfigurationChange change = kept.change();
             if (all != null) {
-                all = all.then(change);
+                all = all.andThen(change);
             } else if (change.base() == held) {
                 all = change;
             }
         }
         if (all != null) {
             lastChangeMessage = new PeerMessage.ConfigurationChanged(
-                    held, newest.rev(), CompressedBytes.pack(ConfigurationCodec.write(all)));
+                    held, newest.rev(), CompressedBytes.compress(ConfigurationCodec.write(all)));
             return lastChangeMessage;
         }
         if (fullMessage == null) {
             fullMessage = new PeerMessage.ConfigurationBody(
-                    newest.rev(), CompressedBytes.pack(ConfigurationCodec.write(newest)));
+                    newest.rev(), CompressedBytes.compress(ConfigurationCodec.write(newest)));
         }
         return fullMessage;
     }
--- a/src/main/java/tinworks/control/CoreNode.java
+++ b/src/main/java/tinworks/control/CoreNode.java
@@ -84,7 +84,7 @@
         try {
             work.run();
         } catch (Error e) {
-            Fatal.pass(e);
+            Fatal.reportIfFatal(e);
             throw e;
         }
     }
--- a/src/main/java/tinworks/control/DiskThread.java
+++ b/src/main/java/tinworks/control/DiskThread.java
@@ -41,7 +41,7 @@
                 callbackExecutor.execute(done);
                 return;
             } catch (MVStoreException | IllegalStateException e) {
-                Error fatal = Fatal.in(e);
+                Error fatal = Fatal.findError(e);
                 if (fatal != null) {
                     // No full disk: the store tells of a full heap in the same words. Nobody catches it, and the
                     // process ends.
--- a/src/main/java/tinworks/control/OperatorCalls.java
+++ b/src/main/java/tinworks/control/OperatorCalls.java
@@ -17,8 +17,8 @@
 import tinworks.config.CompressedBytes;
 import tinworks.config.ConfigurationHistory;
 import tinworks.config.ConfigurationHistory.Verdict;
+import tinworks.config.ConfigurationMemoryEstimate;
 import tinworks.config.ConfigurationReader;
-import tinworks.config.ConfigurationWeight;
 import tinworks.config.InvalidConfiguration;
 import tinworks.invariant.Invariant;
 import tinworks.raft.Raft;
@@ -44,7 +44,7 @@
      */
     static final int MAX_COMMAND_BYTES = 2 << 20;
     /** What a configuration may take in the memory of any machine. */
-    private static final long MAX_WEIGHT_BYTES = ConfigurationWeight.mostByHeap();
+    private static final long MAX_WEIGHT_BYTES = ConfigurationMemoryEstimate.maxBytesForHeap();
     /** What calls without an answer may take at one machine, the first always. */
     static final int MAX_PENDING_BYTES = 4 << 20;
     /** Callers move on after a second of silence. */
@@ -117,7 +117,7 @@
         } catch (InvalidConfiguration e) {
             LOG.info("refused a configuration: {}", e.getMessage());
             int status = e.isTooLarge() ? TOO_LARGE : INVALID;
-            return new ValidatedChange(null, new CallResponse(0, status, errorBody(e.where(), e.getMessage())));
+            return new ValidatedChange(null, new CallResponse(0, status, errorBody(e.fieldPath(), e.getMessage())));
         }
     }
 
@@ -253,10 +253,10 @@
         ConfigurationHistory history = agreement.history();
         long base = ConfigurationHistory.base(call.command);
         long rev = ConfigurationHistory.rev(call.command);
-        Verdict now = history.judge(base, rev, call.command);
+        Verdict now = history.evaluate(base, rev, call.command);
         if (isFinal(now, base, rev, history.rev())) {
             complete(number, responseFor(now, rev));
-        } else if (now == Verdict.FORGOTTEN || isBaseUnknown(base, history.rev())) {
+        } else if (now == Verdict.OUTSIDE_WINDOW || isBaseUnknown(base, history.rev())) {
             complete(number, null);
         } else if (!agreement.raft().fitsUncommittedLimit(call.command.length)) {
             // Until what is written before it is committed, or its time is over.
@@ -269,8 +269,8 @@
 
     /** Whether a verdict is true for good, whoever leads: a version that was taken, or passed, stays so. */
     boolean isFinal(Verdict verdict, long base, long rev, long current) {
-        return (verdict == Verdict.TAKEN && rev <= current)
-                || verdict == Verdict.NOT_ABOVE
+        return (verdict == Verdict.ACCEPTED && rev <= current)
+                || verdict == Verdict.VERSION_NOT_INCREASED
                 || (verdict == Verdict.CONFLICT && base < current && mayReject());
     }
 
@@ -304,16 +304,17 @@
     /** Null where it is open. A repeat is confirmed under its own number, whatever has come on top of it since. */
     private CallResponse responseFor(Verdict verdict, long rev) {
         long current = machine.raftDriver().history().rev();
-        if (verdict == Verdict.TAKEN) {
+        if (verdict == Verdict.ACCEPTED) {
             Invariant.ACKNOWLEDGED_IS_APPLIED.check(rev <= current, () -> rev + " where " + current + " is applied");
             newestReportedRev = Math.max(newestReportedRev, rev);
         }
         return switch (verdict) {
-            case TAKEN -> new CallResponse(0, OK, ("{\"rev\":" + rev + "}\n").getBytes(StandardCharsets.UTF_8));
+            case ACCEPTED -> new CallResponse(0, OK, ("{\"rev\":" + rev + "}\n").getBytes(StandardCharsets.UTF_8));
             case CONFLICT ->
                 new CallResponse(0, CONFLICT, errorBody(BASE_REV_HEADER, "the current version is " + current));
-            case NOT_ABOVE -> new CallResponse(0, INVALID, errorBody("rev", "not above the version that it builds on"));
-            case FORGOTTEN -> null;
+            case VERSION_NOT_INCREASED ->
+                new CallResponse(0, INVALID, errorBody("rev", "not above the version that it builds on"));
+            case OUTSIDE_WINDOW -> null;
         };
     }
 
@@ -324,7 +325,7 @@
         newestReportedRev = Math.max(newestReportedRev, history.rev());
         return history.rev() == 0
                 ? new CallResponse(0, NOT_FOUND, errorBody("", "no configuration yet"))
-                : new CallResponse(0, OK, history.packed());
+                : new CallResponse(0, OK, history.compressedBody());
     }
 
     private static byte[] errorBody(String where, String what) {
--- a/src/main/java/tinworks/control/OperatorServer.java
+++ b/src/main/java/tinworks/control/OperatorServer.java
@@ -43,7 +43,7 @@
     private static final int MAX_CONNECTIONS = 128;
     private static final int MAX_HEAD_BYTES = 16_384;
     /** Bodies on their way in or out: two of the longest, or seven of 14,000 routes. */
-    static final int MAX_BODIES_BYTES = 2 * ConfigurationHistory.LONGEST_BODY;
+    static final int MAX_BODIES_BYTES = 2 * ConfigurationHistory.MAX_BODY_BYTES;
 
     private static final byte[] OVERLOADED_BODY = errorBody("too many calls at once");
     private static final byte[] SHUTTING_DOWN_BODY = errorBody("this machine ends");
@@ -73,7 +73,7 @@
                         TimeUnit.SECONDS.toNanos(10),
                         TimeUnit.SECONDS.toNanos(30),
                         MAX_HEAD_BYTES,
-                        ConfigurationHistory.LONGEST_BODY,
+                        ConfigurationHistory.MAX_BODY_BYTES,
                         READYZ),
                 bodyBudget,
                 this);
@@ -172,7 +172,7 @@
 
     /** The configuration as it was sent, while there is room for it; a client may be slow to take it. */
     private void show(Reply reply, CallResponse answer) {
-        int length = answer.status() == OperatorCalls.OK ? CompressedBytes.length(answer.body()) : 0;
+        int length = answer.status() == OperatorCalls.OK ? CompressedBytes.uncompressedLength(answer.body()) : 0;
         if (length == 0) {
             write(reply, answer);
         } else if (!bodyBudget.tryReserve(length)) {
@@ -184,7 +184,7 @@
                     new CallResponse(
                             0,
                             OperatorCalls.OK,
-                            CompressedBytes.unpack(answer.body(), ConfigurationHistory.LONGEST_BODY)));
+                            CompressedBytes.decompress(answer.body(), ConfigurationHistory.MAX_BODY_BYTES)));
         }
     }
 
@@ -200,8 +200,8 @@
     private MetricsPage metrics() {
         Raft raft = machine.raftDriver().raft();
         return new MetricsPage()
-                .violations()
-                .log()
+                .invariantViolations()
+                .droppedLogLines()
                 .gauge("leads", "1 at the leader", raft.role() == Raft.Role.LEADER ? 1 : 0)
                 .gauge("in_touch", "1 where the leader's lease vouches for the state", machine.isFresh() ? 1 : 0)
                 .gauge("term", "The present term of the agreement", (double) raft.term())
--- a/src/main/java/tinworks/edge/CoreFollower.java
+++ b/src/main/java/tinworks/edge/CoreFollower.java
@@ -153,7 +153,9 @@
         if (signal instanceof Announce s) {
             heard(from, s);
         } else if (signal instanceof ConfigurationBody s) {
-            read(s.rev(), () -> ConfigurationCodec.read(CompressedBytes.unpack(s.compressed(), LARGEST_CONFIGURATION)));
+            read(
+                    s.rev(),
+                    () -> ConfigurationCodec.read(CompressedBytes.decompress(s.compressed(), LARGEST_CONFIGURATION)));
         } else if (signal instanceof ConfigurationChanged s) {
             changed(from, s);
         } else if (signal instanceof Hosts s) {
@@ -228,8 +230,9 @@
         if (s.base() == rev()) {
             read(
                     s.rev(),
-                    () -> ConfigurationCodec.readChange(CompressedBytes.unpack(s.compressed(), LARGEST_CONFIGURATION))
-                            .appliedTo(held));
+                    () -> ConfigurationCodec.readChange(
+                                    CompressedBytes.decompress(s.compressed(), LARGEST_CONFIGURATION))
+                            .applyTo(held));
         } else if (isNewer(s.rev())) {
             from.send(new PullConfiguration(rev()));
         }
--- a/src/main/java/tinworks/edge/EdgeNode.java
+++ b/src/main/java/tinworks/edge/EdgeNode.java
@@ -128,7 +128,7 @@
                 style);
         requests = new RequestRouter(clock, random, style, services);
         clients = new ClientServer(
-                loop, Transport.TCP, clock, clientBounds(Limits.USUAL), memory.requests(), memory.heads(), requests);
+                loop, Transport.TCP, clock, clientBounds(Limits.DEFAULTS), memory.requests(), memory.heads(), requests);
         clients.dropSlowReadersWhile(memory.answers()::hasWaiters);
         probes = new ClientServer(
                 loop,
@@ -283,7 +283,7 @@
         EdgeMetrics.add(page, requests);
         EdgeMetrics.add(page, stalls);
         EdgeMetrics.add(page, memory);
-        return page.violations().log();
+        return page.invariantViolations().droppedLogLines();
     }
 
     // ---- CoreFollower.Owner
@@ -418,7 +418,7 @@
             if (old == null || !old.equalsIgnoringWarmup(host)) {
                 startedAt.computeIfAbsent(host.id(), id -> startOf(host));
                 places.add(new HostPool.HostEntry(
-                        host.id(), Address.read(host.address()), startedAt.get(host.id()), !host.draining(), false));
+                        host.id(), Address.parse(host.address()), startedAt.get(host.id()), !host.draining(), false));
                 changed.computeIfAbsent(host.service(), service -> new ArrayList<>())
                         .add(server(host));
             }
@@ -426,7 +426,7 @@
         for (Host old : known.values()) {
             if (!next.containsKey(old.id())) {
                 places.add(new HostPool.HostEntry(
-                        old.id(), Address.read(old.address()), startedAt.get(old.id()), false, true));
+                        old.id(), Address.parse(old.address()), startedAt.get(old.id()), false, true));
                 changed.computeIfAbsent(old.service(), service -> new ArrayList<>())
                         .add(server(old, Readiness.REMOVED));
             }
@@ -450,7 +450,7 @@
         List<Host> readable = new ArrayList<>(found.size());
         for (Host host : found) {
             Host before = known.get(host.id());
-            if ((before != null && before.address().equals(host.address())) || Address.isOne(host.address())) {
+            if ((before != null && before.address().equals(host.address())) || Address.isValid(host.address())) {
                 readable.add(host);
             }
         }
--- a/src/main/java/tinworks/edge/EdgeWarmUp.java
+++ b/src/main/java/tinworks/edge/EdgeWarmUp.java
@@ -108,7 +108,7 @@
                         CONNECTIONS,
                         TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS),
                         0,
-                        Limits.USUAL.hdrBytes(),
+                        Limits.DEFAULTS.hdrBytes(),
                         1 << 16,
                         null),
                 requests);
@@ -142,7 +142,7 @@
                 1,
                 List.of(route(READS, Configuration.Type.IDEM), route(JOBS, Configuration.Type.MUTATING)),
                 Map.of(SERVICE, new Service(SERVICE, "/", CONNECTIONS)),
-                Limits.USUAL);
+                Limits.DEFAULTS);
         Forwarding forwarding = new Forwarding(
                 loop,
                 clock,
--- a/src/main/java/tinworks/edge/RequestRouter.java
+++ b/src/main/java/tinworks/edge/RequestRouter.java
@@ -94,7 +94,7 @@
                 .begin(
                         now,
                         new RequestArrived(ids.get(0), target.className(), null, null, left, 0, false, heldUp),
-                        new AttemptLimit(route.type() == Configuration.Type.MUTATING, route.tries()),
+                        new AttemptLimit(route.type() == Configuration.Type.MUTATING, route.maxAttempts()),
                         request,
                         reply);
     }
--- a/src/main/java/tinworks/edge/ServiceSettings.java
+++ b/src/main/java/tinworks/edge/ServiceSettings.java
@@ -76,7 +76,7 @@
                 Math.pow(2, MIDDLE_PRIO - route.prio()),
                 LATE_WORTH,
                 false,
-                route.tries(),
+                route.maxAttempts(),
                 timeout);
     }
 
--- a/src/main/java/tinworks/invariant/Invariant.java
+++ b/src/main/java/tinworks/invariant/Invariant.java
@@ -56,12 +56,12 @@
     /** Counts a violation where this doesn't hold; what was seen is asked for then alone. */
     public void check(boolean holds, Supplier<String> seen) {
         if (!holds) {
-            violated(seen.get());
+            recordViolation(seen.get());
         }
     }
 
     /** Counts a violation. */
-    public void violated(String seen) {
+    public void recordViolation(String seen) {
         long count = VIOLATIONS.incrementAndGet(ordinal());
         if (count <= LOGGED_EACH || Long.bitCount(count) == 1) {
             LOG.error("invariant {} violated ({} times): {}", name(), count, seen);
@@ -69,9 +69,9 @@
     }
 
     /** Counts a violation by a fault of the program, and says where it came from. */
-    public void violatedBy(RuntimeException fault, String doing) {
+    public void recordException(RuntimeException fault, String doing) {
         StackTraceElement[] trace = fault.getStackTrace();
-        violated(doing + ": " + fault + " at " + (trace.length == 0 ? "an unknown place" : trace[0]));
+        recordViolation(doing + ": " + fault + " at " + (trace.length == 0 ? "an unknown place" : trace[0]));
     }
 
     /** How often it was violated since the process started. */
--- a/src/main/java/tinworks/json/Address.java
+++ b/src/main/java/tinworks/json/Address.java
@@ -16,7 +16,7 @@
      * The address by number, IPv4; a text that is none is an {@link IllegalArgumentException}. A name is none: looking
      * it up would hold up the thread that asks, and on the platform there are no names.
      */
-    public static InetSocketAddress read(String text) {
+    public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         byte[] number = number(text.substring(0, Math.max(0, colon)));
         if (number == null) {
@@ -29,10 +29,10 @@
         }
     }
 
-    /** Whether the text is an address that {@link #read} takes. */
-    public static boolean isOne(String text) {
+    /** Whether the text is an address that {@link #parse} takes. */
+    public static boolean isValid(String text) {
         try {
-            read(text);
+            parse(text);
             return true;
         } catch (IllegalArgumentException e) {
             return false;
--- a/src/main/java/tinworks/json/Json.java
+++ b/src/main/java/tinworks/json/Json.java
@@ -31,7 +31,7 @@
     }
 
     /** Told what a text's outermost object holds, piece by piece, so that the whole need never be in memory. */
-    public interface Pieces {
+    public interface Handler {
         /** A field whose value is no array. */
         void field(String name, Json value);
 
@@ -46,7 +46,7 @@
      * Reads one text that holds one object and tells of it as it comes; false where the text holds another value. What
      * can't be read is an {@link IOException}, at times after much has been told.
      */
-    public static boolean read(Reader text, Pieces told) throws IOException {
+    public static boolean read(Reader text, Handler told) throws IOException {
         try (JsonParser parser = FACTORY.createParser(text)) {
             boolean isObject = parser.nextToken() == JsonToken.START_OBJECT;
             while (isObject && parser.nextToken() != JsonToken.END_OBJECT) {
--- a/src/main/java/tinworks/logging/Fatal.java
+++ b/src/main/java/tinworks/logging/Fatal.java
@@ -62,7 +62,7 @@
     }
 
     /** The error that something thrown is, or that caused it; null where it is none. */
-    public static Error in(Throwable thrown) {
+    public static Error findError(Throwable thrown) {
         Throwable cause = thrown;
         for (int i = 0; cause != null && i < DEEPEST; i++) {
             if (cause instanceof Error error) {
@@ -77,8 +77,8 @@
      * To be called with all that is caught for want of a better place. Where it is an error, or was caused by one, it
      * goes to the thread's handler of uncaught ones, which ends the process once {@link #install} was called.
      */
-    public static void pass(Throwable thrown) {
-        Error error = in(thrown);
+    public static void reportIfFatal(Throwable thrown) {
+        Error error = findError(thrown);
         if (error != null) {
             Thread thread = Thread.currentThread();
             thread.getUncaughtExceptionHandler().uncaughtException(thread, error);
@@ -94,7 +94,7 @@
     private static void end(Throwable thrown) {
         try {
             ENDING.countDown();
-            if (in(thrown) == null) {
+            if (findError(thrown) == null) {
                 LoggerFactory.getLogger(Fatal.class).error("nobody has caught", thrown);
             }
             OUT.write(thrown instanceof OutOfMemoryError ? HEAP : thrown instanceof StackOverflowError ? STACK : OTHER);
--- a/src/main/java/tinworks/metrics/MetricsPage.java
+++ b/src/main/java/tinworks/metrics/MetricsPage.java
@@ -49,7 +49,7 @@
     }
 
     /** Adds how often each invariant was violated; those that never were stand there too, at 0. */
-    public MetricsPage violations() {
+    public MetricsPage invariantViolations() {
         for (Invariant invariant : Invariant.values()) {
             counter(
                     "invariant_violations",
@@ -62,7 +62,7 @@
     }
 
     /** Adds how many lines of the log were dropped. */
-    public MetricsPage log() {
+    public MetricsPage droppedLogLines() {
         return counter("log_lines_dropped", "Lines of the log that found no room, as nobody read it", (double)
                 JsonLog.dropped());
     }
--- a/src/main/java/tinworks/net/ClientServer.java
+++ b/src/main/java/tinworks/net/ClientServer.java
@@ -665,7 +665,7 @@
                 reply.text(e.status, e.getMessage(), 0);
             } catch (RuntimeException e) {
                 // A fault of the program must not leave the request without a response.
-                Invariant.NO_FAULT.violatedBy(e, "processing a request for " + request.uri());
+                Invariant.NO_FAULT.recordException(e, "processing a request for " + request.uri());
                 reply.text(HttpResponseStatus.INTERNAL_SERVER_ERROR, "a fault of the gateway", 0);
             } finally {
                 if (reply.retainedRequest == null) {
@@ -846,7 +846,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            Fatal.pass(cause);
+            Fatal.reportIfFatal(cause);
             // A client that disconnects within its request is no fault; other faults can come as often as clients like.
             if (!(cause instanceof IOException) && !(cause instanceof PrematureChannelClosureException)) {
                 closeReason = CloseReason.BROKEN;
--- a/src/main/java/tinworks/net/EndpointList.java
+++ b/src/main/java/tinworks/net/EndpointList.java
@@ -63,7 +63,7 @@
         // One that is removed may come without an address: nothing goes there any more.
         SocketAddress address = readiness == Readiness.REMOVED
                 ? null
-                : Address.read(entry.required("address").text());
+                : Address.parse(entry.required("address").text());
         return new Endpoint(info, address);
     }
 
--- a/src/main/java/tinworks/net/Forwarding.java
+++ b/src/main/java/tinworks/net/Forwarding.java
@@ -130,7 +130,7 @@
                 r.overdue = true;
                 continue;
             }
-            Invariant.ANSWERED_IN_TIME.violated(r.id + " of " + r.requestClass + " has no answer");
+            Invariant.ANSWERED_IN_TIME.recordViolation(r.id + " of " + r.requestClass + " has no answer");
             fail(r.id, Reason.FAULT);
             dispatch(new ClientDisconnected(r.id));
         }
@@ -169,7 +169,7 @@
         try {
             choice.onEvent(last, event);
         } catch (RuntimeException e) {
-            Invariant.NO_FAULT.violatedBy(
+            Invariant.NO_FAULT.recordException(
                     e, "the decision on " + event.getClass().getSimpleName());
             String faulty = acting;
             failFaulty(event instanceof RequestArrived arrived ? arrived.id() : null);
--- a/src/main/java/tinworks/net/Peers.java
+++ b/src/main/java/tinworks/net/Peers.java
@@ -40,12 +40,12 @@
             }
             List<InetSocketAddress> gateways = new ArrayList<>();
             for (Json peer : config.required("peers").entries()) {
-                gateways.add(Address.read(peer.text()));
+                gateways.add(Address.parse(peer.text()));
             }
             return new Addresses(
-                    Address.read(config.field("peer_listen").text()),
+                    Address.parse(config.field("peer_listen").text()),
                     gateways,
-                    Address.read(config.field("peers_all").text()));
+                    Address.parse(config.field("peers_all").text()));
         }
     }
 
--- a/src/main/java/tinworks/node/BootSettings.java
+++ b/src/main/java/tinworks/node/BootSettings.java
@@ -211,7 +211,7 @@
 
     private static InetSocketAddress address(String text, String name) {
         try {
-            return Address.read(text);
+            return Address.parse(text);
         } catch (IllegalArgumentException e) {
             throw new IllegalArgumentException(name + ": " + e.getMessage(), e);
         }
--- a/src/main/java/tinworks/node/NodeProcess.java
+++ b/src/main/java/tinworks/node/NodeProcess.java
@@ -111,7 +111,7 @@
             } catch (Error e) {
                 // Whoever waits for it is told too, so that nobody waits for good.
                 done.completeExceptionally(e);
-                Fatal.pass(e);
+                Fatal.reportIfFatal(e);
             }
         });
         return done.join();
--- a/src/main/java/tinworks/platform/HostListReader.java
+++ b/src/main/java/tinworks/platform/HostListReader.java
@@ -92,7 +92,7 @@
 
     private static Host host(Json entry) {
         String address = name(entry.required("addr"), "addr");
-        Address.read(address);
+        Address.parse(address);
         return new Host(
                 name(entry.required("id"), "id"),
                 name(entry.required("svc"), "svc"),
--- a/src/main/java/tinworks/raft/Raft.java
+++ b/src/main/java/tinworks/raft/Raft.java
@@ -796,7 +796,7 @@
         }
         follow(itsTerm);
         if (role == Role.LEADER) {
-            Invariant.ONE_LEADER.violated(self + " and " + from + " in term " + term);
+            Invariant.ONE_LEADER.recordViolation(self + " and " + from + " in term " + term);
             throw new IllegalStateException("two leaders in term " + term);
         }
         role = Role.FOLLOWER;
@@ -836,7 +836,7 @@
             return;
         }
         if (entry.index() <= commit) {
-            Invariant.COMMITTED_STAYS.violated("entry " + entry.index() + " up to " + commit + " at " + self);
+            Invariant.COMMITTED_STAYS.recordViolation("entry " + entry.index() + " up to " + commit + " at " + self);
             throw new IllegalStateException("the leader contradicts the committed entry " + entry.index());
         }
         boolean cuts = entry.index() <= log.lastIndex();
--- a/src/test/java/tinworks/config/CompressedBytesTest.java
+++ b/src/test/java/tinworks/config/CompressedBytesTest.java
@@ -34,29 +34,29 @@
     void whatWasPackedComesBackAndALongConfigurationIsShort() {
         for (int count : new int[] {0, 1, 14, 60, 1_240}) {
             byte[] whole = routes(count);
-            byte[] packed = CompressedBytes.pack(whole);
-            assertArrayEquals(whole, CompressedBytes.unpack(packed, MOST));
+            byte[] packed = CompressedBytes.compress(whole);
+            assertArrayEquals(whole, CompressedBytes.decompress(packed, MOST));
             assertTrue(
                     count < 1_000 || packed.length * 6 < whole.length,
                     whole.length + " bytes, packed " + packed.length);
         }
-        assertEquals(0, CompressedBytes.unpack(CompressedBytes.pack(new byte[0]), MOST).length);
+        assertEquals(0, CompressedBytes.decompress(CompressedBytes.compress(new byte[0]), MOST).length);
     }
 
     @Test
     void whatIsCutSpoiltOrTooLongIsRefused() {
-        byte[] packed = CompressedBytes.pack(routes(60));
+        byte[] packed = CompressedBytes.compress(routes(60));
         for (int i = 0; i < packed.length; i++) {
             byte[] cut = Arrays.copyOf(packed, i);
-            assertThrows(IllegalArgumentException.class, () -> CompressedBytes.unpack(cut, MOST));
+            assertThrows(IllegalArgumentException.class, () -> CompressedBytes.decompress(cut, MOST));
         }
-        assertThrows(IllegalArgumentException.class, () -> CompressedBytes.unpack(packed, 100));
+        assertThrows(IllegalArgumentException.class, () -> CompressedBytes.decompress(packed, 100));
         byte[] longer = Arrays.copyOf(packed, packed.length + 1);
-        assertThrows(IllegalArgumentException.class, () -> CompressedBytes.unpack(longer, MOST));
+        assertThrows(IllegalArgumentException.class, () -> CompressedBytes.decompress(longer, MOST));
         for (int lie : new int[] {-1, 0, 10, MOST}) {
             byte[] lies = packed.clone();
             ByteBuffer.wrap(lies).putInt(lie);
-            assertThrows(IllegalArgumentException.class, () -> CompressedBytes.unpack(lies, MOST));
+            assertThrows(IllegalArgumentException.class, () -> CompressedBytes.decompress(lies, MOST));
         }
         SplittableRandom random = new SplittableRandom(1);
         byte[] whole = routes(60);
@@ -65,7 +65,9 @@
             spoilt[random.nextInt(spoilt.length)] ^= (byte) (1 << random.nextInt(8));
             try {
                 assertArrayEquals(
-                        whole, CompressedBytes.unpack(spoilt, MOST), "its checksum holds, so it is what was packed");
+                        whole,
+                        CompressedBytes.decompress(spoilt, MOST),
+                        "its checksum holds, so it is what was packed");
             } catch (IllegalArgumentException e) {
                 assertTrue(e.getMessage().startsWith("packed: "));
             }
--- a/src/test/java/tinworks/config/ConfigurationTest.java
+++ b/src/test/java/tinworks/config/ConfigurationTest.java
@@ -33,8 +33,8 @@
         assertEquals(7, read.rev());
         assertEquals("x.example", read.routes().get(0).domain());
         assertEquals(Configuration.Type.MUTATING, read.routes().get(1).type());
-        assertEquals(1, read.routes().get(1).tries());
-        assertEquals(Configuration.Limits.USUAL, read.limits());
+        assertEquals(1, read.routes().get(1).maxAttempts());
+        assertEquals(Configuration.Limits.DEFAULTS, read.limits());
     }
 
     @ParameterizedTest
@@ -61,12 +61,12 @@
             read(changed);
             InvalidConfiguration e =
                     assertThrows(InvalidConfiguration.class, () -> read(changed.replace("/q/", "/p/")));
-            assertEquals("routes[1].prefix", e.where());
+            assertEquals("routes[1].prefix", e.fieldPath());
         } else {
             assertEquals(
                     where,
                     assertThrows(InvalidConfiguration.class, () -> read(changed))
-                            .where());
+                            .fieldPath());
         }
     }
 
@@ -104,7 +104,7 @@
                                 InvalidConfiguration.class,
                                 () -> read(VALID.replace("]}]}", "]}],'routes':5}")
                                         .replace("'t'}]}", "'t'}],'routes':5}")))
-                        .where());
+                        .fieldPath());
     }
 
     /** The bytes come back, and the command's size is that of the packed body. */
@@ -122,7 +122,7 @@
         assertEquals(0, ConfigurationHistory.base(command));
         assertEquals(4, ConfigurationHistory.rev(command));
         ConfigurationHistory history = new ConfigurationHistory();
-        assertEquals(Verdict.TAKEN, history.apply(command));
+        assertEquals(Verdict.ACCEPTED, history.apply(command));
         assertArrayEquals(sent, history.body());
         assertTrue(history.save().length < command.length + 100);
     }
@@ -134,26 +134,27 @@
     @Test
     void oneOfTwoChangesOnOneBaseWinsAndItsRepeatIsKnown() {
         ConfigurationHistory history = new ConfigurationHistory();
-        assertEquals(Verdict.TAKEN, history.apply(command(0, 2, "first")));
-        assertEquals(Verdict.TAKEN, history.apply(command(2, 5, "one")));
+        assertEquals(Verdict.ACCEPTED, history.apply(command(0, 2, "first")));
+        assertEquals(Verdict.ACCEPTED, history.apply(command(2, 5, "one")));
         assertEquals(Verdict.CONFLICT, history.apply(command(2, 6, "other")));
-        assertEquals(Verdict.NOT_ABOVE, history.apply(command(5, 4, "lower")));
-        assertEquals(Verdict.TAKEN, history.apply(command(5, 9, "next")));
-        assertEquals(Verdict.TAKEN, history.apply(command(2, 5, "one")), "a repeat of what has been taken");
+        assertEquals(Verdict.VERSION_NOT_INCREASED, history.apply(command(5, 4, "lower")));
+        assertEquals(Verdict.ACCEPTED, history.apply(command(5, 9, "next")));
+        assertEquals(Verdict.ACCEPTED, history.apply(command(2, 5, "one")), "a repeat of what has been taken");
         assertEquals(Verdict.CONFLICT, history.apply(command(2, 5, "forged")), "another body under a taken number");
         assertEquals(9, history.rev());
         ConfigurationHistory copy = new ConfigurationHistory();
         copy.load(history.save());
         assertEquals(9, copy.rev());
         assertArrayEquals("next".getBytes(StandardCharsets.UTF_8), copy.body());
-        assertEquals(Verdict.TAKEN, copy.apply(command(2, 5, "one")));
+        assertEquals(Verdict.ACCEPTED, copy.apply(command(2, 5, "one")));
         assertThrows(IllegalArgumentException.class, () -> copy.load(new byte[] {1, 2, 3}));
     }
 
     /** Versions of uneven steps, each with a body of its own, on top of each other. */
     private static long chain(ConfigurationHistory history, int count) {
         for (int i = 1; i <= count; i++) {
-            assertEquals(Verdict.TAKEN, history.apply(command(history.rev(), history.rev() + 1 + i % 3, "body " + i)));
+            assertEquals(
+                    Verdict.ACCEPTED, history.apply(command(history.rev(), history.rev() + 1 + i % 3, "body " + i)));
         }
         return history.rev();
     }
@@ -172,7 +173,7 @@
         int day = 4_600;
         chain(history, day);
         int[] refused = {0};
-        forChain(day, (i, command) -> refused[0] += history.apply(command) == Verdict.TAKEN ? 0 : 1);
+        forChain(day, (i, command) -> refused[0] += history.apply(command) == Verdict.ACCEPTED ? 0 : 1);
         return refused[0];
     }
 
@@ -181,7 +182,7 @@
         assertEquals(0, refusedOfADay(new ConfigurationHistory()));
         assertEquals(
                 4_600 - 256,
-                refusedOfADay(new ConfigurationHistory(new TakenVersions(256))),
+                refusedOfADay(new ConfigurationHistory(new AcceptedVersions(256))),
                 "with too short a memory");
     }
 
@@ -196,17 +197,17 @@
         int[] known = {0};
         forChain(count, (i, command) -> {
             Verdict verdict = copy.apply(command);
-            assertEquals(i > count - 8_192 ? Verdict.TAKEN : Verdict.FORGOTTEN, verdict, "change " + i);
-            known[0] += verdict == Verdict.TAKEN ? 1 : 0;
+            assertEquals(i > count - 8_192 ? Verdict.ACCEPTED : Verdict.OUTSIDE_WINDOW, verdict, "change " + i);
+            known[0] += verdict == Verdict.ACCEPTED ? 1 : 0;
         });
         assertEquals(8_192, known[0]);
-        assertEquals(Verdict.FORGOTTEN, copy.apply(command(1, 3, "never taken")), "nobody knows any more");
+        assertEquals(Verdict.OUTSIDE_WINDOW, copy.apply(command(1, 3, "never taken")), "nobody knows any more");
         assertEquals(Verdict.CONFLICT, copy.apply(command(last - 9, last - 3, "never taken")));
-        assertEquals(Verdict.NOT_ABOVE, copy.apply(command(last, 3, "lower")), "it can't have been taken");
-        assertEquals(Verdict.NOT_ABOVE, copy.apply(command(3, 3, "lower")));
+        assertEquals(Verdict.VERSION_NOT_INCREASED, copy.apply(command(last, 3, "lower")), "it can't have been taken");
+        assertEquals(Verdict.VERSION_NOT_INCREASED, copy.apply(command(3, 3, "lower")));
         assertEquals(last, copy.rev());
         // The bound of what a snapshot holds besides the configuration itself.
-        assertEquals(25 + 8_192 * 24, history.save().length - history.packed().length);
+        assertEquals(25 + 8_192 * 24, history.save().length - history.compressedBody().length);
     }
 
     @Test
@@ -215,14 +216,14 @@
         chain(history, 3);
         byte[] other = command(0, 2, "another's");
         assertEquals(Verdict.CONFLICT, history.apply(other));
-        ConfigurationHistory byNumber = new ConfigurationHistory(new TakenVersions() {
+        ConfigurationHistory byNumber = new ConfigurationHistory(new AcceptedVersions() {
             @Override
             boolean has(long rev, byte[] digest) {
                 return rev <= 7;
             }
         });
         chain(byNumber, 3);
-        assertEquals(Verdict.TAKEN, byNumber.apply(other), "known by its number alone it would be confirmed");
+        assertEquals(Verdict.ACCEPTED, byNumber.apply(other), "known by its number alone it would be confirmed");
     }
 
     @Test
@@ -235,7 +236,7 @@
                     .append("/\",\"type\":\"idem\",\"timeoutMs\":9,\"svc\":\"s\"}");
         }
         byte[] bytes = json.append("]}").toString().getBytes(StandardCharsets.UTF_8);
-        long weight = ConfigurationWeight.of(ConfigurationReader.read(bytes));
+        long weight = ConfigurationMemoryEstimate.of(ConfigurationReader.read(bytes));
         assertEquals(
                 1_000,
                 ConfigurationReader.read(new ByteArrayInputStream(bytes), weight)
--- a/src/test/java/tinworks/config/ForgetfulHistory.java
+++ b/src/test/java/tinworks/config/ShortDeduplicationWindow.java
@@ -1,17 +1,17 @@
 package tinworks.config;
 
 /** Broken on purpose: the versions that were taken are forgotten soon, and refused when they come again. */
-public final class ForgetfulHistory {
+public final class ShortDeduplicationWindow {
     private static final int MOST = 4;
 
-    private ForgetfulHistory() {}
+    private ShortDeduplicationWindow() {}
 
     /** A history that knows nothing yet. */
-    public static ConfigurationHistory make() {
+    public static ConfigurationHistory newHistory() {
         return new ConfigurationHistory(new Forgetful());
     }
 
-    private static final class Forgetful extends TakenVersions {
+    private static final class Forgetful extends AcceptedVersions {
         Forgetful() {
             super(MOST);
         }
--- a/src/test/java/tinworks/control/ConfigurationFeedTest.java
+++ b/src/test/java/tinworks/control/ConfigurationFeedTest.java
@@ -49,7 +49,7 @@
     private Configuration take(byte[] json) throws Exception {
         Configuration read = ConfigurationReader.read(json);
         assertEquals(
-                ConfigurationHistory.Verdict.TAKEN,
+                ConfigurationHistory.Verdict.ACCEPTED,
                 history.apply(ConfigurationHistory.command(history.rev(), read.rev(), json)));
         feed.follow(history);
         return read;
@@ -66,11 +66,11 @@
 
     private static Configuration taught(Configuration held, PeerMessage told) throws MalformedDataException {
         if (told instanceof PeerMessage.ConfigurationBody body) {
-            return ConfigurationCodec.read(CompressedBytes.unpack(body.compressed(), MOST));
+            return ConfigurationCodec.read(CompressedBytes.decompress(body.compressed(), MOST));
         }
         PeerMessage.ConfigurationChanged changed = assertInstanceOf(PeerMessage.ConfigurationChanged.class, told);
-        return ConfigurationCodec.readChange(CompressedBytes.unpack(changed.compressed(), MOST))
-                .appliedTo(held);
+        return ConfigurationCodec.readChange(CompressedBytes.decompress(changed.compressed(), MOST))
+                .applyTo(held);
     }
 
     @Test
--- a/src/test/java/tinworks/control/Operators.java
+++ b/src/test/java/tinworks/control/Operators.java
@@ -175,8 +175,8 @@
         List<Long> bases = new ArrayList<>();
         for (Change change : changes) {
             byte[] command = ConfigurationHistory.command(change.base, change.rev, change.body);
-            boolean inForce =
-                    change.rev <= history.rev() && history.judge(change.base, change.rev, command) == Verdict.TAKEN;
+            boolean inForce = change.rev <= history.rev()
+                    && history.evaluate(change.base, change.rev, command) == Verdict.ACCEPTED;
             assertTrue(inForce || !change.acknowledged, "acknowledged but lost: " + change);
             assertFalse(inForce && change.refused, "refused but in force: " + change);
             assertFalse(inForce && bases.contains(change.base), "two changes in force on one base: " + change);
--- a/src/test/java/tinworks/control/SimulatedCore.java
+++ b/src/test/java/tinworks/control/SimulatedCore.java
@@ -19,7 +19,7 @@
 import tinworks.channel.PeerMessage.Hello;
 import tinworks.channel.PeerMessage.NodeRole;
 import tinworks.channel.SimulatedNetwork;
-import tinworks.config.ForgetfulHistory;
+import tinworks.config.ShortDeduplicationWindow;
 import tinworks.raft.HardState;
 import tinworks.raft.Output;
 import tinworks.raft.PersistentState;
@@ -147,7 +147,7 @@
         try {
             Field history = RaftDriver.class.getDeclaredField("history");
             history.setAccessible(true);
-            history.set(core.raftDriver(), ForgetfulHistory.make());
+            history.set(core.raftDriver(), ShortDeduplicationWindow.newHistory());
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/tinworks/demo/LargestBodiesTest.java
+++ b/src/test/java/tinworks/demo/LargestBodiesTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import tinworks.config.ConfigurationMemoryEstimate;
 import tinworks.config.ConfigurationReader;
-import tinworks.config.ConfigurationWeight;
 import tinworks.config.InvalidConfiguration;
 import tinworks.json.Json;
 import tinworks.local.FreePorts;
@@ -59,7 +59,7 @@
     /** As many as there is room for in the memory of an edge. */
     private static byte[] largest(long rev) throws InvalidConfiguration {
         byte[] body = routes(rev, MOST_ROUTES);
-        long weight = ConfigurationWeight.of(ConfigurationReader.read(body));
+        long weight = ConfigurationMemoryEstimate.of(ConfigurationReader.read(body));
         assertTrue(weight > LEAST_WEIGHT && weight < MOST_WEIGHT, "a weight of " + weight);
         return body;
     }
--- a/src/test/java/tinworks/edge/CoreFollowerTest.java
+++ b/src/test/java/tinworks/edge/CoreFollowerTest.java
@@ -99,7 +99,7 @@
     }
 
     private boolean use(long rev) {
-        return edge.apply(new Configuration(rev, List.of(), Map.of(), Limits.USUAL));
+        return edge.apply(new Configuration(rev, List.of(), Map.of(), Limits.DEFAULTS));
     }
 
     private void list(long term, long count) {
--- a/src/test/java/tinworks/edge/EdgeFixture.java
+++ b/src/test/java/tinworks/edge/EdgeFixture.java
@@ -78,7 +78,7 @@
                 loop,
                 Transport.TCP,
                 clock,
-                new ClientServer.Bounds(CONNECTIONS, LONG_NANOS, 0, Limits.USUAL.hdrBytes(), LARGEST, null),
+                new ClientServer.Bounds(CONNECTIONS, LONG_NANOS, 0, Limits.DEFAULTS.hdrBytes(), LARGEST, null),
                 requests);
         NodeProcess.run(loop, () -> clients.listen(new InetSocketAddress("127.0.0.1", 0)));
         NodeProcess.call(loop, () -> clients.address().getPort());
@@ -115,8 +115,8 @@
                 1,
                 List.of(new Split(name, 1)),
                 tries);
-        Configuration one =
-                new Configuration(1, List.of(route), Map.of(name, new Service(name, "/", CONNECTIONS)), Limits.USUAL);
+        Configuration one = new Configuration(
+                1, List.of(route), Map.of(name, new Service(name, "/", CONNECTIONS)), Limits.DEFAULTS);
         List<ServerInfo> servers = new ArrayList<>();
         for (String host : hosts) {
             servers.add(new ServerInfo(host, "", "", 0, Readiness.READY, 4, 0));
--- a/src/test/java/tinworks/edge/GracefulShutdownTest.java
+++ b/src/test/java/tinworks/edge/GracefulShutdownTest.java
@@ -128,7 +128,7 @@
                 1,
                 List.of(route("i", Configuration.Type.IDEM), route("m", Configuration.Type.MUTATING)),
                 Map.of("s", new Service("s", "/", 100)),
-                Limits.USUAL);
+                Limits.DEFAULTS);
         EdgeNode edge = NodeProcess.call(loop, () -> new EdgeNode(loop, clock, settings, 7));
         for (ChannelFuture bound : NodeProcess.call(loop, edge::start)) {
             bound.syncUninterruptibly();
--- a/src/test/java/tinworks/edge/PlannedMaintenanceTest.java
+++ b/src/test/java/tinworks/edge/PlannedMaintenanceTest.java
@@ -132,7 +132,7 @@
         for (int i = 0; i < rev % 7; i++) {
             routes.add(route("other-" + rev + "-" + i, "s", Configuration.Type.IDEM, 2));
         }
-        Limits limits = rev % 2 == 0 ? Limits.USUAL : new Limits(8_192, 1 << 16, 3_000, 15_000);
+        Limits limits = rev % 2 == 0 ? Limits.DEFAULTS : new Limits(8_192, 1 << 16, 3_000, 15_000);
         return new Configuration(
                 rev, routes, Map.of("s", new Service("s", "/", 100), "t", new Service("t", "/", 100)), limits);
     }
--- a/src/test/java/tinworks/edge/UnusedServicesTest.java
+++ b/src/test/java/tinworks/edge/UnusedServicesTest.java
@@ -36,8 +36,8 @@
         String service = "s-" + rev;
         Route route = new Route(
                 "r", "x.example", "/p/", Configuration.Type.IDEM, 1_000, 300, 1, List.of(new Split(service, 1)), 2);
-        return CompressedBytes.pack(ConfigurationCodec.write(
-                new Configuration(rev, List.of(route), Map.of(service, new Service(service, "/", 100)), Limits.USUAL)));
+        return CompressedBytes.compress(ConfigurationCodec.write(new Configuration(
+                rev, List.of(route), Map.of(service, new Service(service, "/", 100)), Limits.DEFAULTS)));
     }
 
     @Test
--- a/src/test/java/tinworks/invariant/InvariantTest.java
+++ b/src/test/java/tinworks/invariant/InvariantTest.java
@@ -20,7 +20,7 @@
         assertEquals(before, Invariant.NO_FAULT.violations());
         Invariant.NO_FAULT.check(false, () -> "made by a test");
         assertEquals(before + 1, Invariant.NO_FAULT.violations());
-        String page = new String(new MetricsPage().violations().text(), StandardCharsets.UTF_8);
+        String page = new String(new MetricsPage().invariantViolations().text(), StandardCharsets.UTF_8);
         String line = "tinworks_invariant_violations_total{invariant=\"no_fault\"} " + (before + 1);
         assertTrue(page.contains(line), page);
         assertEquals(
--- a/src/test/java/tinworks/json/AddressTest.java
+++ b/src/test/java/tinworks/json/AddressTest.java
@@ -17,8 +17,8 @@
 class AddressTest {
     @Test
     void numbersAreReadAndNothingElseIs() {
-        assertEquals(new InetSocketAddress("10.1.0.18", 8_080), Address.read("10.1.0.18:8080"));
-        assertEquals(new InetSocketAddress("255.0.255.0", 0), Address.read("255.0.255.0:0"));
+        assertEquals(new InetSocketAddress("10.1.0.18", 8_080), Address.parse("10.1.0.18:8080"));
+        assertEquals(new InetSocketAddress("255.0.255.0", 0), Address.parse("255.0.255.0:0"));
         for (String none : List.of(
                 "",
                 ":",
@@ -34,7 +34,7 @@
                 "10.1.0.18:65536",
                 "10.1.0.18:x",
                 "a.b.c.d:80")) {
-            assertThrows(IllegalArgumentException.class, () -> Address.read(none), none);
+            assertThrows(IllegalArgumentException.class, () -> Address.parse(none), none);
         }
     }
 
@@ -42,7 +42,7 @@
     @Timeout(value = 2, unit = TimeUnit.SECONDS)
     void aNameIsNotLookedUp() {
         for (int i = 0; i < 1_000; i++) {
-            assertFalse(Address.isOne("name-" + i + ".example:80"));
+            assertFalse(Address.isValid("name-" + i + ".example:80"));
         }
     }
 
--- a/src/test/java/tinworks/logging/FatalTest.java
+++ b/src/test/java/tinworks/logging/FatalTest.java
@@ -57,7 +57,7 @@
                     overflowStack(depth + 1);
                 }
             } catch (StackOverflowError e) {
-                Fatal.pass(new IllegalStateException("as a library tells it", e));
+                Fatal.reportIfFatal(new IllegalStateException("as a library tells it", e));
             }
         }
     }
@@ -107,9 +107,9 @@
     @Test
     void anErrorIsFoundBelowWhatALibraryMadeOfIt() {
         OutOfMemoryError error = new OutOfMemoryError("test");
-        assertSame(error, Fatal.in(error));
-        assertSame(error, Fatal.in(new IllegalStateException(new IOException(error))));
-        assertNull(Fatal.in(new IllegalStateException(new IOException("disk full"))));
-        Fatal.pass(new IOException("nothing happens"));
+        assertSame(error, Fatal.findError(error));
+        assertSame(error, Fatal.findError(new IllegalStateException(new IOException(error))));
+        assertNull(Fatal.findError(new IllegalStateException(new IOException("disk full"))));
+        Fatal.reportIfFatal(new IOException("nothing happens"));
     }
 }
--- a/src/test/java/tinworks/raft/RaftTest.java
+++ b/src/test/java/tinworks/raft/RaftTest.java
@@ -222,7 +222,7 @@
                 for (int command : node.state) {
                     boolean isTaken =
                             history.apply(ConfigurationHistory.command(0, command, new byte[] {(byte) command}))
-                                    == ConfigurationHistory.Verdict.TAKEN;
+                                    == ConfigurationHistory.Verdict.ACCEPTED;
                     assertTrue(
                             !isTaken || taken == 0 || taken == command,
                             "seed " + seed + ": " + taken + " and " + command);
