--- a/src/test/java/tinworks/control/MutantDaysTest.java
+++ b/src/test/java/tinworks/control/MutantDaysTest.java
@@ -20,14 +20,14 @@
 class MutantDaysTest {
     @ParameterizedTest
     @CsvSource({
-        "SYNC_SKIPPED,          OLD SHOWN,           13 22 25",
-        "DIRECTORY_NOT_SYNCED,     NOT ACKNOWLEDGED,    9 25 26",
-        "IDENTITY_KEPT,         OLD SHOWN,           1044",
-        "ALWAYS_FRESH,          READY BUT OLD,       17 34 86",
-        "ACKNOWLEDGED_BEFORE_COMMIT,         TWO OF ONE NUMBER,   1 4 5",
+        "SYNC_SKIPPED,               OLD SHOWN,           13 22 25",
+        "DIRECTORY_NOT_SYNCED,       NOT ACKNOWLEDGED,    9 25 26",
+        "IDENTITY_KEPT,              OLD SHOWN,           1044",
+        "ALWAYS_FRESH,               READY BUT OLD,       17 34 86",
+        "ACKNOWLEDGED_BEFORE_COMMIT, TWO OF ONE NUMBER,   1 4 5",
         "RETRIES_NOT_RECOGNIZED,     TAKEN AND REFUSED,   1 2 3",
-        "VERSIONS_NOT_COMPARED, EDGE WENT BACK,      4 22 23",
-        "VOTE_FORGOTTEN,        TWO LEADERS,         9 13 15",
+        "VERSIONS_NOT_COMPARED,      EDGE WENT BACK,      4 22 23",
+        "VOTE_FORGOTTEN,             TWO LEADERS,         9 13 15",
     })
     void daysDetectTheMutation(Mutation mutation, String rule, String seeds) {
         List<String> broken = new ArrayList<>();
