--- a/src/test/java/tinworks/edge/AtMostOnceSweep.java
+++ b/src/test/java/tinworks/edge/AtMostOnceSweep.java
@@ -17,57 +17,56 @@
 import tinworks.edge.EdgeFixture.Message;
 import tinworks.edge.FaultInjectingHost.AttemptEnding;
 import tinworks.edge.FaultInjectingHost.InjectedFault;
-import tinworks.edge.FaultInjectingHost.KnownOutcome;
+import tinworks.edge.FaultInjectingHost.Known;
 
 /**
- * Walks through the table of docs/design/at-most-once.md: each ending at each byte, for both kinds of requests, on a
- * connection's first use and on a later one, with a request sent ahead behind it and others between, by several
- * clients.
+ * Plays the table of docs/design/at-most-once.md: every ending of an attempt at every byte, for both kinds of requests,
+ * on new and on reused connections, with a pipelined request behind it and concurrent ones from other clients.
  */
 final class AtMostOnceSweep {
-    /** One cell of the table at one byte: at the first host that the request reaches, or at each. */
-    record Case(AttemptEnding ending, int position, boolean mutating, boolean reused, boolean everywhere) {}
+    /** One cell of the table at one byte, played at the first host that the request reaches or at each. */
+    record Case(AttemptEnding ending, int position, boolean mutating, boolean reused, boolean atEachHost) {}
 
-    /** What was played, how often again as it had not come about, and what broke a rule. */
-    record Report(int played, int again, Map<AttemptEnding, Integer> byEnding, List<String> faults) {}
+    /** The cases played, the retries of cases that did not come about as intended, and the violations found. */
+    record Report(int cases, int retries, Map<AttemptEnding, Integer> byEnding, List<String> failures) {}
 
     private static final long SEED = 20_261_202;
-    private static final long SHORT_MILLIS = 80;
-    private static final long LONG_MILLIS = 10_000;
+    private static final long SHORT_DEADLINE_MILLIS = 80;
+    private static final long LONG_DEADLINE_MILLIS = 10_000;
     private static final int WORKERS = 16;
-    private static final int MOST_AGAIN = 30;
-    private static final int FRESH_EVERY = 8;
-    private static final int KINDS = 4;
-    private static final int TRIES = 2;
+    private static final int MAX_RETRIES = 30;
+    private static final int NEW_SERVICE_EVERY = 8;
+    private static final int VARIANTS = 4;
+    private static final int MAX_ATTEMPTS = 2;
 
     private final EdgeFixture edge;
-    private final List<String> faults = FaultInjectingHost.faults();
-    private final Map<String, String> asked = new ConcurrentHashMap<>();
+    private final List<String> failures = FaultInjectingHost.newFailureList();
+    private final Map<String, String> sentRequests = new ConcurrentHashMap<>();
     private final AtomicInteger ids = new AtomicInteger();
-    private final AtomicInteger again = new AtomicInteger();
+    private final AtomicInteger retries = new AtomicInteger();
 
-    private AtMostOnceSweep(EdgeProtocol style) {
-        edge = new EdgeFixture(style);
+    private AtMostOnceSweep(EdgeProtocol protocol) {
+        edge = new EdgeFixture(protocol);
     }
 
     /**
-     * Each ending at each byte. Where all is sent, in two parts, each byte is played for one kind and use in turn;
-     * else, or where {@code all} are wanted, for both kinds and both uses. Beside these each ending is played at each
-     * host that the request reaches, each byte for one kind and use in turn.
+     * Every ending at every byte. Where everything is sent, in two parts, each byte is played with one combination of
+     * kind (mutating or not) and use (new or reused connection) in rotation. Otherwise, or with {@code all}, it is
+     * played with all four. In addition each ending is played at every host that the request reaches, in rotation too.
      */
-    static List<Case> cases(boolean all, Predicate<Case> wanted) {
+    static List<Case> cases(boolean all, Predicate<Case> filter) {
         List<Case> cases = new ArrayList<>();
         for (AttemptEnding ending : AttemptEnding.values()) {
             for (int position = 0; position < ending.positions(); position++) {
-                for (int kind = 0; kind < KINDS; kind++) {
-                    boolean inTurn = position % KINDS == kind;
-                    Case one = new Case(ending, position, kind % 2 == 0, kind < 2, false);
-                    if ((all || ending.isCut() || inTurn) && wanted.test(one)) {
-                        cases.add(one);
+                for (int kind = 0; kind < VARIANTS; kind++) {
+                    boolean inTurn = position % VARIANTS == kind;
+                    Case testCase = new Case(ending, position, kind % 2 == 0, kind < 2, false);
+                    if ((all || ending.isCut() || inTurn) && filter.test(testCase)) {
+                        cases.add(testCase);
                     }
-                    Case everywhere = new Case(ending, position, one.mutating, one.reused, true);
-                    if (inTurn && ending.mayBeEverywhere() && wanted.test(everywhere)) {
-                        cases.add(everywhere);
+                    Case atEachHost = new Case(ending, position, testCase.mutating, testCase.reused, true);
+                    if (inTurn && ending.canRepeatAtEachHost() && filter.test(atEachHost)) {
+                        cases.add(atEachHost);
                     }
                 }
             }
@@ -76,17 +75,17 @@
         return cases;
     }
 
-    static Report walk(EdgeProtocol style, List<Case> cases) throws Exception {
-        AtMostOnceSweep walk = new AtMostOnceSweep(style);
+    static Report run(EdgeProtocol protocol, List<Case> cases) throws Exception {
+        AtMostOnceSweep sweep = new AtMostOnceSweep(protocol);
         List<Thread> workers = new ArrayList<>();
-        try (walk.edge) {
+        try (sweep.edge) {
             for (int w = 0; w < WORKERS; w++) {
                 int number = w;
                 List<Case> part = new ArrayList<>();
                 for (int i = w; i < cases.size(); i += WORKERS) {
                     part.add(cases.get(i));
                 }
-                workers.add(new Thread(() -> walk.work(number, part)));
+                workers.add(new Thread(() -> sweep.runCases(number, part)));
             }
             workers.forEach(Thread::start);
             for (Thread worker : workers) {
@@ -94,42 +93,42 @@
             }
         }
         Map<AttemptEnding, Integer> byEnding = new TreeMap<>();
-        cases.forEach(one -> byEnding.merge(one.ending, 1, Integer::sum));
-        return new Report(cases.size(), walk.again.get(), byEnding, walk.faults);
+        cases.forEach(testCase -> byEnding.merge(testCase.ending, 1, Integer::sum));
+        return new Report(cases.size(), sweep.retries.get(), byEnding, sweep.failures);
     }
 
-    private void work(int number, List<Case> cases) {
-        try (FaultInjectingHost a = new FaultInjectingHost("a" + number, asked, faults);
-                FaultInjectingHost b = new FaultInjectingHost("b" + number, asked, faults);
-                FaultInjectingHost c = new FaultInjectingHost("c" + number, asked, faults);
+    private void runCases(int number, List<Case> cases) {
+        try (FaultInjectingHost a = new FaultInjectingHost("a" + number, sentRequests, failures);
+                FaultInjectingHost b = new FaultInjectingHost("b" + number, sentRequests, failures);
+                FaultInjectingHost c = new FaultInjectingHost("c" + number, sentRequests, failures);
                 Worker worker = new Worker(number, a, b, c)) {
-            for (Case one : cases) {
-                int tries = 0;
-                while (!worker.play(one)) {
-                    again.incrementAndGet();
-                    if (++tries > MOST_AGAIN) {
-                        faults.add("never came about: " + one);
+            for (Case testCase : cases) {
+                int repeats = 0;
+                while (!worker.runCase(testCase)) {
+                    retries.incrementAndGet();
+                    if (++repeats > MAX_RETRIES) {
+                        failures.add("never came about as intended: " + testCase);
                         break;
                     }
                 }
             }
-            worker.judgeAll();
+            worker.checkMutatingRequests();
         } catch (IOException | InterruptedException | RuntimeException e) {
-            faults.add("worker " + number + ": " + e + " at "
+            failures.add("worker " + number + ": " + e + " at "
                     + (e.getStackTrace().length > 0 ? List.of(e.getStackTrace()) : ""));
         }
     }
 
-    /** One host more than a request has tries, and clients that ask for one case after the other. */
+    /** Plays cases one after the other, with one host more than a request has attempts. */
     private final class Worker implements AutoCloseable {
         private final FaultInjectingHost[] hosts;
         private final String number;
         private final Random random;
         private Client client;
-        private Client between;
-        private int played;
-        /** Answers that promise that a request never runs, by its id. */
-        private final Map<String, Integer> promised = new TreeMap<>();
+        private Client secondClient;
+        private int casesRun;
+        /** Statuses that promise that a mutating request never runs, by request id. */
+        private final Map<String, Integer> refusalStatusById = new TreeMap<>();
 
         private final List<String> mutatingIds = new ArrayList<>();
 
@@ -138,133 +137,145 @@
             this.number = String.valueOf(number);
             random = new Random(SEED + number);
             client = edge.client();
-            between = edge.client();
+            secondClient = edge.client();
             for (FaultInjectingHost host : hosts) {
                 edge.host(host.id(), host.address(), true);
-                edge.route("warm-" + host.id(), Configuration.Type.IDEM, TRIES, host.id());
+                edge.route("warm-" + host.id(), Configuration.Type.IDEM, MAX_ATTEMPTS, host.id());
             }
         }
 
-        private String next() {
+        private String nextId() {
             return String.format("%07d", ids.incrementAndGet());
         }
 
-        private String ask(String id, String route, boolean mutating, long deadline) {
+        private String newRequest(String id, String route, boolean mutating, long deadline) {
             String body = mutating ? "body of " + id : "";
-            asked.put(id, (mutating ? "POST" : "GET") + " /" + route + "/" + id + "?q=%20" + id + " HTTP/1.1|" + body);
+            sentRequests.put(
+                    id, (mutating ? "POST" : "GET") + " /" + route + "/" + id + "?q=%20" + id + " HTTP/1.1|" + body);
             return EdgeFixture.request(id, route, body, deadline, random.nextBoolean());
         }
 
-        /** A plain request to each host, so that a connection to it rests; and the connection on which it came. */
-        private FaultInjectingHost.Connection warm(FaultInjectingHost host) throws IOException {
-            for (int tries = 0; tries < MOST_AGAIN; tries++) {
-                String id = next();
-                client.write(ask(id, "warm-" + host.id(), false, LONG_MILLIS));
-                Message answer = client.read();
-                if (answer != null && answer.status() == 200) {
-                    own(answer, id, "a plain request");
-                    return host.last;
+        /** Sends a plain request to a host, so that a connection to it is idle; returns that connection. */
+        private FaultInjectingHost.Connection openIdleConnection(FaultInjectingHost host) throws IOException {
+            for (int repeats = 0; repeats < MAX_RETRIES; repeats++) {
+                String id = nextId();
+                client.write(newRequest(id, "warm-" + host.id(), false, LONG_DEADLINE_MILLIS));
+                Message response = client.read();
+                if (response != null && response.status() == 200) {
+                    checkOwnResponse(response, id, "a plain request");
+                    return host.lastConnection;
                 }
                 edge.route("warm-" + host.id(), Configuration.Type.IDEM, 2, host.id());
-                again(answer);
+                reconnectIfClosed(response);
             }
-            faults.add("a host in good order was not reached");
+            failures.add("a working host was not reached");
             return null;
         }
 
-        private void again(Message answer) throws IOException {
-            if (answer == null || "close".equals(answer.headers().get("connection"))) {
+        private void reconnectIfClosed(Message response) throws IOException {
+            if (response == null || "close".equals(response.headers().get("connection"))) {
                 client.close();
                 client = edge.client();
             }
         }
 
-        private String[] names() {
+        private String[] hostIds() {
             return Stream.of(hosts).map(FaultInjectingHost::id).toArray(String[]::new);
         }
 
-        /** Whether it came about. */
-        boolean play(Case one) throws IOException, InterruptedException {
-            AttemptEnding ending = one.ending;
+        /** Plays a case; returns whether it came about as intended. */
+        boolean runCase(Case testCase) throws IOException, InterruptedException {
+            AttemptEnding ending = testCase.ending;
             for (FaultInjectingHost host : hosts) {
-                host.play = null;
+                host.injected = null;
             }
-            edge.hosts(one.reused, hosts);
-            if (one.reused) {
+            edge.hosts(testCase.reused, hosts);
+            if (testCase.reused) {
                 for (FaultInjectingHost host : hosts) {
-                    warm(host);
+                    openIdleConnection(host);
                 }
             }
-            String route = (one.mutating ? "mutating-" : "idem-") + number;
+            String route = (testCase.mutating ? "mutating-" : "idem-") + number;
             String plain = "plain-" + number;
-            edge.route(route, one.mutating ? Configuration.Type.MUTATING : Configuration.Type.IDEM, TRIES, names());
-            if (++played % FRESH_EVERY == 1) {
-                edge.route(plain, Configuration.Type.IDEM, TRIES, names());
+            edge.route(
+                    route,
+                    testCase.mutating ? Configuration.Type.MUTATING : Configuration.Type.IDEM,
+                    MAX_ATTEMPTS,
+                    hostIds());
+            if (++casesRun % NEW_SERVICE_EVERY == 1) {
+                edge.route(plain, Configuration.Type.IDEM, MAX_ATTEMPTS, hostIds());
             }
-            InjectedFault play = new InjectedFault(ending, one.position, next(), one.everywhere);
-            if (one.mutating) {
-                mutatingIds.add(play.id);
+            InjectedFault fault = new InjectedFault(ending, testCase.position, nextId(), testCase.atEachHost);
+            if (testCase.mutating) {
+                mutatingIds.add(fault.id);
             }
             for (FaultInjectingHost host : hosts) {
-                host.play = play;
+                host.injected = fault;
             }
-            boolean leaves = ending == AttemptEnding.LEFT;
-            boolean others = !leaves && ending != AttemptEnding.REQUEST_CUT && random.nextBoolean();
-            String behind = others ? next() : null;
-            String beside = others ? next() : null;
-            // What is served whole needs no time to run out.
-            long deadline = ending.waitsLong() && ending.known(one.position) != KnownOutcome.SERVED
-                    ? SHORT_MILLIS
-                    : LONG_MILLIS;
-            String text = ask(play.id, route, one.mutating, deadline);
-            client.write(others ? text + ask(behind, plain, false, LONG_MILLIS) : text);
-            if (others && play.begun.await(one.reused ? 2_000 : 0, TimeUnit.MILLISECONDS)) {
-                between.write(ask(beside, plain, false, LONG_MILLIS));
-            } else if (others) {
-                between.write(ask(beside, plain, false, LONG_MILLIS));
+            boolean disconnects = ending == AttemptEnding.CLIENT_DISCONNECTED;
+            boolean withOthers = !disconnects && ending != AttemptEnding.REQUEST_CUT && random.nextBoolean();
+            String pipelinedId = withOthers ? nextId() : null;
+            String concurrentId = withOthers ? nextId() : null;
+            // A request that is served does not have to wait for its deadline.
+            long deadline = ending.waitsForDeadline() && ending.known(testCase.position) != Known.SERVED
+                    ? SHORT_DEADLINE_MILLIS
+                    : LONG_DEADLINE_MILLIS;
+            String text = newRequest(fault.id, route, testCase.mutating, deadline);
+            client.write(withOthers ? text + newRequest(pipelinedId, plain, false, LONG_DEADLINE_MILLIS) : text);
+            if (withOthers && fault.begun.await(testCase.reused ? 2_000 : 0, TimeUnit.MILLISECONDS)) {
+                secondClient.write(newRequest(concurrentId, plain, false, LONG_DEADLINE_MILLIS));
+            } else if (withOthers) {
+                secondClient.write(newRequest(concurrentId, plain, false, LONG_DEADLINE_MILLIS));
             }
-            if (leaves) {
-                return left(play, one);
+            if (disconnects) {
+                return checkClientDisconnect(fault, testCase);
             }
-            Message answer = client.read();
-            judge(one, play, answer);
-            if (others) {
-                own(client.read(), behind, "behind " + one);
-                own(between.read(), beside, "beside " + one);
+            Message response = client.read();
+            checkResponse(testCase, fault, response);
+            if (withOthers) {
+                checkOwnResponse(client.read(), pipelinedId, "pipelined behind " + testCase);
+                checkOwnResponse(secondClient.read(), concurrentId, "concurrent with " + testCase);
             }
-            again(answer);
-            if (!play.isTaken()) {
+            reconnectIfClosed(response);
+            if (!fault.isClaimed()) {
                 return false;
             }
-            if (!play.done.await(EdgeFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS)) {
-                faults.add("the host is not done with " + one);
+            if (!fault.done.await(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS)) {
+                failures.add("the host has not completed " + testCase);
             }
-            boolean asWanted = play.reused == one.reused;
-            boolean lives = ending.lives(one.position) && one.reused && !others && asWanted && !one.everywhere;
+            boolean asIntended = fault.reused == testCase.reused;
+            boolean expectsReuse = ending.leavesConnectionReusable(testCase.position)
+                    && testCase.reused
+                    && !withOthers
+                    && asIntended
+                    && !testCase.atEachHost;
             for (FaultInjectingHost host : hosts) {
-                host.play = null;
+                host.injected = null;
             }
-            if (lives && warm(play.host) != play.connection) {
-                faults.add("its connection does not live: " + one);
+            if (expectsReuse && openIdleConnection(fault.host) != fault.connection) {
+                failures.add("its connection is not reused: " + testCase);
             }
-            return asWanted;
+            return asIntended;
         }
 
-        /** The client goes away while its request is at the host: nobody else gets it, and its connection ends. */
-        private boolean left(InjectedFault play, Case one) throws IOException, InterruptedException {
-            boolean begun = play.begun.await(EdgeFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+        /**
+         * The client disconnects while its request is at the host: no other host gets it, and the connection is closed.
+         */
+        private boolean checkClientDisconnect(InjectedFault fault, Case testCase)
+                throws IOException, InterruptedException {
+            boolean begun = fault.begun.await(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS);
             client.close();
             client = edge.client();
-            if (!begun || !play.done.await(EdgeFixture.PATIENCE_MILLIS, TimeUnit.MILLISECONDS)) {
-                faults.add("the host is not told that the client left: " + one);
+            if (!begun || !fault.done.await(EdgeFixture.WAIT_MILLIS, TimeUnit.MILLISECONDS)) {
+                failures.add("the host did not notice the disconnect of the client: " + testCase);
             }
-            if (sum(play.id, true) != 1) {
-                faults.add("arrived " + sum(play.id, true) + " times: " + one);
+            if (count(fault.id, true) != 1) {
+                failures.add("arrived " + count(fault.id, true) + " times: " + testCase);
             }
-            return play.reused == one.reused;
+            return fault.reused == testCase.reused;
         }
 
-        private int sum(String id, boolean arrivals) {
+        private int count(String id, boolean arrivals) {
             int sum = 0;
             for (FaultInjectingHost host : hosts) {
                 sum += (arrivals ? host.arrivals : host.runs).getOrDefault(id, 0);
@@ -272,61 +283,63 @@
             return sum;
         }
 
-        /** MIXED: an answer, whole, to this request. */
-        private void own(Message answer, String id, String what) {
-            boolean own = answer != null
-                    && answer.status() == 200
-                    && id.equals(answer.headers().get("attempt-id"))
-                    && ("s" + id).equals(answer.headers().get("origin-seal"))
-                    && FaultInjectingHost.body(id).equals(answer.body());
-            if (!own) {
-                faults.add("MIXED: " + answer + " for " + id + ", " + what);
+        /** Rule MIXED: the response is complete and belongs to this request. */
+        private void checkOwnResponse(Message response, String id, String what) {
+            boolean isOwn = response != null
+                    && response.status() == 200
+                    && id.equals(response.headers().get("attempt-id"))
+                    && ("s" + id).equals(response.headers().get("origin-seal"))
+                    && FaultInjectingHost.body(id).equals(response.body());
+            if (!isOwn) {
+                failures.add("MIXED: " + response + " for " + id + ", " + what);
             }
         }
 
-        private void judge(Case one, InjectedFault play, Message answer) {
-            int status = answer == null ? 0 : answer.status();
-            if (one.mutating && (status == 429 || status == 503 || status == 408 || status == 421)) {
-                promised.put(play.id, status);
+        private void checkResponse(Case testCase, InjectedFault fault, Message response) {
+            int status = response == null ? 0 : response.status();
+            if (testCase.mutating && (status == 429 || status == 503 || status == 408 || status == 421)) {
+                refusalStatusById.put(fault.id, status);
             }
-            judgeSeal(one, play, answer);
-            if (sum(play.id, true) > TRIES) {
-                faults.add("BUDGET: reached " + sum(play.id, true) + " hosts: " + one);
+            checkSeal(testCase, fault, response);
+            if (count(fault.id, true) > MAX_ATTEMPTS) {
+                failures.add("BUDGET: reached " + count(fault.id, true) + " hosts: " + testCase);
             }
-            if (!play.isTaken()) {
-                return; // its time ran out, or its connection broke, before it reached a host
+            if (!fault.isClaimed()) {
+                return; // it timed out, or its connection broke, before it reached a host
             }
-            KnownOutcome known = one.ending.known(one.position);
+            Known known = testCase.ending.known(testCase.position);
             if (status == 200) {
-                own(answer, play.id, one.toString());
+                checkOwnResponse(response, fault.id, testCase.toString());
             }
-            int wanted = one.everywhere
-                    ? wantedWhereAllEndSo(known, one.mutating, status)
-                    : wanted(known, one.mutating, status);
-            if (status != wanted) {
-                faults.add("answered " + status + ", not " + wanted + ": " + one + " on a "
-                        + (play.reused ? "used" : "new") + " connection");
+            int expected = testCase.atEachHost
+                    ? expectedStatusIfAllHostsFail(known, testCase.mutating, status)
+                    : expectedStatus(known, testCase.mutating, status);
+            if (status != expected) {
+                failures.add("got status " + status + ", not " + expected + ": " + testCase + " on a "
+                        + (fault.reused ? "used" : "new") + " connection");
             }
-            boolean elsewhere = one.mutating && known != KnownOutcome.NOT_RUN;
-            if (elsewhere && sum(play.id, true) > 1) {
-                faults.add("went to another host though it may have run: " + one);
+            boolean mustNotRetry = testCase.mutating && known != Known.NOT_RUN;
+            if (mustNotRetry && count(fault.id, true) > 1) {
+                failures.add("sent to another host although it may have run: " + testCase);
             }
         }
 
-        /** MIXED: a host's seal goes with the status that the host gave, and never with an answer of the edge's own. */
-        private void judgeSeal(Case one, InjectedFault play, Message answer) {
-            String seal = answer == null ? null : answer.headers().get("origin-seal");
-            if (seal != null && !seal.equals(FaultInjectingHost.seal(play.id, answer.status()))) {
-                faults.add("MIXED: " + answer.status() + " bears " + seal + ": " + one);
+        /**
+         * Rule MIXED: a host's seal comes only with the status that the host gave, never with the edge's own response.
+         */
+        private void checkSeal(Case testCase, InjectedFault fault, Message response) {
+            String seal = response == null ? null : response.headers().get("origin-seal");
+            if (seal != null && !seal.equals(FaultInjectingHost.seal(fault.id, response.status()))) {
+                failures.add("MIXED: " + response.status() + " carries the seal " + seal + ": " + testCase);
             }
         }
 
-        /** Where the other hosts serve. */
-        private int wanted(KnownOutcome known, boolean mutating, int status) {
+        /** The status expected if the other hosts serve. */
+        private int expectedStatus(Known known, boolean mutating, int status) {
             return switch (known) {
                 case SERVED, NOT_RUN -> 200;
                 case FAILED -> mutating ? 500 : 200;
-                case FAILED_ODDLY -> mutating ? FaultInjectingHost.ODD_STATUS : 200;
+                case FAILED_UNUSUAL_STATUS -> mutating ? FaultInjectingHost.UNUSUAL_STATUS : 200;
                 case UNKNOWN -> mutating ? 502 : 200;
                 case TIMED_OUT -> mutating ? 502 : 503;
                 case SERVED_OR_UNKNOWN -> status == 200 || status == 502 ? status : 200;
@@ -335,27 +348,27 @@
             };
         }
 
-        /** Where no host serves an idem request is refused, and a mutating one too if none ran it. */
-        private int wantedWhereAllEndSo(KnownOutcome known, boolean mutating, int status) {
+        /** If no host serves, an idempotent request is refused, and a mutating one only if no host ran it. */
+        private int expectedStatusIfAllHostsFail(Known known, boolean mutating, int status) {
             return switch (known) {
                 case SERVED -> 200;
                 case NOT_RUN -> 503;
                 case SERVED_OR_UNKNOWN -> status == 200 ? 200 : mutating ? 502 : 503;
-                case FAILED, FAILED_ODDLY, UNKNOWN, TIMED_OUT, SERVED_OR_LATE, FAILED_OR_LATE ->
-                    mutating || status == 200 ? wanted(known, mutating, status) : 503;
+                case FAILED, FAILED_UNUSUAL_STATUS, UNKNOWN, TIMED_OUT, SERVED_OR_LATE, FAILED_OR_LATE ->
+                    mutating || status == 200 ? expectedStatus(known, mutating, status) : 503;
             };
         }
 
-        /** TWICE and REFUSED, once all that was sent has come. */
-        void judgeAll() {
+        /** Rules TWICE and REFUSED, once everything sent has arrived. */
+        void checkMutatingRequests() {
             for (String id : mutatingIds) {
-                if (sum(id, false) > 1) {
-                    faults.add("TWICE: " + id);
+                if (count(id, false) > 1) {
+                    failures.add("TWICE: " + id);
                 }
             }
-            promised.forEach((id, status) -> {
-                if (sum(id, false) > 0) {
-                    faults.add("REFUSED: " + id + " ran and was answered " + status);
+            refusalStatusById.forEach((id, status) -> {
+                if (count(id, false) > 0) {
+                    failures.add("REFUSED: " + id + " ran, but the client got " + status);
                 }
             });
         }
@@ -363,7 +376,7 @@
         @Override
         public void close() throws IOException {
             client.close();
-            between.close();
+            secondClient.close();
         }
     }
 }
--- a/src/test/java/tinworks/edge/EdgeWarmUpTest.java
+++ b/src/test/java/tinworks/edge/EdgeWarmUpTest.java
@@ -14,7 +14,7 @@
 import tinworks.net.MonotonicClock;
 import tinworks.node.NodeProcess;
 
-/** An edge's warm-up before it calls itself ready. */
+/** The warm-up of an edge: it sends requests through the edge's components, and ends when a client connects. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class EdgeWarmUpTest {
     private final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
@@ -25,22 +25,22 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(5_000);
     }
 
-    private EdgeWarmUp.Result play(boolean clientThere) {
-        CompletableFuture<EdgeWarmUp.Result> played = new CompletableFuture<>();
+    private EdgeWarmUp.Result warmUp(boolean clientPresent) {
+        CompletableFuture<EdgeWarmUp.Result> result = new CompletableFuture<>();
         NodeProcess.run(
-                loop, () -> new EdgeWarmUp(loop, new MonotonicClock(), () -> clientThere, played::complete).start());
-        return played.join();
+                loop, () -> new EdgeWarmUp(loop, new MonotonicClock(), () -> clientPresent, result::complete).start());
+        return result.join();
     }
 
     @Test
-    void itsRequestsAreServedThroughTheEdgesOwnParts() {
-        EdgeWarmUp.Result played = play(false);
-        assertTrue(played.answered() > 100, played.toString());
-        assertTrue(played.served() * 10 >= played.answered() * 9L, "nearly all by a host: " + played);
+    void requestsAreServedThroughTheEdgesComponents() {
+        EdgeWarmUp.Result result = warmUp(false);
+        assertTrue(result.responses() > 100, result.toString());
+        assertTrue(result.served() * 10 >= result.responses() * 9L, "nearly all are served by a host: " + result);
     }
 
     @Test
-    void itEndsWithTheFirstAnswerOnceAClientIsThere() {
-        assertEquals(1, play(true).answered());
+    void endsWithTheFirstResponseOnceAClientIsConnected() {
+        assertEquals(1, warmUp(true).responses());
     }
 }
