--- a/src/main/java/tinworks/config/ConfigurationReader.java
+++ b/src/main/java/tinworks/config/ConfigurationReader.java
@@ -59,7 +59,7 @@
         } catch (IOException e) {
             throw new InvalidConfiguration(
                     "",
-                    "cannot be parsed as JSON: "
+                    "can't be read as JSON: "
                             + e.getMessage().lines().findFirst().orElse(""));
         }
         if (!isObject) {
@@ -163,7 +163,7 @@
             Service service = service(entry, at);
             addMemoryBytes(ConfigurationMemoryEstimate.of(service));
             if (services.put(service.name(), service) != null) {
-                throw new InvalidConfiguration(at + "name", "duplicate service name '" + service.name() + "'");
+                throw new InvalidConfiguration(at + "name", "a second service '" + service.name() + "'");
             }
         }
 
@@ -200,7 +200,7 @@
         private static void requireArray(Object array, String name, InvalidConfiguration error)
                 throws InvalidConfiguration {
             if (array == null) {
-                throw new InvalidConfiguration(name, "must be an array");
+                throw new InvalidConfiguration(name, "wanted an array");
             }
             if (error != null) {
                 throw error;
@@ -216,7 +216,7 @@
                     if (!services.containsKey(service)) {
                         String where = singleService.get(i) ? "svc" : "split[" + part + "].svc";
                         throw new InvalidConfiguration(
-                                ROUTES + "[" + i + "]." + where, "service '" + service + "' is not defined in svcs");
+                                ROUTES + "[" + i + "]." + where, "no service '" + service + "' in svcs");
                     }
                 }
             }
@@ -232,10 +232,10 @@
         String check = entry.field("check").value() == null ? "/" : text(entry, at, "check");
         String proto = entry.field("proto").text();
         if (!proto.isEmpty() && !proto.equals("h1")) {
-            throw new InvalidConfiguration(at + "proto", "only h1 is supported, not '" + proto + "'");
+            throw new InvalidConfiguration(at + "proto", "only h1 is spoken, not '" + proto + "'");
         }
         if (entry.field("tls").isTrue()) {
-            throw new InvalidConfiguration(at + "tls", "TLS to hosts is not supported");
+            throw new InvalidConfiguration(at + "tls", "TLS to hosts is not spoken");
         }
         return new Service(
                 name, check, (int) wholeNumber(entry, at, "maxconn", 1, Integer.MAX_VALUE, (long) Integer.MAX_VALUE));
@@ -246,13 +246,13 @@
         String domain = shared.intern(text(entry, at, "domain").toLowerCase(Locale.ROOT));
         String prefix = text(entry, at, "prefix");
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
-            throw new InvalidConfiguration(at + "prefix", "must begin and end with a slash: '" + prefix + "'");
+            throw new InvalidConfiguration(at + "prefix", "wanted a slash at both ends of '" + prefix + "'");
         }
         String typeName = text(entry, at, "type");
         Configuration.Type type = switch (typeName) {
             case "idem" -> Configuration.Type.IDEM;
             case "mutating" -> Configuration.Type.MUTATING;
-            default -> throw new InvalidConfiguration(at + "type", "must be idem or mutating, not '" + typeName + "'");
+            default -> throw new InvalidConfiguration(at + "type", "wanted idem or mutating, not '" + typeName + "'");
         };
         long timeout = wholeNumber(entry, at, "timeoutMs", 1, Integer.MAX_VALUE, null);
         long target = wholeNumber(entry, at, "targetMs", 1, Integer.MAX_VALUE, timeout);
@@ -266,7 +266,7 @@
             return shared.internSplits(List.of(new Split(shared.intern(text(entry, at, "svc")), 1)));
         }
         if (!entry.field("split").isArray()) {
-            throw new InvalidConfiguration(at + "split", "must be an array");
+            throw new InvalidConfiguration(at + "split", "wanted an array");
         }
         List<Split> parts = new ArrayList<>();
         double sum = 0;
@@ -275,13 +275,13 @@
             String here = at + "split[" + i++ + "].";
             double weight = part.field("weight").number(Double.NaN).doubleValue();
             if (!(weight >= 0 && weight < 1e12)) {
-                throw new InvalidConfiguration(here + "weight", "must be a number from 0 to below 1e12");
+                throw new InvalidConfiguration(here + "weight", "wanted a number that isn't below 0");
             }
             parts.add(new Split(shared.intern(text(part, here, "svc")), weight));
             sum += weight;
         }
         if (sum <= 0) {
-            throw new InvalidConfiguration(at + "split", "the sum of the weights must be above 0");
+            throw new InvalidConfiguration(at + "split", "the weights sum to 0");
         }
         return shared.internSplits(List.copyOf(parts));
     }
@@ -298,8 +298,7 @@
     private static String text(Json entry, String at, String name) throws InvalidConfiguration {
         Json field = entry.field(name);
         if (!field.isText() || field.text().isEmpty()) {
-            throw new InvalidConfiguration(
-                    at + name, field.value() == null ? "is missing" : "must be a non-empty string");
+            throw new InvalidConfiguration(at + name, field.value() == null ? "is missing" : "wanted a text");
         }
         return field.text();
     }
@@ -317,7 +316,7 @@
                     at + name,
                     field.value() == null
                             ? "is missing"
-                            : "must be an integer from " + min + " to " + max + ", not " + field.text());
+                            : "wanted a whole number from " + min + " to " + max + ", not " + field.text());
         }
         return value;
     }
--- a/src/main/java/tinworks/config/InvalidConfiguration.java
+++ b/src/main/java/tinworks/config/InvalidConfiguration.java
@@ -21,7 +21,7 @@
     /** For a configuration that takes more memory than a node can hold. */
     static InvalidConfiguration tooLarge(long maxBytes) {
         return new InvalidConfiguration(
-                "", "configuration needs more than the limit of " + maxBytes + " bytes of memory", true);
+                "", "takes more than the " + maxBytes + " bytes of memory that a configuration may take", true);
     }
 
     /** Whether the configuration was rejected for its size alone. */
--- a/src/main/java/tinworks/control/OperatorCalls.java
+++ b/src/main/java/tinworks/control/OperatorCalls.java
@@ -114,7 +114,7 @@
                             new CallResponse(
                                     0,
                                     TOO_LARGE,
-                                    errorBody("", "over " + MAX_COMMAND_BYTES + " bytes when compressed")));
+                                    errorBody("", "over " + MAX_COMMAND_BYTES + " bytes when it is packed")));
         } catch (InvalidConfiguration e) {
             LOG.info("rejected a configuration: {}", e.getMessage());
             int status = e.isTooLarge() ? TOO_LARGE : INVALID;
@@ -151,7 +151,7 @@
             LOG.debug("{} is not a number", BASE_REV_HEADER, e);
         }
         throw new InvalidConfiguration(
-                BASE_REV_HEADER, "header required exactly once, with the number of the base version");
+                BASE_REV_HEADER, "wanted the header once, with the number of the version built on");
     }
 
     // ---- calls from operators and calls forwarded by other core nodes
@@ -213,7 +213,7 @@
             if (now >= call.deadlineMillis) {
                 remove(entry.getKey());
                 call.callback.accept(new CallResponse(
-                        entry.getKey(), OUTCOME_UNKNOWN, errorBody("", "no response from a leader in time")));
+                        entry.getKey(), OUTCOME_UNKNOWN, errorBody("", "no answer from a leader in time")));
             } else {
                 call.inProgress &= call.forwardedTo == null || call.forwardedTo.isOpen();
                 process(entry.getKey(), call);
@@ -320,7 +320,7 @@
             case CONFLICT ->
                 new CallResponse(0, CONFLICT, errorBody(BASE_REV_HEADER, "the current version is " + current));
             case VERSION_NOT_INCREASED ->
-                new CallResponse(0, INVALID, errorBody("rev", "must be above the base version"));
+                new CallResponse(0, INVALID, errorBody("rev", "not above the version that it builds on"));
             case OUTSIDE_WINDOW -> null;
         };
     }
--- a/src/main/java/tinworks/control/OperatorServer.java
+++ b/src/main/java/tinworks/control/OperatorServer.java
@@ -46,8 +46,8 @@
     static final int MAX_BODIES_BYTES = 2 * ConfigurationHistory.MAX_BODY_BYTES;
 
     private static final byte[] OVERLOADED_BODY = errorBody("too many calls at once");
-    private static final byte[] SHUTTING_DOWN_BODY = errorBody("core node is shutting down");
-    private static final byte[] VALIDATION_FAILED_BODY = errorBody("the configuration could not be validated");
+    private static final byte[] SHUTTING_DOWN_BODY = errorBody("this machine ends");
+    private static final byte[] VALIDATION_FAILED_BODY = errorBody("the configuration could not be checked");
     private static final long RETRY_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
     private final EventLoop loop;
--- a/src/main/java/tinworks/json/Json.java
+++ b/src/main/java/tinworks/json/Json.java
@@ -64,7 +64,7 @@
                 value(parser);
             }
             if (parser.nextToken() != null) {
-                throw new JsonParseException(parser, "unexpected content after the value");
+                throw new JsonParseException(parser, "something stands behind the value");
             }
             return isObject;
         }
@@ -96,7 +96,7 @@
         } else if (token == JsonToken.VALUE_NULL) {
             return null;
         }
-        throw new JsonParseException(parser, "expected a value, got " + token);
+        throw new JsonParseException(parser, "no value, but " + token);
     }
 
     /** A field of an object; its value is null if this is not an object or lacks the field. */
