--- a/src/main/java/tinworks/edge/EdgePages.java
+++ b/src/main/java/tinworks/edge/EdgePages.java
@@ -46,7 +46,7 @@
             default ->
                 throw new BadRequest(
                         HttpResponseStatus.NOT_FOUND,
-                        "only " + READYZ + ", " + METRICS + " and " + REQUESTS + " are served here");
+                        "only " + READYZ + ", " + METRICS + " and " + REQUESTS + " are asked here");
         }
     }
 
--- a/src/main/java/tinworks/edge/EdgeProtocol.java
+++ b/src/main/java/tinworks/edge/EdgeProtocol.java
@@ -98,7 +98,7 @@
         long retryAfterNanos = Math.max(pauseNanos, MIN_RETRY_AFTER_NANOS);
         reply.text(
                 HttpResponseStatus.SERVICE_UNAVAILABLE,
-                "request not run: retry later",
+                "not run: come back later",
                 retryAfterNanos + random.nextLong(retryAfterNanos));
     }
 
--- a/src/main/java/tinworks/edge/RequestRouter.java
+++ b/src/main/java/tinworks/edge/RequestRouter.java
@@ -76,16 +76,16 @@
         }
         List<String> domains = request.headers().getAll(HttpHeaderNames.HOST);
         if (!isPrintableAscii(request.uri()) || domains.size() > 1) {
-            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "invalid path, or more than one Host header");
+            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "can't read the path, or more than one Host");
         }
         Target target = routes.find(domains.isEmpty() ? null : domains.get(0), request.uri());
         if (target == null) {
-            throw new BadRequest(HttpResponseStatus.NOT_FOUND, "no route for this host and path");
+            throw new BadRequest(HttpResponseStatus.NOT_FOUND, "no route");
         }
         Route route = target.route();
         List<String> ids = request.headers().getAll(EdgeProtocol.ATTEMPT_ID);
         if (ids.size() != 1 || ids.get(0).isEmpty()) {
-            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "missing or repeated " + EdgeProtocol.ATTEMPT_ID);
+            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "wanted one " + EdgeProtocol.ATTEMPT_ID);
         }
         long now = clock.nanos();
         long remaining = TimeUnit.MILLISECONDS.toNanos(Math.min(route.timeoutMs(), deadlineMillis(request, route)))
@@ -126,7 +126,7 @@
         try {
             return Math.max(0, text.indexOf('.') < 0 ? Long.parseLong(text) : (long) Double.parseDouble(text));
         } catch (NumberFormatException e) {
-            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "invalid " + EdgeProtocol.DEADLINE_MS);
+            throw new BadRequest(HttpResponseStatus.BAD_REQUEST, "can't read " + EdgeProtocol.DEADLINE_MS);
         }
     }
 
