--- a/src/main/java/tinworks/edge/CoreFollower.java
+++ b/src/main/java/tinworks/edge/CoreFollower.java
@@ -141,28 +141,28 @@
     // ---- messages received
 
     @Override
-    public void opened(PeerConnection conversation) {
+    public void opened(PeerConnection connection) {
         // The core node announces itself.
     }
 
     @Override
-    public void closed(PeerConnection conversation) {
+    public void closed(PeerConnection connection) {
         // A pending pull is repeated on the next announcement of another core node.
     }
 
     @Override
-    public void received(PeerConnection from, PeerMessage signal) {
-        if (signal instanceof Announce s) {
+    public void received(PeerConnection from, PeerMessage message) {
+        if (message instanceof Announce s) {
             announcementReceived(from, s);
-        } else if (signal instanceof ConfigurationBody s) {
+        } else if (message instanceof ConfigurationBody s) {
             startDecoding(
                     s.rev(),
                     () -> ConfigurationCodec.read(CompressedBytes.decompress(s.compressed(), MAX_CONFIGURATION_BYTES)));
-        } else if (signal instanceof ConfigurationChanged s) {
+        } else if (message instanceof ConfigurationChanged s) {
             changeReceived(from, s);
-        } else if (signal instanceof Hosts s) {
+        } else if (message instanceof Hosts s) {
             hostsReceived(s.list());
-        } else if (signal instanceof HostsChanged s) {
+        } else if (message instanceof HostsChanged s) {
             if (s.change().base().isSameAs(hostList.version())) {
                 hostsReceived(s.change().applyTo(hostList));
             }
--- a/src/main/java/tinworks/edge/EdgeMetrics.java
+++ b/src/main/java/tinworks/edge/EdgeMetrics.java
@@ -116,7 +116,7 @@
         String help = "Bytes of message bodies held in memory";
         page.gauge("body_bytes", help, (double) memory.shortRequests().reservedBytes(), "of", "short_requests")
                 .gauge("body_bytes", help, (double) memory.longRequests().reservedBytes(), "of", "long_requests")
-                .gauge("body_bytes", help, (double) memory.answers().reservedBytes(), "of", "long_answers")
+                .gauge("body_bytes", help, (double) memory.responses().reservedBytes(), "of", "long_answers")
                 .gauge("head_bytes", "Bytes of request heads held in memory", (double)
                         memory.heads().reservedBytes());
     }
--- a/src/main/java/tinworks/edge/EdgeNode.java
+++ b/src/main/java/tinworks/edge/EdgeNode.java
@@ -126,7 +126,7 @@
                 clock,
                 new HostPool.Bounds(
                         CONNECT_TIMEOUT_NANOS, HOST_IDLE_TIMEOUT_NANOS, connectionLimit(), MAX_RESPONSE_BYTES),
-                memory.answers(),
+                memory.responses(),
                 protocol);
         requests = new RequestRouter(clock, random, protocol, services);
         clients = new ClientServer(
@@ -137,7 +137,7 @@
                 memory.requestBodies(),
                 memory.heads(),
                 requests);
-        clients.dropSlowReadersWhile(memory.answers()::hasWaiters);
+        clients.dropSlowReadersWhile(memory.responses()::hasWaiters);
         probes = new ClientServer(
                 loop,
                 Transport.TCP,
@@ -380,8 +380,8 @@
     }
 
     /**
-     * Closes the decision module of each service that the configuration no longer names, once its last request has
-     * ended. Otherwise memory and the metrics page would grow with every service that ever existed.
+     * Closes the load balancer of each service that the configuration no longer names, once its last request has ended.
+     * Otherwise memory and the metrics page would grow with every service that ever existed.
      */
     private void closeUnusedServices() {
         Configuration configuration = core.configuration();
@@ -403,7 +403,7 @@
         return core;
     }
 
-    /** The number of services with a decision module. */
+    /** The number of services with a load balancer. */
     int serviceCount() {
         return services.size();
     }
--- a/src/main/java/tinworks/edge/EdgePages.java
+++ b/src/main/java/tinworks/edge/EdgePages.java
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
+    public void onRequest(FullHttpRequest request, long receivedAt, Reply reply) throws BadRequest {
         switch (request.uri()) {
             case METRICS -> write(reply, MetricsPage.CONTENT_TYPE, metrics.get().text());
             case REQUESTS -> write(reply, PLAIN_TEXT, journal.page());
--- a/src/main/java/tinworks/edge/EdgeProtocol.java
+++ b/src/main/java/tinworks/edge/EdgeProtocol.java
@@ -25,8 +25,8 @@
 import tinworks.policy.LoadBalancerApi.Outcome;
 
 /**
- * The protocol between clients, edges and hosts: its headers and statuses, and what they prove of an attempt. It
- * decides nothing about where a request is sent.
+ * The protocol between clients, edges and hosts: its headers and statuses, and what they prove about an attempt. It
+ * does not decide where a request is sent.
  */
 class EdgeProtocol implements ForwardingProtocol, HostPool.ResponseClassifier {
     static final AsciiString ATTEMPT_ID = AsciiString.cached("Attempt-Id");
@@ -92,7 +92,7 @@
         reply.write(response.head().status(), headers, response.body().retain(), 0);
     }
 
-    /** Adds jitter to the retry hint, so that clients refused at one moment do not all retry at another. */
+    /** Adds jitter to the retry hint, so that clients that are refused together do not all retry together. */
     @Override
     public void refuse(Reply reply, long pauseNanos) {
         long retryAfterNanos = Math.max(pauseNanos, MIN_RETRY_AFTER_NANOS);
--- a/src/main/java/tinworks/edge/EndToEndHeaders.java
+++ b/src/main/java/tinworks/edge/EndToEndHeaders.java
@@ -16,7 +16,7 @@
  * Copies the end-to-end headers of a message. Hop-by-hop headers, and those that {@code Connection} names, are dropped.
  *
  * <p>The headers have been validated by a decoder and are not validated again. Values are kept as bytes, which are
- * written in one copy, where a string is written character by character. With a small share of a processor and code
+ * written in one copy, whereas a string is written character by character. With a small share of a processor and code
  * that is not compiled yet, that saves a tenth of the cost of a request.
  */
 final class EndToEndHeaders {
--- a/src/main/java/tinworks/edge/RequestJournal.java
+++ b/src/main/java/tinworks/edge/RequestJournal.java
@@ -13,7 +13,8 @@
 
 /**
  * A journal of the requests that ended without a successful response from a host, so that each can be explained
- * afterwards. The latest are kept for a page; the log receives a rate-limited part. Must be used from one thread.
+ * afterwards. The latest are kept for a page; a token bucket for each ending limits the log lines. Must be used from
+ * one thread.
  */
 final class RequestJournal {
     /** The number of requests on the page; a line takes about 200 bytes. */
--- a/src/main/java/tinworks/edge/RequestRouter.java
+++ b/src/main/java/tinworks/edge/RequestRouter.java
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
+    public void onRequest(FullHttpRequest request, long receivedAt, Reply reply) throws BadRequest {
         if (routes == null) {
             unconfigured++;
             protocol.refuse(reply, UNCONFIGURED_RETRY_AFTER_NANOS);
@@ -89,7 +89,7 @@
         }
         long now = clock.nanos();
         long remaining = TimeUnit.MILLISECONDS.toNanos(Math.min(route.timeoutMs(), deadlineMillis(request, route)))
-                - (now - arrivedAt);
+                - (now - receivedAt);
         long queued = reply.queueingDelayNanos();
         if (remaining <= queued) {
             overdue++;
--- a/src/main/java/tinworks/edge/RouteTable.java
+++ b/src/main/java/tinworks/edge/RouteTable.java
@@ -11,7 +11,7 @@
  * per slash in the path, regardless of the number of routes.
  */
 final class RouteTable {
-    /** A route, with its request class in the decision module. */
+    /** A route, with its request class in the load balancer. */
     record Target(Route route, String className) {}
 
     private final Map<String, Map<String, Target>> byDomain = new HashMap<>();
--- a/src/main/java/tinworks/edge/ServiceSettings.java
+++ b/src/main/java/tinworks/edge/ServiceSettings.java
@@ -15,7 +15,7 @@
 import tinworks.policy.LoadBalancerApi.RequestClass;
 import tinworks.policy.LoadBalancerApi.Settings;
 
-/** Derives the decision module's settings of a service from the configured routes. */
+/** Derives the load balancer's settings for a service from the configured routes. */
 final class ServiceSettings {
     /** The longest slow start of a new host; the host list gives each host's own time. */
     static final long MAX_SLOW_START_NANOS = TimeUnit.SECONDS.toNanos(3);
@@ -32,7 +32,10 @@
     private static final double TOTAL_RETRY_BUDGET = 30;
     /** One request in a hundred needs three times the work or more on any host: nearly all of its latency target. */
     private static final double OVERDUE_FACTOR = 2.5;
-    /** The requirement is a quarter. Not all that is sent is served, and each edge counts only its own requests. */
+    /**
+     * The requirement is a quarter. The rest is margin: not all that is sent is served, and each edge counts only its
+     * own requests.
+     */
     private static final double MIN_CLASS_FRACTION = 0.5;
 
     private static final int MAX_ATTEMPTS = 32;
@@ -41,7 +44,7 @@
 
     private ServiceSettings() {}
 
-    /** The name of a route's request class in the decision module. */
+    /** The name of a route's request class in the load balancer. */
     static String className(Route route) {
         return route.domain() + route.prefix();
     }
@@ -81,7 +84,7 @@
                 timeout);
     }
 
-    /** The initial settings of a service's decision module. */
+    /** The initial settings of a service's load balancer. */
     static Settings settings(List<RequestClass> classes, int gateways, String zone) {
         PolicyParameters parameters = new PolicyParameters(
                 0,
--- a/src/main/java/tinworks/net/BalancerProtocol.java
+++ b/src/main/java/tinworks/net/BalancerProtocol.java
@@ -9,7 +9,10 @@
 import tinworks.policy.LoadBalancerApi.LoadReport;
 import tinworks.policy.LoadBalancerApi.Outcome;
 
-/** Requests, responses and load reports in the form of the earlier protocol. */
+/**
+ * The balancer protocol, which is older than the edge's and is used by {@link Gateway} alone: its requests, responses
+ * and load reports.
+ */
 final class BalancerProtocol implements ForwardingProtocol, HostPool.ResponseClassifier {
     static final BalancerProtocol INSTANCE = new BalancerProtocol();
 
--- a/src/main/java/tinworks/net/ClientServer.java
+++ b/src/main/java/tinworks/net/ClientServer.java
@@ -161,7 +161,8 @@
 
     /**
      * Creates a server that does not listen yet. Heads and bodies reserve memory from budgets until the listener has
-     * released the request. A request for which no memory is left gets a 503 response with {@code Retry-After}.
+     * released the request. A request for which no memory is left gets a 503 response with {@code Retry-After} (load
+     * shedding).
      */
     public ClientServer(
             EventLoop loop,
@@ -288,9 +289,9 @@
     }
 
     /**
-     * The connection to close first: one that is closing anyway, else one that has waited for its request for long, and
-     * only then the longest idle one. A connection whose client is still reading a response is not chosen before the
-     * client stops reading.
+     * The connection to close first: one that is closing anyway, else the one that has waited longest for its request,
+     * once its grace time is over. The longest idle one follows only if none waits for a request. A connection whose
+     * client is still reading a response is not chosen before the client stops reading.
      */
     private Connection selectForEviction() {
         Connection closing = firstFullyWritten(lingering);
@@ -596,7 +597,7 @@
             }
         }
 
-        /** The first request may also have waited here while its connection waited to be accepted. */
+        /** Upper bound; for the first request it includes the time that its connection waited to be accepted. */
         private long queueingDelayNanos() {
             long loopDelayNanos = clock.queueingDelayNanos();
             long sinceAccepted = clock.nanos() - acceptedAt;
--- a/src/main/java/tinworks/net/Discovery.java
+++ b/src/main/java/tinworks/net/Discovery.java
@@ -44,7 +44,8 @@
 
     /**
      * The service sends an empty line every two seconds as a heartbeat. Without this timeout nothing would end a
-     * connection whose remote end vanished, and a change counts as known to the gateway after six seconds.
+     * connection whose remote end vanished. It is below six seconds, after which a change counts as known to the
+     * gateway.
      */
     static final long READ_TIMEOUT_MILLIS = 5_000;
 
--- a/src/main/java/tinworks/net/Forwarding.java
+++ b/src/main/java/tinworks/net/Forwarding.java
@@ -28,9 +28,8 @@
 
 /**
  * Forwards requests to hosts: owns a load balancer, its timers and its open requests, and carries out its actions. It
- * makes no decisions itself, and checks some of those made. Everything runs on one event loop thread.
- *
- * <p>Events that arise while the load balancer processes another one are queued, so that it is not re-entered.
+ * makes no decisions itself, and checks some of those made. Everything runs on one event loop thread. Events that arise
+ * while the load balancer processes another one are queued, so that it is not re-entered.
  */
 public final class Forwarding implements Actions {
     /** Receives the load balancer's actions that do not concern a single request, and reports on requests. */
@@ -110,7 +109,7 @@
         return counters;
     }
 
-    /** Stops all timers from firing. */
+    /** Ignores all timers that fire from now on. */
     public void close() {
         closed = true;
     }
--- a/src/main/java/tinworks/net/ForwardingProtocol.java
+++ b/src/main/java/tinworks/net/ForwardingProtocol.java
@@ -4,7 +4,10 @@
 import tinworks.net.ClientServer.Reply;
 import tinworks.net.HostPool.Response;
 
-/** Builds the requests to hosts and the responses to clients in the form of one protocol. */
+/**
+ * Builds the requests to hosts and the responses to clients in the form of one protocol. It does not decide where a
+ * request is sent, or whether it is retried.
+ */
 public interface ForwardingProtocol {
     /** A copy of a client's request for a host, with the remaining time as its timeout. */
     FullHttpRequest forHost(FullHttpRequest request, String host, long timeoutNanos);
--- a/src/main/java/tinworks/net/Framing.java
+++ b/src/main/java/tinworks/net/Framing.java
@@ -38,8 +38,8 @@
 
     /**
      * Whether the reason phrase or a header value contains a status line. This happens when a late response is
-     * truncated within its head and the response to this request follows: the status, the seal or the proof of not
-     * having run of the first would be taken for the second.
+     * truncated within its head and the response to this request follows: the late response's status, seal or proof
+     * that its request was not executed would be taken for this one's.
      */
     static boolean containsStatusLine(HttpResponse head) {
         boolean found = matchesStatusLine(head.status().reasonPhrase());
--- a/src/main/java/tinworks/net/Gateway.java
+++ b/src/main/java/tinworks/net/Gateway.java
@@ -21,7 +21,7 @@
 import tinworks.policy.LoadBalancerApi.ShutdownStarted;
 
 /**
- * One gateway of the earlier protocol. Connects clients, hosts, discovery and peer messages to one {@link Forwarding},
+ * A gateway of the balancer protocol. Connects clients, hosts, discovery and peer messages to one {@link Forwarding},
  * on one event loop thread. Process start and signals are handled by {@link GatewayProcess}.
  */
 final class Gateway implements Forwarding.Callbacks {
@@ -232,10 +232,10 @@
         }
 
         @Override
-        public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
+        public void onRequest(FullHttpRequest request, long receivedAt, Reply reply) throws BadRequest {
             long now = clock.nanos();
             forwarding.begin(
-                    now, RequestReader.read(request, classes, now - arrivedAt), AttemptLimit.NONE, request, reply);
+                    now, RequestReader.read(request, classes, now - receivedAt), AttemptLimit.NONE, request, reply);
         }
     }
 }
--- a/src/main/java/tinworks/net/GatewayConfig.java
+++ b/src/main/java/tinworks/net/GatewayConfig.java
@@ -33,7 +33,10 @@
         Peers.Addresses peers) {
     private static final int DEFAULT_MAX_DESCRIPTORS = 1024;
 
-    /** Reads both; throws {@link IllegalArgumentException}, with a message of one line, if either is invalid. */
+    /**
+     * Reads the environment and the file; throws {@link IllegalArgumentException} with a one-line message if either is
+     * invalid.
+     */
     static GatewayConfig read(Map<String, String> environment) {
         return read(
                 readFile(environment),
--- a/src/main/java/tinworks/net/GatewayProcess.java
+++ b/src/main/java/tinworks/net/GatewayProcess.java
@@ -84,7 +84,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            System.err.println("tinworks: shut down with requests open: " + e);
+            System.err.println("tinworks: process ends before all requests were answered: " + e);
         }
     }
 }
--- a/src/main/java/tinworks/net/HostPool.java
+++ b/src/main/java/tinworks/net/HostPool.java
@@ -366,7 +366,7 @@
         }
 
         @Override
-        public ResponseMatch ownerOf(HttpResponse head) {
+        public ResponseMatch match(HttpResponse head) {
             // The attempt may have been cancelled during this read; its connection is closed then.
             return attempt == null ? ResponseMatch.THIS_REQUEST : classifier.match(attempt.id, head.headers());
         }
--- a/src/main/java/tinworks/net/LoopLag.java
+++ b/src/main/java/tinworks/net/LoopLag.java
@@ -41,7 +41,7 @@
     }
 
     /**
-     * After long work, selects without blocking first, to tell input that arrived during the work from input that
+     * After long work, selects without blocking first, to distinguish input that arrived during the work from what
      * arrives during the wait. A wait that ends at once is no evidence, as with a small CPU quota the thread itself may
      * be delayed.
      */
--- a/src/main/java/tinworks/net/Peers.java
+++ b/src/main/java/tinworks/net/Peers.java
@@ -18,7 +18,7 @@
 
 /**
  * Exchanges short messages with the other gateways as UDP datagrams, which may be lost. Ignores datagrams from other
- * senders and those that are too long. The content is the load balancer's.
+ * senders and those that are too long. The load balancer defines their content.
  */
 final class Peers {
     /** Called on the event loop. */
--- a/src/main/java/tinworks/net/RequestReader.java
+++ b/src/main/java/tinworks/net/RequestReader.java
@@ -18,7 +18,7 @@
 import tinworks.policy.LoadBalancerApi.RequestArrived;
 import tinworks.policy.LoadBalancerApi.RequestClass;
 
-/** Converts a client's request to an event of the decision module, and to the request forwarded to a host. */
+/** Converts a client's request to an event for the load balancer, and to the request forwarded to a host. */
 final class RequestReader {
     private static final String REQUEST_ID = "X-Request-ID";
     private static final String TIMEOUT_HEADER = "X-Timeout";
@@ -26,7 +26,7 @@
     private static final Pattern VISIBLE_ASCII = Pattern.compile("[!-~]{1,4000}");
     /** Numbers with more digits are rejected: no client waits for such a timeout. */
     private static final int MAX_DIGITS = 12;
-    /** Hop-by-hop headers, and headers that are set anew for the host. */
+    /** Hop-by-hop headers, and headers that are set again for the host. */
     private static final Set<String> NOT_FORWARDED = Set.of(
             "connection",
             "keep-alive",
--- a/src/main/java/tinworks/net/ResponseReader.java
+++ b/src/main/java/tinworks/net/ResponseReader.java
@@ -35,7 +35,7 @@
         boolean isHeadRequest();
 
         /** Which request the response with this head belongs to. Not called for informational (1xx) responses. */
-        HostPool.ResponseMatch ownerOf(HttpResponse head);
+        HostPool.ResponseMatch match(HttpResponse head);
 
         /**
          * The response is complete. {@code framed} says that its head determined the body length, {@code clean} that no
@@ -115,7 +115,7 @@
                     || HttpUtil.isTransferEncodingChunked(response)
                     || decoder.isContentAlwaysEmpty(response);
             if (!invalid && !informational()) {
-                checkMatch(listener.ownerOf(response));
+                checkMatch(listener.match(response));
             }
             // A body that ends with the connection is not awaited.
             complete = !framed && !informational() && !invalid;
--- a/src/test/java/tinworks/edge/AtMostOnceSweep.java
+++ b/src/test/java/tinworks/edge/AtMostOnceSweep.java
@@ -20,14 +20,15 @@
 import tinworks.edge.FaultInjectingHost.Known;
 
 /**
- * Plays the table of docs/design/at-most-once.md: every ending of an attempt at every byte, for both kinds of requests,
- * on new and on reused connections, with a pipelined request behind it and concurrent ones from other clients.
+ * Runs the cases of the table of docs/design/at-most-once.md: every ending of an attempt at every byte, for both kinds
+ * of requests, on new and on reused connections, with a pipelined request behind it and concurrent ones from other
+ * clients.
  */
 final class AtMostOnceSweep {
-    /** One cell of the table at one byte, played at the first host that the request reaches or at each. */
+    /** One cell of the table at one byte, run at the first host that the request reaches or at each. */
     record Case(AttemptEnding ending, int position, boolean mutating, boolean reused, boolean atEachHost) {}
 
-    /** The cases played, the retries of cases that did not come about as intended, and the violations found. */
+    /** The cases run, the retries of cases that did not come about as intended, and the violations found. */
     record Report(int cases, int retries, Map<AttemptEnding, Integer> byEnding, List<String> failures) {}
 
     private static final long SEED = 20_261_202;
@@ -50,9 +51,9 @@
     }
 
     /**
-     * Every ending at every byte. Where everything is sent, in two parts, each byte is played with one combination of
-     * kind (mutating or not) and use (new or reused connection) in rotation. Otherwise, or with {@code all}, it is
-     * played with all four. In addition each ending is played at every host that the request reaches, in rotation too.
+     * Every ending at every byte. Where everything is sent, in two parts, each byte is run with one combination of kind
+     * (mutating or not) and use (new or reused connection) in rotation. Otherwise, or with {@code all}, it is run with
+     * all four. In addition each ending is run at every host that the request reaches, in rotation too.
      */
     static List<Case> cases(boolean all, Predicate<Case> filter) {
         List<Case> cases = new ArrayList<>();
--- a/src/test/java/tinworks/edge/CoreFollowerTest.java
+++ b/src/test/java/tinworks/edge/CoreFollowerTest.java
@@ -51,8 +51,8 @@
         }
 
         @Override
-        public void send(PeerMessage signal) {
-            requests.add(signal);
+        public void send(PeerMessage message) {
+            requests.add(message);
         }
 
         @Override
--- a/src/test/java/tinworks/edge/DrainedHostsTest.java
+++ b/src/test/java/tinworks/edge/DrainedHostsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import tinworks.channel.HostList.Host;
 
-/** A host that was once draining stays so, whatever an older list says. */
+/** A host that was once draining stays so, whatever an older list shows. */
 class DrainedHostsTest {
     private final DrainedHosts drained = new DrainedHosts();
 
--- a/src/test/java/tinworks/edge/EdgeFixture.java
+++ b/src/test/java/tinworks/edge/EdgeFixture.java
@@ -99,7 +99,7 @@
         NodeProcess.run(loop, () -> pool.update(places, false));
     }
 
-    /** Adds a route with its own service and these hosts; a repeated call replaces the service's decision module. */
+    /** Adds a route with its own service and these hosts; a repeated call replaces the service's load balancer. */
     void route(String name, Configuration.Type type, int maxAttempts, String... hosts) {
         route(name, type, LONG_MILLIS, maxAttempts, hosts);
     }
--- a/src/test/java/tinworks/edge/FaultInjectingHost.java
+++ b/src/test/java/tinworks/edge/FaultInjectingHost.java
@@ -181,7 +181,7 @@
             return reusable || (this == SURPLUS && position == 0);
         }
 
-        /** Whether it can be played at several hosts, as the edge retries at another one. */
+        /** Whether it can be run at several hosts, as the edge retries at another one. */
         boolean canRepeatAtEachHost() {
             return mode != Mode.REQUEST && this != CLIENT_DISCONNECTED && !waitsForDeadline();
         }
@@ -437,7 +437,9 @@
         return goesOn;
     }
 
-    /** The bytes that have arrived, to tell the request to be cut from one that the edge abandoned long before. */
+    /**
+     * The bytes that have arrived, to distinguish the request to be cut from one that the edge abandoned long before.
+     */
     private static String peek(InputStream in) throws IOException {
         in.mark(MAX_REQUEST_BYTES * 2);
         String ahead =
--- a/src/test/java/tinworks/edge/FaultyDecisionTest.java
+++ b/src/test/java/tinworks/edge/FaultyDecisionTest.java
@@ -18,7 +18,8 @@
 /**
  * Guards against a request left without a response when the decision on an attempt's outcome throws. The request was
  * answered only by the periodic check for overdue requests, a second after its deadline: here 11 s after the fault,
- * which the log shows at once ({@code invariant NO_FAULT violated: the decision on AttemptEnded}).
+ * which the log shows at once ({@code invariant NO_FAULT violated (1 times): the load balancer failed to process
+ * AttemptEnded}).
  */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 @BreaksInvariants(Invariant.NO_FAULT)
--- a/src/test/java/tinworks/edge/ForwardingInvariantsTest.java
+++ b/src/test/java/tinworks/edge/ForwardingInvariantsTest.java
@@ -26,7 +26,7 @@
 import tinworks.node.NodeProcess;
 import tinworks.policy.LoadBalancerApi.ClientDisconnected;
 
-/** Each invariant check on the edge's requests detects a decision module that violates it. */
+/** Each invariant check on the edge's requests detects a load balancer that violates it. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 @BreaksInvariants({
     Invariant.RUNS_ONCE,
@@ -54,7 +54,7 @@
     private EdgeFixture edge;
     private Client client;
 
-    /** Starts an edge whose decision module knows one host, which holds requests. */
+    /** Starts an edge whose load balancer knows one host, which holds requests. */
     @BeforeEach
     void start() throws Exception {
         host = new ServerSocket(0, 16, InetAddress.getByName("127.0.0.1"));
--- a/src/test/java/tinworks/edge/UnusedServicesTest.java
+++ b/src/test/java/tinworks/edge/UnusedServicesTest.java
@@ -24,8 +24,8 @@
 import tinworks.node.NodeProcess;
 
 /**
- * Guards against decision modules that outlive their services. Each service that a configuration version ever named
- * kept its module, with a timer and metrics: 400 versions with one service each left 400 modules, which cost 80 kB of
+ * Guards against load balancers that outlive their services. Each service that a configuration version ever named kept
+ * its load balancer, with a timer and metrics: 400 versions with one service each left 400 of them, which cost 80 kB of
  * metrics and 34 ms of processor time a second.
  */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
--- a/src/test/java/tinworks/net/LargeResponseTest.java
+++ b/src/test/java/tinworks/net/LargeResponseTest.java
@@ -155,7 +155,7 @@
             }
 
             @Override
-            public HostPool.ResponseMatch ownerOf(HttpResponse head) {
+            public HostPool.ResponseMatch match(HttpResponse head) {
                 return HostPool.ResponseMatch.THIS_REQUEST;
             }
 
--- a/src/test/java/tinworks/net/PeersTest.java
+++ b/src/test/java/tinworks/net/PeersTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import tinworks.json.Json;
 
-/** Messages between gateways of the earlier protocol. */
+/** Messages between gateways of the balancer protocol. */
 class PeersTest {
     private final ClosingEventLoopGroup group = new ClosingEventLoopGroup(1, NioIoHandler.newFactory());
     private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
--- a/src/test/java/tinworks/net/RequestReceptionTest.java
+++ b/src/test/java/tinworks/net/RequestReceptionTest.java
@@ -21,7 +21,10 @@
 import tinworks.net.GatewayFixture.Client;
 import tinworks.net.ScriptedHost.Message;
 
-/** How a gateway handles incomplete, late, ambiguous and invalid requests, and connections that are idle or silent. */
+/**
+ * How a gateway handles incomplete, late, ambiguous and invalid requests, and connections that are idle or
+ * unresponsive.
+ */
 class RequestReceptionTest {
     private static final ScriptedHost.Script SERVES = ScriptedHost.reply("200 OK", "fine");
     private static final String HEAD = "Host: x\r\nX-Timeout: 20000m\r\n";
--- a/src/test/java/tinworks/net/ResponseFuzzTest.java
+++ b/src/test/java/tinworks/net/ResponseFuzzTest.java
@@ -68,7 +68,7 @@
         }
 
         @Override
-        public HostPool.ResponseMatch ownerOf(HttpResponse head) {
+        public HostPool.ResponseMatch match(HttpResponse head) {
             return HostPool.ResponseMatch.THIS_REQUEST;
         }
 
