--- a/src/main/java/tinworks/edge/EdgePages.java
+++ b/src/main/java/tinworks/edge/EdgePages.java
@@ -39,14 +39,14 @@
     }
 
     @Override
-    public void onRequest(FullHttpRequest request, long arrivedAt, Reply reply) throws BadRequest {
+    public void onRequest(FullHttpRequest request, long receivedAt, Reply reply) throws BadRequest {
         switch (request.uri()) {
             case METRICS -> write(reply, MetricsPage.CONTENT_TYPE, metrics.get().text());
             case REQUESTS -> write(reply, PLAIN_TEXT, journal.page());
             default ->
                 throw new BadRequest(
                         HttpResponseStatus.NOT_FOUND,
-                        "only " + READYZ + ", " + METRICS + " and " + REQUESTS + " are served here");
+                        "only " + READYZ + ", " + METRICS + " and " + REQUESTS + " are asked here");
         }
     }
 
