--- a/src/main/java/tinworks/policy/LoadBalancer.java
+++ b/src/main/java/tinworks/policy/LoadBalancer.java
@@ -539,9 +539,9 @@
         for (Server s : readyServers) {
             double slowStart = slowStartFactor(s);
             limits += s.limit * slowStart;
-            double room = sendable ? capacityFactor(s, slowStart) : 0;
-            if (room > 0 && s.ready && slowStartTokens(s) >= 1 && idempotencyAllows(r, s) && !r.wasSentTo(s)) {
-                double factors = room
+            double capacity = sendable ? capacityFactor(s, slowStart) : 0;
+            if (capacity > 0 && s.ready && slowStartTokens(s) >= 1 && idempotencyAllows(r, s) && !r.wasSentTo(s)) {
+                double factors = capacity
                         * slowStart
                         * healthFactor(s)
                         * classHealthFactor(r.classState, s)
@@ -553,10 +553,10 @@
             }
         }
         totalLimit = limits;
-        // One gateway sees a part of the traffic, which varies more than the whole does. This allowance keeps random
+        // One gateway sees a part of the traffic, which varies more than the whole does. The allowance keeps random
         // bursts from being queued.
-        double chance = POISSON_DEVIATIONS * Math.sqrt(limits) * (1 - 1.0 / gatewayCount);
-        return inFlight > 0 && inFlight >= limits + chance ? null : drawn;
+        double burstAllowance = POISSON_DEVIATIONS * Math.sqrt(limits) * (1 - 1.0 / gatewayCount);
+        return inFlight > 0 && inFlight >= limits + burstAllowance ? null : drawn;
     }
 
     /**
@@ -678,7 +678,7 @@
         return s.info.zone().equals(settings.zone());
     }
 
-    /** Concurrency limit: falls to 0 as the attempts in flight reach the limit that {@link #adjustLimit} sets. */
+    /** Falls to 0 as the attempts in flight reach the concurrency limit that {@link #adjustLimit} sets. */
     private double capacityFactor(Server s, double slowStart) {
         return Math.min(
                 1, s.inFlight == 0 ? s.limit * readyServers.size() / totalLimit : s.limit * slowStart - s.inFlight);
@@ -699,9 +699,9 @@
 
     /**
      * Outlier ejection: 0 for a suspect server, apart from one trial request per trial interval from all gateways, even
-     * if no other server has capacity. Suspect servers are unresponsive or return errors, which come fast and would
-     * raise the share. Where most servers are suspect, only those that fail nearly always stay ejected (a lost zone).
-     * Where all are suspect, none is ejected.
+     * if no other server has capacity. Suspect servers are unresponsive or return errors. Errors often come fast, and
+     * as fast responses they would raise the share. Where most servers are suspect, only those that fail nearly always
+     * stay ejected (a lost zone). Where all are suspect, none is ejected.
      */
     private double healthFactor(Server s) {
         boolean serves = 2 * suspectCount > readyServers.size()
@@ -950,7 +950,7 @@
         return complete ? elapsedNanos : Math.max(elapsedNanos, classState.spec.minFailureLatencyNanos());
     }
 
-    /** Updates the mean latency of the class, and the least mean that it has had since it is known. */
+    /** Updates the mean latency of the class, and the minimum of that mean once it counts as known. */
     private void updateMeanLatency(ClassState classState, long nanos) {
         classState.served++;
         classState.meanLatency +=
@@ -976,13 +976,13 @@
     }
 
     /**
-     * Adjusts the server's concurrency limit by the lateness of its responses, or of the fleet's where the server has
-     * few. The limit rises only while it is reached: a limit that rose unused in quiet times would let the remaining
-     * servers be overloaded when a zone is lost.
+     * Adjusts the server's concurrency limit by the lateness of its responses (latency / latency budget), or of the
+     * fleet's where the server has few. The limit rises only while it is reached: a limit that rose unused in quiet
+     * times would let the remaining servers be overloaded when a zone is lost.
      */
-    private void adjustLimit(Server s, double late) {
-        s.lateness += EWMA_WEIGHT * (late - s.lateness);
-        fleetLateness += EWMA_WEIGHT / 4 * (late - fleetLateness);
+    private void adjustLimit(Server s, double lateness) {
+        s.lateness += EWMA_WEIGHT * (lateness - s.lateness);
+        fleetLateness += EWMA_WEIGHT / 4 * (lateness - fleetLateness);
         double ownWeight = Math.min(1, s.limit);
         double blended = ownWeight * s.lateness + (1 - ownWeight) * fleetLateness;
         if (blended > 1) {
@@ -1066,8 +1066,8 @@
     }
 
     /**
-     * Frees the place of an attempt that was overtaken, as its response was lost or its work is stuck. It would hold
-     * the place until its timeout, and two such attempts could hold all places of a server. If it may run again it is
+     * Frees the slot of an attempt that was overtaken, as its response was lost or its work is stuck. It would hold the
+     * slot until its timeout, and two such attempts could hold all slots of a server. If it may run again it is
      * cancelled once it can be retried. Risk: where the work of requests differs so much that long ones are overtaken
      * as a rule, they run twice, within the retry budget.
      */
@@ -1101,9 +1101,7 @@
                                 !r.wasSentTo(s) && healthFactor(s) > 0 && capacityFactor(s, slowStartFactor(s)) > 0);
     }
 
-    /**
-     * Whether this gateway sends less than one request per tick to a server, and so rarely has two in flight at one.
-     */
+    /** Whether this gateway gets less than one request per server and tick, and so rarely has two in flight at one. */
     private boolean isRarelyUsed() {
         return serverRate() * TICK_NANOS < NANOS_PER_SECOND;
     }
@@ -1155,8 +1153,9 @@
     }
 
     /**
-     * Lowers the pressure, the more the fewer responses the tick brought, since refused requests bring none. A gateway
-     * with little traffic that admits a twentieth of it would otherwise take minutes to notice that it need not shed.
+     * Lowers the pressure, the more the fewer responses the tick brought: refused requests bring none, and pressure
+     * that no response confirms may be over. A gateway with little traffic that admits a twentieth of it would
+     * otherwise take minutes to notice that it need not shed.
      */
     private void decayPressure() {
         double known = Math.min(1, (double) tickResponses / MIN_SAMPLES);
@@ -1195,9 +1194,8 @@
         }
         double meanShare =
                 readyServers.stream().mapToDouble(s -> s.share).average().orElse(1);
-        // New servers start at the mean limit: at the initial one, replacing all servers in turn would hold back
-        // all
-        // traffic.
+        // New servers start at the mean limit. At the initial limit, replacing all servers in turn would hold back
+        // all traffic.
         double initialLimit = Math.max(
                 INITIAL_CONCURRENCY_LIMIT / gatewayCount,
                 readyServers.stream().mapToDouble(s -> s.limit).average().orElse(0));
--- a/src/main/java/tinworks/policy/LoadBalancerApi.java
+++ b/src/main/java/tinworks/policy/LoadBalancerApi.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * Interface between the {@link LoadBalancer} and the gateway that embeds it (its host): settings, events and actions,
- * without decisions. All times are nanoseconds of a monotonic clock with an arbitrary origin.
+ * Interface between the {@link LoadBalancer} and the gateway that embeds it: settings, events and actions, without
+ * decisions. All times are nanoseconds of a monotonic clock with an arbitrary origin.
  *
  * <p>A gateway has one {@link LoadBalancer} and calls it from one thread, with each event as it happens. It delivers
  * each request once, under an id that is not used again; exactly one {@link AttemptEnded} for each send; a
  * {@link TimerFired} for each timer, never early; and the server list whenever it changes. In return each request gets
- * one final answer before it expires: the first SERVED outcome, which the host passes to the client itself, a refusal
- * or a failure. Equal settings, seed and events give equal actions.
+ * one final answer before it expires: the first SERVED outcome, which the gateway itself passes to the client, a
+ * refusal or a failure. Equal settings, seed and events give equal actions.
  */
 public interface LoadBalancerApi {
 
@@ -62,7 +62,7 @@
     }
 
     /**
-     * What a list event holds: changes only, the full list, the list cached by a starting gateway, or a failed call.
+     * Content of a list event: changes only, the full list, the list cached by a starting gateway, or a failed call.
      */
     enum ServerListKind {
         CHANGES,
@@ -129,12 +129,12 @@
      * Parameters of the retry, slow-start and overload rules.
      *
      * @param answerSlackNanos time past its deadline within which a request may still be answered
-     * @param drainGraceNanos time for which a draining server may still be sent requests
+     * @param drainGraceNanos time for which requests may still be sent to a draining server
      * @param resubscribeWithinNanos time within which a failed call for the server list is repeated
      * @param slowStartInitialFraction fraction of its capacity that a new server starts with; 1 after slowStartNanos
      * @param overloadFactor load in the overload window that a new server must not exceed, in multiples of its capacity
      * @param totalRetryBudget cap on the saved-up retries of all gateways for one service, where every retry counts
-     *     that arrives at a server, even if refused there; 0 where only those count that may have been executed
+     *     that reaches a server, even if refused there; 0 where only those count that may have been executed
      * @param overdueFactor multiple of the usual time after which an attempt is overdue, as the work of requests
      *     differs; above 1, overdue attempts at unresponsive servers are cancelled too
      * @param minClassFraction least ratio of sent to arrived requests of a class, relative to that of all; 0 for none
@@ -190,7 +190,7 @@
             double overQuotaValue,
             Permissions permissions,
             PolicyParameters parameters) {
-        /** Checks the values that decisions divide by or wait for. */
+        /** Checks the values that decisions divide by or wait for; errors give their external names. */
         public Settings {
             classes = List.copyOf(classes);
             tenants = List.copyOf(tenants);
@@ -245,7 +245,7 @@
             double queued,
             double latencyMillis) {}
 
-    /** An event that the host delivers to the load balancer. */
+    /** An event that the gateway delivers to the load balancer. */
     sealed interface Event {}
 
     /** The server list or changes to it; empty if the call failed. */
@@ -286,7 +286,7 @@
     record StreamStarted(String id, int attempt, String server) implements Event {}
 
     /**
-     * An attempt ended; {@code concluded} tells whether the request has its final answer.
+     * An attempt ended; {@code concluded} is true if the request has its final answer.
      *
      * @param queueingDelayNanos the part of {@code elapsedNanos} that this event may have waited in the gateway
      */
@@ -323,8 +323,8 @@
     record ShutdownStarted(long answerWithinNanos) implements Event {}
 
     /**
-     * A configuration change: other classes or another number of gateways. A class whose name exists already keeps what
-     * was learned of it. Requests under way keep the class that they arrived with, restricted by the new one.
+     * A configuration change: other classes or another number of gateways. A class whose name exists already keeps its
+     * measurements. Open requests keep the class that they arrived with, restricted by the new one.
      */
     record Reconfigured(List<RequestClass> classes, int gatewayCount) implements Event {
         /** Copies the list of classes. */
@@ -349,13 +349,13 @@
     }
 
     /**
-     * What the load balancer requests of its host. Each method is called from within {@link LoadBalancer#onEvent}, on
-     * its thread, and takes effect at the time of that event; none may call the load balancer. Methods with a default
-     * body are optional.
+     * What the load balancer requests of its gateway. Each method is called from within {@link LoadBalancer#onEvent},
+     * on its thread, and takes effect at the time of that event; none may call the load balancer. Methods with a
+     * default body are optional.
      */
     interface Actions {
         /**
-         * Starts the next attempt of the request; attempts are numbered from 0. The host delivers one
+         * Starts the next attempt of the request; attempts are numbered from 0. The gateway delivers one
          * {@link AttemptEnded} for it, at the latest after the timeout.
          */
         void send(String request, String server, long timeoutNanos);
--- a/src/main/java/tinworks/policy/LoadBalancerState.java
+++ b/src/main/java/tinworks/policy/LoadBalancerState.java
@@ -30,8 +30,11 @@
         /** Requests that other gateways reported in flight here. */
         int peerInFlight;
 
+        /** Concurrency limit of this gateway for the server. */
         double limit;
+        /** Moving average of latency / latency budget. */
         double lateness;
+
         double failureRate;
         long failureRateAt;
         long lastResponseAt;
--- a/src/main/java/tinworks/policy/SettingsReader.java
+++ b/src/main/java/tinworks/policy/SettingsReader.java
@@ -12,9 +12,10 @@
 import tinworks.policy.LoadBalancerApi.Tenant;
 
 /**
- * Reads the settings of a load balancer from pairs of path and value, such as {@code grades.0.name}, as the simulator
- * sends them; a real gateway flattens its configuration into the same form. Unknown keys are ignored. A missing or
- * malformed value throws an {@link IllegalArgumentException} that names the key.
+ * Reads the settings of a load balancer from pairs of path and value as the simulator sends them, such as
+ * {@code grades.0.name} for the name of the first request class. A real gateway flattens its configuration into the
+ * same form. Unknown keys are ignored. A missing or malformed value throws an {@link IllegalArgumentException} that
+ * names the key.
  */
 public final class SettingsReader {
     private final Map<String, String> values;
@@ -35,8 +36,8 @@
                 classes(),
                 tenants(),
                 decimal("over_share_worth", 1),
-                allowed(),
-                rules());
+                permissions(),
+                parameters());
     }
 
     /** Reads a mandatory integer. */
@@ -99,14 +100,14 @@
         return tenants;
     }
 
-    private Permissions allowed() {
+    private Permissions permissions() {
         return new Permissions(
                 (int) number("allowed.max_attempts", 1),
                 flag("allowed.may_cancel", false),
                 flag("allowed.peers", false));
     }
 
-    private PolicyParameters rules() {
+    private PolicyParameters parameters() {
         return new PolicyParameters(
                 number("obligations.answer_slack_ns", 0),
                 number("obligations.drain_grace_ns"),
--- a/src/main/java/tinworks/raft/Raft.java
+++ b/src/main/java/tinworks/raft/Raft.java
@@ -291,8 +291,8 @@
     }
 
     /**
-     * Guards against a transfer to a member that the others deny their votes, or that would lead without an entry
-     * acknowledged during the transfer.
+     * Guards against a transfer to a member to which the others would deny their votes, or which would lead without an
+     * entry that was acknowledged during the transfer.
      */
     boolean isFullyReplicated(Progress p) {
         return p.matchIndex == log.lastIndex() && commitIndex == log.lastIndex();
@@ -312,9 +312,9 @@
 
     /** Returns the actions that result from the events since the last call. */
     public Output drain() {
-        HardState hard = new HardState(term, votedFor, lastLeader);
-        boolean hardChanged = !hard.equals(drainedHardState);
-        drainedHardState = hard;
+        HardState hardState = new HardState(term, votedFor, lastLeader);
+        boolean hardStateChanged = !hardState.equals(drainedHardState);
+        drainedHardState = hardState;
         List<Entry> entries = unstableFrom > 0 ? log.entriesFrom(unstableFrom, Integer.MAX_VALUE) : List.of();
         List<Entry> committed = new ArrayList<>();
         while (appliedIndex < commitIndex) {
@@ -322,7 +322,7 @@
         }
         Output output = new Output(
                 term,
-                hardChanged ? hard : null,
+                hardStateChanged ? hardState : null,
                 unstableSnapshot,
                 unstableFrom,
                 entries,
@@ -479,7 +479,7 @@
         roundSentAt.put(round, now);
     }
 
-    /** Guards against a lease that starts when a reply is processed, which may be long after a process pause. */
+    /** Guards against a lease counted from when a reply is processed, which a process pause may have delayed. */
     private void recordRoundAck(long from, long messageTerm, long messageRound) {
         Progress p = progress.get(from);
         if (role == Role.LEADER && messageTerm == term && p != null) {
@@ -600,8 +600,8 @@
     }
 
     /**
-     * Guards against loss of availability. Until the entry that removes this member commits, it may be the only one
-     * that stores everything committed, and members without that entry may need its vote.
+     * Guards against loss of availability: a voter still starts elections until the entry that removes it commits. It
+     * may be the only member that stores everything committed, and members without that entry may need its vote.
      */
     private boolean isVoterUntilRemovalCommits() {
         long changed = log.lastMembershipIndex();
@@ -786,7 +786,7 @@
 
     /**
      * Flow control: guards against filling memory with entries for a slow follower. With too many unacknowledged bytes
-     * it receives heartbeats only. If it rejects one, the rejection says where to resume.
+     * it receives heartbeats only. If it rejects one, the rejection contains the index to resume from.
      */
     boolean hasInFlightCapacity(long unacknowledgedBytes) {
         return unacknowledgedBytes < MAX_IN_FLIGHT_BYTES;
@@ -811,7 +811,10 @@
         p.transfer = awaiting ? transfer : transfer.withAwaitedSequence(lastInstallSequence);
     }
 
-    /** Returns whether the sender leads the current term, and follows it if so. A stale leader gets the newer term. */
+    /**
+     * Returns whether the sender leads the current term, and follows it if so. A stale leader receives the newer term
+     * in reply.
+     */
     private boolean acceptLeader(long from, long leaderTerm, long leaderRound) {
         if (leaderTerm < term) {
             send(from, new AppendReply(term, false, 0, leaderRound));
@@ -967,7 +970,9 @@
         confirmReads();
     }
 
-    /** Guards against a flood of resends after duplicated or late rejections; the next heartbeat resumes. */
+    /**
+     * Guards against a flood of resends after duplicated or late rejections; the next heartbeat resumes replication.
+     */
     private void rewind(Progress p, long next) {
         p.nextIndex = next;
         if (now - p.lastRewindAt >= timing.heartbeatIntervalMillis() / 4) {
@@ -976,7 +981,7 @@
         }
     }
 
-    /** Advances the commit index to what a majority stores, if that is an entry of this term. */
+    /** Advances the commit index to the last entry that a majority stores, if it is of this term. */
     private void advanceCommitIndex() {
         if (role != Role.LEADER) {
             return;
--- a/src/main/java/tinworks/raft/SnapshotAssembler.java
+++ b/src/main/java/tinworks/raft/SnapshotAssembler.java
@@ -11,10 +11,10 @@
     private int receivedBytes;
 
     /** Starts empty; {@code term} is the term of the sending leader. */
-    SnapshotAssembler(Snapshot.Metadata label, long term) {
-        this.metadata = label;
+    SnapshotAssembler(Snapshot.Metadata metadata, long term) {
+        this.metadata = metadata;
         this.term = term;
-        state = new byte[label.length()];
+        state = new byte[metadata.length()];
     }
 
     Snapshot.Metadata metadata() {
--- a/src/main/java/tinworks/raft/SnapshotTransfer.java
+++ b/src/main/java/tinworks/raft/SnapshotTransfer.java
@@ -39,7 +39,7 @@
         return isAdvancedBy(reply) ? new SnapshotTransfer(snapshot, metadata, reply.offset(), 0) : this;
     }
 
-    /** Returns whether a reply carries news about this transfer. */
+    /** Returns whether a reply shows progress of this transfer, or that the chunk in flight is lost. */
     boolean isAdvancedBy(Message.InstallSnapshotReply reply) {
         return reply.index() == metadata.index()
                 && reply.offset() >= 0
--- a/src/main/java/tinworks/raft/Timing.java
+++ b/src/main/java/tinworks/raft/Timing.java
@@ -1,8 +1,9 @@
 package tinworks.raft;
 
 /**
- * Durations in milliseconds. A member that hears from no leader starts an election after a random time between
- * {@code electionTimeoutMillis} and twice that, which has to outlast several heartbeats and the syncs of a slow disk.
+ * Durations in milliseconds. A member starts an election if no leader has contacted it for a random time between
+ * {@code electionTimeoutMillis} and twice that. This time has to outlast several heartbeats and the syncs of a slow
+ * disk.
  */
 public record Timing(long heartbeatIntervalMillis, long electionTimeoutMillis) {
     /** Checks that at least two heartbeats fit into an election timeout. */
--- a/src/test/java/tinworks/policy/AttemptLimitTest.java
+++ b/src/test/java/tinworks/policy/AttemptLimitTest.java
@@ -281,7 +281,7 @@
         assertEquals(Set.of(), simulation.violations);
     }
 
-    /** Applies a new version to requests under way without regard to the previous one. */
+    /** Applies a new version to open requests without regard to the previous one. */
     private static final class ReplacingLoadBalancer extends LoadBalancer {
         ReplacingLoadBalancer(Settings settings, Actions actions) {
             super(settings, 1, actions);
--- a/src/test/java/tinworks/policy/LoadBalancerTest.java
+++ b/src/test/java/tinworks/policy/LoadBalancerTest.java
@@ -70,8 +70,8 @@
     }
 
     private static void assertFraction(double expected, Map<String, Integer> counts, String server) {
-        double part = counts.getOrDefault(server, 0) / (double) DRAWS;
-        assertEquals(expected, part, 0.03, server + " of " + counts);
+        double fraction = counts.getOrDefault(server, 0) / (double) DRAWS;
+        assertEquals(expected, fraction, 0.03, server + " of " + counts);
     }
 
     @Test
@@ -85,7 +85,8 @@
     @Test
     void aTickMovesSharesByAlgorithm1() {
         GatewayFixture gateway = new GatewayFixture().withServers(2);
-        // l = 30 and 10, l_mean = 20, l^ = 0.5: with many samples 0.5 * 0.9 and 0.5 * 1.1 a step.
+        // l = 30 and 10, l_mean = 20, |l_mean - l| / l_mean = 0.5. With many samples, a tick multiplies the shares by
+        // 0.9 and 1.1.
         for (int i = 0; i < 5; i++) {
             runTick(gateway, 400, 30 * MS, 10 * MS);
         }
@@ -117,7 +118,7 @@
     void aFactorThatWouldBeNegativeHalvesTheShareAndTheShareRecovers() {
         GatewayFixture gateway = new GatewayFixture().withServers(8);
         long[] elapsed = {2000 * MS, MS, MS, MS, MS, MS, MS, MS};
-        runTick(gateway, 50, elapsed); // l^ = 7 there: 1 - 0.2 * 7 is below zero
+        runTick(gateway, 50, elapsed); // |l_mean - l| / l_mean = 7 for s0: 1 - 0.2 * 7 is below zero
         double others = 1 + 0.2 * 0.98;
         double expected = 0.5 / (0.5 + 7 * others);
         assertFraction(expected, countDraws(gateway, DRAWS), "s0");
--- a/src/test/java/tinworks/policy/RandomEventsTest.java
+++ b/src/test/java/tinworks/policy/RandomEventsTest.java
@@ -218,10 +218,10 @@
             } else {
                 notReadySince.putIfAbsent(id, now);
             }
-            boolean whole = random.nextInt(4) == 0;
+            boolean full = random.nextInt(4) == 0;
             on(new ServerListReceived(
-                    whole ? ServerListKind.FULL : ServerListKind.CHANGES,
-                    whole ? List.copyOf(listed.values()) : List.of(after)));
+                    full ? ServerListKind.FULL : ServerListKind.CHANGES,
+                    full ? List.copyOf(listed.values()) : List.of(after)));
         }
 
         void run() {
--- a/src/test/java/tinworks/policy/Recorder.java
+++ b/src/test/java/tinworks/policy/Recorder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import tinworks.policy.LoadBalancerApi.Actions;
 
-/** A host that records the actions that the load balancer requests. */
+/** A gateway that records the actions that the load balancer requests. */
 final class Recorder implements Actions {
     /** One action; fields that it does not have are null or 0. */
     record Action(String type, String id, String server, long number) {}
