--- a/src/main/java/tinworks/channel/ConfigurationCodec.java
+++ b/src/main/java/tinworks/channel/ConfigurationCodec.java
@@ -53,7 +53,7 @@
         out.writeInt(change.removedServices().size());
         change.removedServices().forEach(out::writeString);
         out.writeInt(change.removedRoutes().size());
-        change.removedRoutes().forEach(place -> out.writeString(place.domain()).writeString(place.prefix()));
+        change.removedRoutes().forEach(key -> out.writeString(key.domain()).writeString(key.prefix()));
         return toBytes(out);
     }
 
@@ -76,12 +76,13 @@
             long base = in.readLong();
             long rev = in.readLong();
             Limits limits = readLimits(in);
-            List<Service> services = readServices(in);
-            List<Route> set = readRoutes(in);
+            List<Service> changedServices = readServices(in);
+            List<Route> changedRoutes = readRoutes(in);
             List<String> removedServices = readList(in, Integer.BYTES, ConfigurationCodec::readString);
-            List<RouteKey> removed =
-                    readList(in, 2 * Integer.BYTES, place -> new RouteKey(readString(place), readString(place)));
-            return new ConfigurationChange(base, rev, set, removed, services, removedServices, limits);
+            List<RouteKey> removedRoutes =
+                    readList(in, 2 * Integer.BYTES, key -> new RouteKey(readString(key), readString(key)));
+            return new ConfigurationChange(
+                    base, rev, changedRoutes, removedRoutes, changedServices, removedServices, limits);
         });
     }
 
@@ -162,26 +163,26 @@
     }
 
     private static List<Route> readRoutes(ByteReader in) throws MalformedDataException {
-        ValueInterner shared = new ValueInterner();
+        ValueInterner interner = new ValueInterner();
         return readList(
                 in,
                 MIN_ROUTE_BYTES,
                 route -> new Route(
                         readString(route),
-                        shared.intern(readString(route)),
+                        interner.intern(readString(route)),
                         readString(route),
                         route.readConstant(ROUTE_TYPES),
                         route.readLong(),
                         route.readLong(),
                         route.readInt(),
-                        readSplit(route, shared),
+                        readSplit(route, interner),
                         route.readInt()));
     }
 
-    private static List<Split> readSplit(ByteReader in, ValueInterner shared) throws MalformedDataException {
-        return shared.internSplits(readList(
+    private static List<Split> readSplit(ByteReader in, ValueInterner interner) throws MalformedDataException {
+        return interner.internSplits(readList(
                 in,
                 MIN_SPLIT_BYTES,
-                split -> new Split(shared.intern(readString(split)), Double.longBitsToDouble(split.readLong()))));
+                split -> new Split(interner.intern(readString(split)), Double.longBitsToDouble(split.readLong()))));
     }
 }
--- a/src/main/java/tinworks/channel/HostList.java
+++ b/src/main/java/tinworks/channel/HostList.java
@@ -27,7 +27,7 @@
             return new Host(id, service, address, zone, slots, true, warmupMs);
         }
 
-        /** Whether both are equal, ignoring the remaining warm-up time, which decreases by itself. */
+        /** Whether both are equal, ignoring the remaining slow-start time, which decreases by itself. */
         public boolean equalsIgnoringWarmup(Host other) {
             return id.equals(other.id)
                     && service.equals(other.service)
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Whether both lists hold the same hosts in the same order, ignoring their warm-up times. */
+    /** Whether both lists hold the same hosts in the same order, ignoring their slow-start times. */
     public boolean hasSameHosts(List<Host> others) {
         if (hosts.size() != others.size()) {
             return false;
--- a/src/main/java/tinworks/channel/HostListHistory.java
+++ b/src/main/java/tinworks/channel/HostListHistory.java
@@ -27,7 +27,7 @@
         }
     }
 
-    /** The message that brings a peer up to date from the version held: the changes, or the whole list if unknown. */
+    /** The message that updates a peer from the version held: the changes, or the whole list if it is too old. */
     public PeerMessage since(HostListVersion held) {
         HostListChange merged = null;
         for (HostListChange change : changes) {
--- a/src/main/java/tinworks/channel/PeerMessage.java
+++ b/src/main/java/tinworks/channel/PeerMessage.java
@@ -21,7 +21,7 @@
      */
     record Hello(NodeRole role, long id, String address, String node, String zone) implements PeerMessage {}
 
-    /** Keep-alive. */
+    /** Heartbeat (keep-alive) of a connection on which nothing else is sent. */
     record Ping() implements PeerMessage {}
 
     /** Carries a Raft message between two members. */
--- a/src/main/java/tinworks/channel/PeerMessageCodec.java
+++ b/src/main/java/tinworks/channel/PeerMessageCodec.java
@@ -78,58 +78,58 @@
     /** Encodes a message into a buffer that is ready to be read. */
     public static ByteBuffer write(PeerMessage message) {
         ByteWriter out = new ByteWriter();
-        if (message instanceof Hello s) {
+        if (message instanceof Hello m) {
             out.writeByte(HELLO)
                     .writeInt(MAGIC)
                     .writeShort(VERSION)
-                    .writeByte((byte) s.role().ordinal())
-                    .writeLong(s.id())
-                    .writeString(s.address())
-                    .writeString(s.node())
-                    .writeString(s.zone());
+                    .writeByte((byte) m.role().ordinal())
+                    .writeLong(m.id())
+                    .writeString(m.address())
+                    .writeString(m.node())
+                    .writeString(m.zone());
         } else if (message instanceof Ping) {
             out.writeByte(PING);
-        } else if (message instanceof RaftMessage s) {
-            out.writeByte(RAFT_MESSAGE).writeLong(s.from()).writeLong(s.to());
-            writeMessage(out, s.message());
-        } else if (message instanceof Join s) {
+        } else if (message instanceof RaftMessage m) {
+            out.writeByte(RAFT_MESSAGE).writeLong(m.from()).writeLong(m.to());
+            writeMessage(out, m.message());
+        } else if (message instanceof Join m) {
             out.writeByte(JOIN)
-                    .writeLong(s.member().id())
-                    .writeString(s.member().address());
-        } else if (message instanceof Leave s) {
-            out.writeByte(LEAVE).writeLong(s.id());
-        } else if (message instanceof Announce s) {
-            writeAnnounce(out, s);
-        } else if (message instanceof PullConfiguration s) {
-            out.writeByte(PULL_CONFIGURATION).writeLong(s.heldRev());
-        } else if (message instanceof ConfigurationBody s) {
-            out.writeByte(CONFIGURATION).writeLong(s.rev()).writeBytes(s.compressed());
-        } else if (message instanceof ConfigurationChanged s) {
+                    .writeLong(m.member().id())
+                    .writeString(m.member().address());
+        } else if (message instanceof Leave m) {
+            out.writeByte(LEAVE).writeLong(m.id());
+        } else if (message instanceof Announce m) {
+            writeAnnounce(out, m);
+        } else if (message instanceof PullConfiguration m) {
+            out.writeByte(PULL_CONFIGURATION).writeLong(m.heldRev());
+        } else if (message instanceof ConfigurationBody m) {
+            out.writeByte(CONFIGURATION).writeLong(m.rev()).writeBytes(m.compressed());
+        } else if (message instanceof ConfigurationChanged m) {
             out.writeByte(CONFIGURATION_CHANGED)
-                    .writeLong(s.base())
-                    .writeLong(s.rev())
-                    .writeBytes(s.compressed());
-        } else if (message instanceof PullHosts s) {
+                    .writeLong(m.base())
+                    .writeLong(m.rev())
+                    .writeBytes(m.compressed());
+        } else if (message instanceof PullHosts m) {
             out.writeByte(PULL_HOSTS);
-            writeVersion(out, s.heldVersion());
-        } else if (message instanceof Hosts s) {
+            writeVersion(out, m.heldVersion());
+        } else if (message instanceof Hosts m) {
             out.writeByte(HOSTS);
-            writeVersion(out, s.list().version());
-            writeHosts(out, s.list().hosts());
-        } else if (message instanceof HostsChanged s) {
+            writeVersion(out, m.list().version());
+            writeHosts(out, m.list().hosts());
+        } else if (message instanceof HostsChanged m) {
             out.writeByte(HOSTS_CHANGED);
-            writeVersion(out, s.change().base());
-            writeVersion(out, s.change().version());
-            writeHosts(out, s.change().updated());
-            out.writeInt(s.change().removedIds().size());
-            s.change().removedIds().forEach(out::writeString);
-        } else if (message instanceof Call s) {
-            out.writeByte(CALL).writeLong(s.number()).writeBoolean(s.read()).writeBytes(s.body());
-        } else if (message instanceof CallResponse s) {
+            writeVersion(out, m.change().base());
+            writeVersion(out, m.change().version());
+            writeHosts(out, m.change().updated());
+            out.writeInt(m.change().removedIds().size());
+            m.change().removedIds().forEach(out::writeString);
+        } else if (message instanceof Call m) {
+            out.writeByte(CALL).writeLong(m.number()).writeBoolean(m.read()).writeBytes(m.body());
+        } else if (message instanceof CallResponse m) {
             out.writeByte(CALL_RESPONSE)
-                    .writeLong(s.number())
-                    .writeInt(s.status())
-                    .writeBytes(s.body());
+                    .writeLong(m.number())
+                    .writeInt(m.status())
+                    .writeBytes(m.body());
         }
         return out.finish();
     }
@@ -183,14 +183,14 @@
         return new Hello(in.readConstant(ROLES), in.readLong(), in.readString(), in.readString(), in.readString());
     }
 
-    private static void writeAnnounce(ByteWriter out, Announce s) {
-        out.writeByte(ANNOUNCE).writeLong(s.term()).writeLong(s.rev());
-        writeVersion(out, s.hostListVersion());
-        out.writeBoolean(s.fresh())
-                .writeBoolean(s.leader())
-                .writeInt(s.coreAddresses().size());
-        s.coreAddresses().forEach(out::writeString);
-        out.writeInt(s.edgeCount());
+    private static void writeAnnounce(ByteWriter out, Announce m) {
+        out.writeByte(ANNOUNCE).writeLong(m.term()).writeLong(m.rev());
+        writeVersion(out, m.hostListVersion());
+        out.writeBoolean(m.fresh())
+                .writeBoolean(m.leader())
+                .writeInt(m.coreAddresses().size());
+        m.coreAddresses().forEach(out::writeString);
+        out.writeInt(m.edgeCount());
     }
 
     private static Announce readAnnounce(ByteReader in) throws MalformedDataException {
--- a/src/main/java/tinworks/channel/TcpPeerConnection.java
+++ b/src/main/java/tinworks/channel/TcpPeerConnection.java
@@ -17,12 +17,12 @@
  * A peer connection over TCP, confined to one event loop. A frame is a length (4 bytes) followed by an encoded
  * {@link PeerMessage}; a malformed frame closes this connection only. Each side sends a heartbeat if it has sent
  * nothing else for {@link #PING_INTERVAL_MILLIS}, and closes after {@link #PEER_TIMEOUT_MILLIS} without data, since a
- * machine that loses power never closes its connections.
+ * machine that loses power never closes its connections. It also closes if no {@link Hello} arrives in that time.
  */
 public final class TcpPeerConnection extends ByteToMessageDecoder implements PeerConnection {
     static final long PING_INTERVAL_MILLIS = 1_000;
     static final long PEER_TIMEOUT_MILLIS = 2_600;
-    /** Bound of unsent bytes to a peer that does not read (backpressure): a tenth of a core node's heap. */
+    /** Backpressure limit: a peer that leaves more bytes unread is disconnected. A tenth of a core node's heap. */
     static final int MAX_PENDING_WRITE_BYTES = 4 << 20;
     /** A Hello holds three strings of at most 4,096 bytes. */
     static final int MAX_HELLO_FRAME_BYTES = 16 << 10;
--- a/src/main/java/tinworks/config/AcceptedVersions.java
+++ b/src/main/java/tinworks/config/AcceptedVersions.java
@@ -5,8 +5,8 @@
 
 /**
  * The deduplication window: the latest accepted versions, each with the first bytes of its command's digest, by which a
- * retried call is recognized. Of evicted versions only the highest is kept, so that no answer is given to a call that
- * may have been accepted and evicted.
+ * retried call is recognized. Of evicted versions only the highest is kept: whether a call for it or a lower version
+ * was accepted is unknown, so such a call gets no definite answer.
  */
 class AcceptedVersions {
     /** Digest prefix that is kept; long enough that two commands of one version do not collide by chance. */
--- a/src/main/java/tinworks/config/ConfigurationChange.java
+++ b/src/main/java/tinworks/config/ConfigurationChange.java
@@ -46,11 +46,11 @@
 
     /** The change from one configuration to another. */
     public static ConfigurationChange between(Configuration from, Configuration to) {
-        Map<RouteKey, Route> before = byKey(from.routes());
-        List<Route> set = new ArrayList<>();
+        Map<RouteKey, Route> remaining = byKey(from.routes());
+        List<Route> changed = new ArrayList<>();
         for (Route route : to.routes()) {
-            if (!route.equals(before.remove(RouteKey.of(route)))) {
-                set.add(route);
+            if (!route.equals(remaining.remove(RouteKey.of(route)))) {
+                changed.add(route);
             }
         }
         List<Service> services = to.services().values().stream()
@@ -59,7 +59,13 @@
         Set<String> removed = new HashSet<>(from.services().keySet());
         removed.removeAll(to.services().keySet());
         return new ConfigurationChange(
-                from.rev(), to.rev(), set, List.copyOf(before.keySet()), services, List.copyOf(removed), to.limits());
+                from.rev(),
+                to.rev(),
+                changed,
+                List.copyOf(remaining.keySet()),
+                services,
+                List.copyOf(removed),
+                to.limits());
     }
 
     /**
@@ -105,8 +111,8 @@
     }
 
     private static Map<RouteKey, Route> byKey(List<Route> routes) {
-        Map<RouteKey, Route> byPlace = new LinkedHashMap<>();
-        routes.forEach(route -> byPlace.put(RouteKey.of(route), route));
-        return byPlace;
+        Map<RouteKey, Route> routesByKey = new LinkedHashMap<>();
+        routes.forEach(route -> routesByKey.put(RouteKey.of(route), route));
+        return routesByKey;
     }
 }
--- a/src/main/java/tinworks/config/ConfigurationHistory.java
+++ b/src/main/java/tinworks/config/ConfigurationHistory.java
@@ -94,7 +94,7 @@
         if (next <= base) {
             return Verdict.VERSION_NOT_INCREASED;
         }
-        // Avoids rejecting a command that may have been accepted before the deduplication window.
+        // It may have been accepted and evicted since, so it must not be rejected as a conflict.
         if (next <= accepted.highestEvicted()) {
             return Verdict.OUTSIDE_WINDOW;
         }
--- a/src/main/java/tinworks/config/ConfigurationMemoryEstimate.java
+++ b/src/main/java/tinworks/config/ConfigurationMemoryEstimate.java
@@ -6,8 +6,8 @@
 import tinworks.config.Configuration.Split;
 
 /**
- * Estimates, slightly too high, the heap that a configuration takes in a process that serves by it: its own records,
- * and what an edge derives from each route. While a new version is put in force, the previous one is held as well.
+ * Estimates, slightly too high, the heap that a configuration takes in a process that uses it: its own records, and
+ * what an edge derives from each route. While a new version is put in force, the previous one is held as well.
  *
  * <p>A configuration that is reported to operators as in force has to fit into every node. So a core node accepts one
  * only up to a fraction of its own heap, and edges must have at least the heap of core nodes.
--- a/src/main/java/tinworks/config/ConfigurationReader.java
+++ b/src/main/java/tinworks/config/ConfigurationReader.java
@@ -74,7 +74,7 @@
      */
     private static final class Builder implements Json.Handler {
         private final Map<String, Object> fields = new HashMap<>();
-        private final ValueInterner shared = new ValueInterner();
+        private final ValueInterner interner = new ValueInterner();
         /** Indexes of the routes that name a single service instead of a split. */
         private final BitSet singleService = new BitSet();
 
@@ -159,11 +159,11 @@
             if (services.size() == MAX_ENTRIES) {
                 throw tooManyEntries(SERVICES);
             }
-            String at = SERVICES + "[" + services.size() + "].";
-            Service service = service(entry, at);
+            String path = SERVICES + "[" + services.size() + "].";
+            Service service = service(entry, path);
             addMemoryBytes(ConfigurationMemoryEstimate.of(service));
             if (services.put(service.name(), service) != null) {
-                throw new InvalidConfiguration(at + "name", "a second service '" + service.name() + "'");
+                throw new InvalidConfiguration(path + "name", "a second service '" + service.name() + "'");
             }
         }
 
@@ -172,13 +172,13 @@
                 routes.clear();
                 throw tooManyEntries(ROUTES);
             }
-            String at = ROUTES + "[" + routes.size() + "].";
-            Route route = route(entry, at, shared);
+            String path = ROUTES + "[" + routes.size() + "].";
+            Route route = route(entry, path, interner);
             addMemoryBytes(ConfigurationMemoryEstimate.of(route));
             singleService.set(routes.size(), entry.field("split").value() == null);
             routes.add(route);
             if (!routeKeys.add(ConfigurationChange.RouteKey.of(route))) {
-                throw new InvalidConfiguration(at + "prefix", "another route has this domain and prefix");
+                throw new InvalidConfiguration(path + "prefix", "another route has this domain and prefix");
             }
         }
 
@@ -227,63 +227,63 @@
         return new InvalidConfiguration(name, "more than " + MAX_ENTRIES + " entries");
     }
 
-    private static Service service(Json entry, String at) throws InvalidConfiguration {
-        String name = text(entry, at, "name");
-        String check = entry.field("check").value() == null ? "/" : text(entry, at, "check");
+    private static Service service(Json entry, String path) throws InvalidConfiguration {
+        String name = text(entry, path, "name");
+        String check = entry.field("check").value() == null ? "/" : text(entry, path, "check");
         String proto = entry.field("proto").text();
         if (!proto.isEmpty() && !proto.equals("h1")) {
-            throw new InvalidConfiguration(at + "proto", "only h1 is spoken, not '" + proto + "'");
+            throw new InvalidConfiguration(path + "proto", "only h1 is spoken, not '" + proto + "'");
         }
         if (entry.field("tls").isTrue()) {
-            throw new InvalidConfiguration(at + "tls", "TLS to hosts is not spoken");
+            throw new InvalidConfiguration(path + "tls", "TLS to hosts is not spoken");
         }
         return new Service(
-                name, check, (int) wholeNumber(entry, at, "maxconn", 1, Integer.MAX_VALUE, (long) Integer.MAX_VALUE));
+                name, check, (int) wholeNumber(entry, path, "maxconn", 1, Integer.MAX_VALUE, (long) Integer.MAX_VALUE));
     }
 
-    private static Route route(Json entry, String at, ValueInterner shared) throws InvalidConfiguration {
-        String name = text(entry, at, "name");
-        String domain = shared.intern(text(entry, at, "domain").toLowerCase(Locale.ROOT));
-        String prefix = text(entry, at, "prefix");
+    private static Route route(Json entry, String path, ValueInterner interner) throws InvalidConfiguration {
+        String name = text(entry, path, "name");
+        String domain = interner.intern(text(entry, path, "domain").toLowerCase(Locale.ROOT));
+        String prefix = text(entry, path, "prefix");
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
-            throw new InvalidConfiguration(at + "prefix", "wanted a slash at both ends of '" + prefix + "'");
+            throw new InvalidConfiguration(path + "prefix", "wanted a slash at both ends of '" + prefix + "'");
         }
-        String typeName = text(entry, at, "type");
+        String typeName = text(entry, path, "type");
         Configuration.Type type = switch (typeName) {
             case "idem" -> Configuration.Type.IDEM;
             case "mutating" -> Configuration.Type.MUTATING;
-            default -> throw new InvalidConfiguration(at + "type", "wanted idem or mutating, not '" + typeName + "'");
+            default -> throw new InvalidConfiguration(path + "type", "wanted idem or mutating, not '" + typeName + "'");
         };
-        long timeout = wholeNumber(entry, at, "timeoutMs", 1, Integer.MAX_VALUE, null);
-        long target = wholeNumber(entry, at, "targetMs", 1, Integer.MAX_VALUE, timeout);
-        int prio = (int) wholeNumber(entry, at, "prio", 0, 1_000, 0L);
-        int tries = (int) wholeNumber(entry, at, "tries", 1, 32, 1L);
-        return new Route(name, domain, prefix, type, timeout, target, prio, split(entry, at, shared), tries);
+        long timeout = wholeNumber(entry, path, "timeoutMs", 1, Integer.MAX_VALUE, null);
+        long target = wholeNumber(entry, path, "targetMs", 1, Integer.MAX_VALUE, timeout);
+        int prio = (int) wholeNumber(entry, path, "prio", 0, 1_000, 0L);
+        int maxAttempts = (int) wholeNumber(entry, path, "tries", 1, 32, 1L);
+        return new Route(name, domain, prefix, type, timeout, target, prio, split(entry, path, interner), maxAttempts);
     }
 
-    private static List<Split> split(Json entry, String at, ValueInterner shared) throws InvalidConfiguration {
+    private static List<Split> split(Json entry, String path, ValueInterner interner) throws InvalidConfiguration {
         if (entry.field("split").value() == null) {
-            return shared.internSplits(List.of(new Split(shared.intern(text(entry, at, "svc")), 1)));
+            return interner.internSplits(List.of(new Split(interner.intern(text(entry, path, "svc")), 1)));
         }
         if (!entry.field("split").isArray()) {
-            throw new InvalidConfiguration(at + "split", "wanted an array");
+            throw new InvalidConfiguration(path + "split", "wanted an array");
         }
         List<Split> parts = new ArrayList<>();
         double sum = 0;
         int i = 0;
         for (Json part : entry.field("split").entries()) {
-            String here = at + "split[" + i++ + "].";
+            String splitPath = path + "split[" + i++ + "].";
             double weight = part.field("weight").number(Double.NaN).doubleValue();
             if (!(weight >= 0 && weight < 1e12)) {
-                throw new InvalidConfiguration(here + "weight", "wanted a number that isn't below 0");
+                throw new InvalidConfiguration(splitPath + "weight", "wanted a number that isn't below 0");
             }
-            parts.add(new Split(shared.intern(text(part, here, "svc")), weight));
+            parts.add(new Split(interner.intern(text(part, splitPath, "svc")), weight));
             sum += weight;
         }
         if (sum <= 0) {
-            throw new InvalidConfiguration(at + "split", "the weights sum to 0");
+            throw new InvalidConfiguration(path + "split", "the weights sum to 0");
         }
-        return shared.internSplits(List.copyOf(parts));
+        return interner.internSplits(List.copyOf(parts));
     }
 
     private static Limits limits(Json entry) throws InvalidConfiguration {
@@ -295,15 +295,15 @@
                 wholeNumber(entry, "limits.", "idleMs", 1, Integer.MAX_VALUE, defaults.idleMs()));
     }
 
-    private static String text(Json entry, String at, String name) throws InvalidConfiguration {
+    private static String text(Json entry, String path, String name) throws InvalidConfiguration {
         Json field = entry.field(name);
         if (!field.isText() || field.text().isEmpty()) {
-            throw new InvalidConfiguration(at + name, field.value() == null ? "is missing" : "wanted a text");
+            throw new InvalidConfiguration(path + name, field.value() == null ? "is missing" : "wanted a text");
         }
         return field.text();
     }
 
-    private static long wholeNumber(Json entry, String at, String name, long min, long max, Long defaultValue)
+    private static long wholeNumber(Json entry, String path, String name, long min, long max, Long defaultValue)
             throws InvalidConfiguration {
         Json field = entry.field(name);
         if (field.value() == null && defaultValue != null) {
@@ -313,7 +313,7 @@
         long value = isWhole ? field.number(0).longValue() : 0;
         if (!isWhole || value < min || value > max) {
             throw new InvalidConfiguration(
-                    at + name,
+                    path + name,
                     field.value() == null
                             ? "is missing"
                             : "wanted a whole number from " + min + " to " + max + ", not " + field.text());
--- a/src/main/java/tinworks/store/CoreStore.java
+++ b/src/main/java/tinworks/store/CoreStore.java
@@ -257,8 +257,8 @@
     }
 
     /**
-     * Tells a disk failure, thrown as {@link IOException}, from a corrupt file, which is returned. An {@link Error} is
-     * neither and is rethrown, except for MVStore's assertion failures.
+     * Distinguishes a disk failure, which is thrown as an {@link IOException}, from a corrupt file, for which the
+     * exception is returned. An {@link Error} is neither and is rethrown, except for MVStore's assertion failures.
      */
     private static CorruptStoreException classifyFailure(Throwable e) throws IOException {
         IOException disk = null;
@@ -387,7 +387,7 @@
     }
 
     /**
-     * Writes the changes of an output and syncs them before it returns. A disk failure is an
+     * Writes the state changes of a Raft {@link Output} and syncs them (fsync) before it returns. A disk failure is an
      * {@link IllegalStateException} or {@link MVStoreException}, after which the store must be reopened; an
      * {@link Error} is thrown unwrapped.
      */
@@ -436,7 +436,7 @@
         return e;
     }
 
-    /** Rewrites the live records to a new file and deletes the old one, which stays valid until it is deleted. */
+    /** Compacts the file: copies the live records to a new one and deletes the old one, which is valid until then. */
     private void rewrite() {
         StoreFile copy;
         try {
--- a/src/main/java/tinworks/store/OrderedFile.java
+++ b/src/main/java/tinworks/store/OrderedFile.java
@@ -162,9 +162,8 @@
             FileLock lock = file.tryLock(position, size, shared);
             long end = lock == null ? 0 : lastFooter(file).endOffset;
             if (end > 0 && end < file.size()) {
-                // The rest of a torn write may contain part of a footer, which must not end up after the header of a
-                // new
-                // chunk.
+                // The rest of a torn write may contain part of a footer, which must not end up after the header
+                // of a new chunk.
                 file.truncate(end);
                 file.force(true);
             }
--- a/src/test/java/tinworks/channel/SimulatedNetwork.java
+++ b/src/test/java/tinworks/channel/SimulatedNetwork.java
@@ -41,7 +41,7 @@
     private final Set<Connection> connections = new LinkedHashSet<>();
     private long throttledBytesPerMilli = DEFAULT_BYTES_PER_MILLI;
 
-    private record Acceptor(Machine machine, long life, Hello localHello, PeerConnection.Listener listener) {}
+    private record Acceptor(Machine machine, long incarnation, Hello localHello, PeerConnection.Listener listener) {}
 
     /** A network without connections. */
     public SimulatedNetwork(Simulator world) {
@@ -190,8 +190,8 @@
             if (receiver == null || connection.wasReset) {
                 return;
             }
-            if (receiver.life == to.incarnation() && to.running()) {
-                to.deliver(receiver.life, () -> receiver.receive(frame));
+            if (receiver.incarnation == to.incarnation() && to.running()) {
+                to.deliver(receiver.incarnation, () -> receiver.receive(frame));
             } else if (to.powered() && frame != null) {
                 // The process that was started since does not know the connection.
                 connection.opposite(this).enqueue(null);
@@ -224,7 +224,7 @@
             for (Pipe pipe : List.of(forward, reverse)) {
                 Endpoint end = pipe.receiver;
                 if (end != null) {
-                    pipe.to.deliver(end.life, end::notifyClosed);
+                    pipe.to.deliver(end.incarnation, end::notifyClosed);
                 }
             }
         }
@@ -244,7 +244,7 @@
     /** One side of a simulated connection. */
     private final class Endpoint implements PeerConnection {
         private final Machine machine;
-        private final long life;
+        private final long incarnation;
         private final boolean outbound;
         private final Hello localHello;
         private final Listener listener;
@@ -265,7 +265,7 @@
                 Connection connection,
                 Runnable onClosed) {
             this.machine = machine;
-            life = machine.incarnation();
+            incarnation = machine.incarnation();
             this.outbound = outbound;
             this.localHello = localHello;
             this.listener = listener;
@@ -434,7 +434,7 @@
                 }
                 endpoint = null;
                 long attempt = ++attempts;
-                long life = machine.incarnation();
+                long incarnation = machine.incarnation();
                 Machine remote = machines.get(address);
                 machine.schedule(TcpConnectionManager.CONNECT_TIMEOUT_MILLIS, () -> connectFailed(attempt));
                 world.schedule(randomLatencyMicros(), () -> {
@@ -447,10 +447,11 @@
                     Acceptor acceptor = acceptors.get(address);
                     if (acceptor == null) {
                         world.schedule(
-                                randomLatencyMicros(), () -> machine.deliver(life, () -> connectFailed(attempt)));
+                                randomLatencyMicros(),
+                                () -> machine.deliver(incarnation, () -> connectFailed(attempt)));
                         return;
                     }
-                    if (machine.incarnation() != life) {
+                    if (machine.incarnation() != incarnation) {
                         return;
                     }
                     Connection connection = new Connection(machine, remote);
@@ -461,8 +462,9 @@
                     long replyLatency = randomLatencyMicros();
                     // The acceptor's first message arrives after its acceptance of the connection.
                     connection.reverse.transmittedMicros = world.micros() + replyLatency;
-                    remote.deliver(acceptor.life, accepted::start);
-                    world.schedule(replyLatency, () -> machine.deliver(life, () -> connected(attempt, initiated)));
+                    remote.deliver(acceptor.incarnation, accepted::start);
+                    world.schedule(
+                            replyLatency, () -> machine.deliver(incarnation, () -> connected(attempt, initiated)));
                 });
             }
 
--- a/src/test/java/tinworks/store/CorruptionTest.java
+++ b/src/test/java/tinworks/store/CorruptionTest.java
@@ -105,7 +105,7 @@
             assertTrue(state < 0 || state >= WRITES - 1, "round " + round + " at byte " + at + ": state " + state);
             detected += state < 0 ? 1 : 0;
             previousStates += state == WRITES - 1 ? 1 : 0;
-            // A lost footer cannot be told from a write interrupted by a power loss.
+            // A lost footer cannot be distinguished from a write interrupted by a power loss.
             assertTrue(state != WRITES - 1 || at >= bytes.length - SECTOR_BYTES, "an older state at byte " + at);
         }
         assertTrue(detected > ROUNDS / 50, detected + " detected");
