--- a/src/main/java/tinworks/control/OperatorServer.java
+++ b/src/main/java/tinworks/control/OperatorServer.java
@@ -202,30 +202,25 @@
         return new MetricsPage()
                 .invariantViolations()
                 .droppedLogLines()
-                .gauge("leads", "1 if this node is the leader", raft.role() == Raft.Role.LEADER ? 1 : 0)
-                .gauge(
-                        "in_touch",
-                        "1 if the leader lease vouches for the state of this node",
-                        machine.isFresh() ? 1 : 0)
-                .gauge("term", "The current Raft term", (double) raft.term())
-                .gauge("commit_index", "The index of the last entry known to be committed", (double) raft.commitIndex())
-                .gauge("log_entries", "Log entries after the snapshot", (double) raft.logLength())
-                .gauge("voters", "Number of voters", raft.voters().size())
-                .gauge("configuration_version", "The newest configuration version that was applied", (double)
+                .gauge("leads", "1 at the leader", raft.role() == Raft.Role.LEADER ? 1 : 0)
+                .gauge("in_touch", "1 where the leader's lease vouches for the state", machine.isFresh() ? 1 : 0)
+                .gauge("term", "The present term of the agreement", (double) raft.term())
+                .gauge("commit_index", "The last entry known to be committed", (double) raft.commitIndex())
+                .gauge("log_entries", "Entries behind the snapshot", (double) raft.logLength())
+                .gauge("voters", "Machines that vote", raft.voters().size())
+                .gauge("configuration_version", "The newest version that was applied here", (double)
                         machine.raftDriver().history().rev())
-                .gauge(
-                        "hosts",
-                        "Number of hosts on the list",
-                        machine.hostList().hosts().size())
-                .gauge("edges", "Number of connected edges", machine.edgeCount())
-                .counter("stalls", "Event loop stalls of half a second or more", (double) stallWatch.stalls())
+                .gauge("hosts", "Hosts on the list", machine.hostList().hosts().size())
+                .gauge("edges", "Edges that are linked here or known", machine.edgeCount())
+                .counter("stalls", "How often the event loop stood still for half a second", (double)
+                        stallWatch.stalls())
                 .gauge(
                         "longest_stall_seconds",
-                        "The longest event loop stall",
+                        "The longest that the event loop stood still",
                         (double) stallWatch.longestMillis() / TimeUnit.SECONDS.toMillis(1))
                 .gauge(
                         "calls_waiting",
-                        "Operator calls without a response",
+                        "Operator's calls without an answer",
                         machine.calls().pendingCount());
     }
 
--- a/src/main/java/tinworks/metrics/MetricsPage.java
+++ b/src/main/java/tinworks/metrics/MetricsPage.java
@@ -53,7 +53,7 @@
         for (Invariant invariant : Invariant.values()) {
             counter(
                     "invariant_violations",
-                    "Detected invariant violations; any value above 0 is a fault of the program",
+                    "Promises that were found broken; anything above 0 is a fault of the program",
                     (double) invariant.violations(),
                     "invariant",
                     invariant.name().toLowerCase(Locale.ROOT));
@@ -63,8 +63,8 @@
 
     /** Adds the counter of dropped log lines. */
     public MetricsPage droppedLogLines() {
-        return counter(
-                "log_lines_dropped", "Log lines dropped because the log was not read", (double) JsonLog.dropped());
+        return counter("log_lines_dropped", "Lines of the log that found no room, as nobody read it", (double)
+                JsonLog.dropped());
     }
 
     /** The page as UTF-8 bytes. */
