--- a/src/main/java/tinworks/control/Core.java
+++ b/src/main/java/tinworks/control/Core.java
@@ -58,21 +58,21 @@
     }
 
     /** Opens the store. A corrupt store is quarantined, and this node then starts empty, as a new member. */
-    static CoreStore open(StoreDirectory folder) throws IOException, CoreStore.CorruptStoreException {
-        folder.createDirectories();
-        for (int files = folder.files().size(); ; files--) {
+    static CoreStore open(StoreDirectory directory) throws IOException, CoreStore.CorruptStoreException {
+        directory.createDirectories();
+        for (int files = directory.files().size(); ; files--) {
             try {
-                return CoreStore.open(folder);
+                return CoreStore.open(directory);
             } catch (CoreStore.CorruptStoreException e) {
                 if (files <= 0) {
                     throw e;
                 }
                 String date = LocalDateTime.now(ZoneId.systemDefault())
                         .format(DateTimeFormatter.ofPattern("yyyyMMdd-HHmmss"));
-                String aside = CoreStore.quarantine(folder, date);
+                String quarantined = CoreStore.quarantine(directory, date);
                 LOG.error(
                         "store is corrupt and was quarantined as {}; this node starts empty: {}",
-                        aside,
+                        quarantined,
                         e.getMessage());
             }
         }
@@ -80,7 +80,7 @@
 
     /**
      * The member id of this node. On an empty disk it is a new id, which has not voted and is not a voter. Only when
-     * the whole system bootstraps do the seeds take ids that each of them derives from the seeds' addresses. A node
+     * the whole system bootstraps do the seeds take ids that every seed can derive from the seeds' addresses. A node
      * whose store was quarantined may have voted under such an id, so it never takes one again, whatever its settings
      * say.
      */
@@ -115,9 +115,9 @@
     }
 
     static long bootstrapId(String address) {
-        CRC32C sum = new CRC32C();
-        sum.update(address.getBytes(StandardCharsets.UTF_8));
-        return sum.getValue() + 1;
+        CRC32C checksum = new CRC32C();
+        checksum.update(address.getBytes(StandardCharsets.UTF_8));
+        return checksum.getValue() + 1;
     }
 
     static long newId(String address) {
--- a/src/main/java/tinworks/control/CoreMachine.java
+++ b/src/main/java/tinworks/control/CoreMachine.java
@@ -68,7 +68,7 @@
 
     /**
      * Heartbeat interval and election timeout, in milliseconds. Heartbeats are cheap. The election timeout is longer
-     * than the syncs of a slow disk and the first, not yet compiled work of a process.
+     * than the syncs of a slow disk and the first work of a process, which is not compiled yet.
      */
     private static final Timing TIMING = new Timing(120, 500);
 
@@ -183,9 +183,9 @@
     }
 
     /**
-     * Whether the state of this node was the newest less than a lease ago: the leader lease vouches for it, and all
-     * entries that the lease covers have been applied. False on a node that was partitioned or frozen, or has only just
-     * become leader.
+     * Whether the state of this node is fresh (bounded staleness): by the leader lease it was the newest less than one
+     * lease duration ago, and all entries that the lease covers have been applied. False on a node that was partitioned
+     * or frozen, or has only just become leader. Operator reads need more, see {@link OperatorCalls#confirmRead}.
      */
     boolean isFresh() {
         return raft.fresh(environment.millis()) && raftDriver.appliedIndex() >= raft.freshIndex();
@@ -287,14 +287,14 @@
             joinReceivedAt.clear();
             return;
         }
-        List<VoterPlan.ObservedMember> seen = new ArrayList<>();
+        List<VoterPlan.ObservedMember> observed = new ArrayList<>();
         for (Progress p : raft.followers()) {
             boolean learner = !raft.isVoter(p.member().id());
             if (learner && now - joinReceivedAt.getOrDefault(p.member().id(), 0L) > LEARNER_TIMEOUT_MILLIS) {
                 raft.removeLearner(p.member().id());
                 continue;
             }
-            seen.add(new VoterPlan.ObservedMember(
+            observed.add(new VoterPlan.ObservedMember(
                     p.member(),
                     p.caughtUp(),
                     unresponsiveMillis(p, now),
@@ -302,7 +302,7 @@
         }
         if (raft.mayChangeMembers()) {
             List<Member> before = raft.voters();
-            plan.next(now, id, before, seen).ifPresent(next -> {
+            plan.next(now, id, before, observed).ifPresent(next -> {
                 if (raft.changeMembers(next)) {
                     environment.log("changing voters from " + before + " to " + next);
                 }
@@ -312,7 +312,7 @@
     }
 
     private long unresponsiveMillis(Progress p, long now) {
-        // A node without an entry has been silent for longer than the retention period, or since this process started.
+        // A node without an entry has sent nothing for longer than the retention period, or since this process started.
         long lastReceivedAt = receivedAt.getOrDefault(p.member().id(), startedAt);
         return VoterPlan.unresponsiveMillis(now - p.lastReceivedMillis(), now - lastReceivedAt);
     }
@@ -354,7 +354,7 @@
 
     /**
      * Whether a fetched host list may get a version: only while the leader lease excludes any other leader. Of two
-     * versions the higher one was therefore fetched later, and a list from before a later leader's cannot outrank it.
+     * versions the higher one was therefore fetched later: an earlier leader's list cannot outrank a later leader's.
      */
     boolean mayVersionHostList() {
         return holdsLeaderLease();
@@ -408,39 +408,39 @@
         if (from.peer().role() == NodeRole.CORE) {
             receivedAt.put(from.peer().id(), environment.millis());
         }
-        if (message instanceof PeerMessage.RaftMessage s) {
-            if (s.to() == id) {
-                raftDriver.receive(s.from(), s.message());
+        if (message instanceof PeerMessage.RaftMessage m) {
+            if (m.to() == id) {
+                raftDriver.receive(m.from(), m.message());
             }
-        } else if (message instanceof Join s) {
+        } else if (message instanceof Join m) {
             if (raft.role() == Raft.Role.LEADER) {
-                joinReceivedAt.put(s.member().id(), environment.millis());
-                raft.addLearner(s.member());
+                joinReceivedAt.put(m.member().id(), environment.millis());
+                raft.addLearner(m.member());
                 raftDriver.pump();
             }
-        } else if (message instanceof Leave s) {
-            leaveReceivedAt.put(s.id(), environment.millis());
+        } else if (message instanceof Leave m) {
+            leaveReceivedAt.put(m.id(), environment.millis());
             planAt = environment.millis();
-        } else if (message instanceof PullConfiguration s) {
+        } else if (message instanceof PullConfiguration m) {
             configurations.follow(raftDriver.history());
-            PeerMessage newer = configurations.since(s.heldRev());
+            PeerMessage newer = configurations.since(m.heldRev());
             if (newer != null) {
                 from.send(newer);
             }
-        } else if (message instanceof PullHosts s) {
-            from.send(hosts.since(s.heldVersion()));
-        } else if (message instanceof Announce s) {
-            receivedAnnounce(from, s);
-        } else if (message instanceof Hosts s) {
-            adoptHostList(s.list());
-        } else if (message instanceof HostsChanged s) {
-            if (s.change().base().isSameAs(hostList().version())) {
-                adoptHostList(s.change().applyTo(hostList()));
+        } else if (message instanceof PullHosts m) {
+            from.send(hosts.since(m.heldVersion()));
+        } else if (message instanceof Announce m) {
+            receivedAnnounce(from, m);
+        } else if (message instanceof Hosts m) {
+            adoptHostList(m.list());
+        } else if (message instanceof HostsChanged m) {
+            if (m.change().base().isSameAs(hostList().version())) {
+                adoptHostList(m.change().applyTo(hostList()));
             }
-        } else if (message instanceof Call s) {
-            calls.receivedCall(s, response -> from.send(response));
-        } else if (message instanceof CallResponse s) {
-            calls.receivedResponse(from, s);
+        } else if (message instanceof Call m) {
+            calls.receivedCall(m, response -> from.send(response));
+        } else if (message instanceof CallResponse m) {
+            calls.receivedResponse(from, m);
         }
     }
 
@@ -452,18 +452,18 @@
         }
     }
 
-    private void receivedAnnounce(PeerConnection from, Announce s) {
+    private void receivedAnnounce(PeerConnection from, Announce announcement) {
         // The term guards against announcements of a deposed leader that does not know of its successor yet.
-        if (s.leader() && raft.role() != Raft.Role.LEADER && s.term() >= announcedTerm) {
-            announcedTerm = s.term();
+        if (announcement.leader() && raft.role() != Raft.Role.LEADER && announcement.term() >= announcedTerm) {
+            announcedTerm = announcement.term();
             announcedCores.clear();
-            announcedCores.addAll(s.coreAddresses());
-        } else if (s.fresh() && !isFresh() && s.term() >= announcedTerm) {
-            // A node in contact with the leader knows the way to it.
-            announcedCores.addAll(s.coreAddresses());
+            announcedCores.addAll(announcement.coreAddresses());
+        } else if (announcement.fresh() && !isFresh() && announcement.term() >= announcedTerm) {
+            // A node with fresh state is in contact with the leader, so its addresses help to find the leader.
+            announcedCores.addAll(announcement.coreAddresses());
         }
         long now = environment.millis();
-        if (s.hostListVersion().compareTo(hostList().version()) > 0 && now - pulledAt > PULL_RETRY_MILLIS) {
+        if (announcement.hostListVersion().compareTo(hostList().version()) > 0 && now - pulledAt > PULL_RETRY_MILLIS) {
             pulledAt = now;
             from.send(new PullHosts(hostList().version()));
         }
--- a/src/main/java/tinworks/control/CoreNode.java
+++ b/src/main/java/tinworks/control/CoreNode.java
@@ -19,7 +19,10 @@
 import tinworks.raft.PersistentState;
 import tinworks.store.CoreStore;
 
-/** Runs a {@link CoreMachine} with real sockets, disk and clock on one event loop. */
+/**
+ * Runs a {@link CoreMachine} with real sockets, disk and clock on one event loop. It makes no decisions; {@link Core}
+ * starts and stops it.
+ */
 public final class CoreNode implements CoreMachine.Environment {
     private static final Logger LOG = LoggerFactory.getLogger(CoreNode.class);
 
--- a/src/main/java/tinworks/control/Disk.java
+++ b/src/main/java/tinworks/control/Disk.java
@@ -6,7 +6,7 @@
 interface Disk {
     /**
      * Writes an output. {@code done} runs on the thread of the {@link RaftDriver} once the output is synced, in the
-     * order of the calls; if the output cannot be synced, it never runs.
+     * order of the calls. It never runs if the output cannot be synced.
      */
     void write(Output output, Runnable done);
 }
--- a/src/main/java/tinworks/control/DiskThread.java
+++ b/src/main/java/tinworks/control/DiskThread.java
@@ -43,9 +43,8 @@
             } catch (MVStoreException | IllegalStateException e) {
                 Error fatal = Fatal.findError(e);
                 if (fatal != null) {
-                    // Not a full disk: the store wraps OutOfMemoryError in the same exception. It stays uncaught and
-                    // ends
-                    // the process.
+                    // The disk is not full: the store wraps an OutOfMemoryError in the same exception. It stays
+                    // uncaught and ends the process.
                     throw fatal;
                 }
                 if (!reported) {
--- a/src/main/java/tinworks/control/OperatorCalls.java
+++ b/src/main/java/tinworks/control/OperatorCalls.java
@@ -34,7 +34,7 @@
     static final String BASE_REV_HEADER = "Base-Rev";
 
     static final int OK = 200;
-    /** The change may or may not be accepted; the caller has to repeat the call. */
+    /** The change may or may not be accepted; the caller has to retry the call. */
     static final int OUTCOME_UNKNOWN = 503;
 
     private static final int CONFLICT = 412;
@@ -45,7 +45,7 @@
     static final int MAX_COMMAND_BYTES = 2 << 20;
     /** Limit on the memory that a configuration takes on any node. */
     private static final long MAX_WEIGHT_BYTES = ConfigurationMemoryEstimate.maxBytesForHeap();
-    /** Limit on the total size of the pending calls at one node; a single call is always admitted. */
+    /** Limit on the total command size of the pending calls at one node; a single call is always admitted. */
     static final int MAX_PENDING_BYTES = 4 << 20;
     /** Shorter than the second after which callers give up. */
     private static final long RESPONSE_TIMEOUT_MILLIS = 850;
@@ -102,9 +102,9 @@
      * Validates a full configuration with the values of its {@link #BASE_REV_HEADER}. This is slow and takes much
      * memory. It uses no state of the node, so it may run on another thread, one call at a time.
      */
-    static ValidatedChange validate(List<String> bases, InputStream json, ByteBuffer... body) {
+    static ValidatedChange validate(List<String> baseRevs, InputStream json, ByteBuffer... body) {
         try {
-            long base = parseBaseRev(bases);
+            long base = parseBaseRev(baseRevs);
             long rev = ConfigurationReader.read(json, MAX_WEIGHT_BYTES).rev();
             byte[] command = ConfigurationHistory.command(base, rev, body);
             return command.length <= MAX_COMMAND_BYTES
@@ -132,8 +132,8 @@
     }
 
     /** Validates a full configuration and replaces the current one by it. The number of the response is not set. */
-    void replace(List<String> bases, byte[] body, Consumer<CallResponse> callback) {
-        replace(validate(bases, new ByteArrayInputStream(body), ByteBuffer.wrap(body)), callback);
+    void replace(List<String> baseRevs, byte[] body, Consumer<CallResponse> callback) {
+        replace(validate(baseRevs, new ByteArrayInputStream(body), ByteBuffer.wrap(body)), callback);
     }
 
     /** Reads the newest configuration; the body is {@link CompressedBytes} if the status is {@link #OK}. */
@@ -162,7 +162,7 @@
             submit(
                     call.read(),
                     call.body(),
-                    a -> callback.accept(new CallResponse(call.number(), a.status(), a.body())));
+                    response -> callback.accept(new CallResponse(call.number(), response.status(), response.body())));
         } else {
             callback.accept(new CallResponse(call.number(), OUTCOME_UNKNOWN, errorBody("", "not the leader")));
         }
@@ -184,12 +184,18 @@
         }
     }
 
-    /** Numbers restart with each process, so a response from another node may belong to a different call. */
-    boolean isExpectedResponder(PeerConnection passedTo, PeerConnection from) {
-        return passedTo == from;
+    /**
+     * Whether a response came over the connection that the call was forwarded to. Numbers restart with each process, so
+     * a response over another connection may belong to a different call.
+     */
+    boolean isExpectedResponder(PeerConnection forwardedTo, PeerConnection from) {
+        return forwardedTo == from;
     }
 
-    /** Admits a call within the limit on pending bytes. A rejected call has had no effect and may be repeated. */
+    /**
+     * Admission control: admits a call within {@link #MAX_PENDING_BYTES}, which bounds memory. A rejected call has had
+     * no effect and may be retried.
+     */
     private void submit(boolean read, byte[] command, Consumer<CallResponse> callback) {
         if (!pending.isEmpty() && pendingBytes + command.length > MAX_PENDING_BYTES) {
             callback.accept(new CallResponse(0, OUTCOME_UNKNOWN, errorBody("", "too many calls at once")));
@@ -245,8 +251,9 @@
     }
 
     /**
-     * Confirms that no later leader has superseded the state of this one: the callback gets true once a majority has
-     * answered a round of heartbeats sent after the call.
+     * Confirms a linearizable read by a read index request: the callback gets true once a majority has answered a round
+     * of heartbeats sent after the call, so no later leader has superseded the state of this one. This is not a lease
+     * read: it does not rely on clocks.
      */
     void confirmRead(RaftDriver raftDriver, Consumer<Boolean> callback) {
         raftDriver.read(callback);
@@ -277,7 +284,10 @@
                 || (verdict == Verdict.CONFLICT && base < current && mayReject());
     }
 
-    /** Without a lease the log decides: a partitioned leader must not reject a change for its own outdated version. */
+    /**
+     * Whether this leader may reject a change by its own state. Without a leader lease the log decides: a partitioned
+     * leader must not reject a change because its own version is outdated.
+     */
     boolean mayReject() {
         return machine.holdsLeaderLease();
     }
@@ -306,7 +316,8 @@
     }
 
     /**
-     * Null if the outcome is unknown. A repeated change is acknowledged with its own version, even after later ones.
+     * The response for a verdict, or null if the outcome is unknown. A retried change is acknowledged with its own
+     * version, even after later ones.
      */
     private CallResponse responseFor(Verdict verdict, long rev) {
         long current = machine.raftDriver().history().rev();
--- a/src/main/java/tinworks/control/OperatorServer.java
+++ b/src/main/java/tinworks/control/OperatorServer.java
@@ -32,7 +32,10 @@
 import tinworks.node.StallWatch;
 import tinworks.raft.Raft;
 
-/** The HTTP endpoint for operators: the calls of {@link OperatorCalls}, the status, metrics and readiness pages. */
+/**
+ * The HTTP endpoint for operators: the calls of {@link OperatorCalls}, the status, metrics and readiness pages. It
+ * handles HTTP, threads and the memory of bodies; what a call does is decided by {@link OperatorCalls}.
+ */
 final class OperatorServer implements ClientServer.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(OperatorServer.class);
     private static final String REPLACE = "/-/config/replace";
@@ -170,7 +173,10 @@
         }
     }
 
-    /** Sends the configuration as it was submitted, if the budget allows it: a slow client holds its share for long. */
+    /**
+     * Sends the configuration as it was submitted, or sheds the call if the body budget is used up: a slow client holds
+     * its share until it has read the body.
+     */
     private void show(Reply reply, CallResponse response) {
         int length = response.status() == OperatorCalls.OK ? CompressedBytes.uncompressedLength(response.body()) : 0;
         if (length == 0) {
--- a/src/main/java/tinworks/control/RaftDriver.java
+++ b/src/main/java/tinworks/control/RaftDriver.java
@@ -45,8 +45,11 @@
     private final LongSupplier clock;
     private final Callbacks callbacks;
     private final ConfigurationHistory history = new ConfigurationHistory();
+    /** Proposals whose outcome is not known yet, by log index. */
     private final Map<Long, Proposal> proposals = new HashMap<>();
+    /** Reads that are not confirmed yet, by ticket. */
     private final Map<Long, Consumer<Boolean>> reads = new HashMap<>();
+
     private long appliedIndex;
     private long appliedTerm;
     private int pendingWrites;
@@ -97,8 +100,8 @@
     }
 
     /**
-     * Requests a linearizable read (ReadIndex). The callback gets true once the applied state covers every acknowledged
-     * change, or false if this node does not lead or loses the leadership.
+     * Requests a linearizable read (read index). The callback gets true once the applied state covers every change that
+     * was acknowledged before the call, or false if this node does not lead or loses the leadership.
      */
     void read(Consumer<Boolean> callback) {
         long ticket = raft.read();
--- a/src/main/java/tinworks/control/VoterPlan.java
+++ b/src/main/java/tinworks/control/VoterPlan.java
@@ -9,19 +9,19 @@
 
 /**
  * Selects the voters from the leader's view of the members. It remembers the voters that it has replaced, and reads no
- * clock.
+ * clock. {@link CoreMachine} gathers the view; {@link tinworks.raft.Raft} carries the change out by joint consensus.
  *
  * <p>The number of voters is the smallest whose majority survives the tolerated losses. With three voters of four
  * nodes, any one may fail while the fourth, a learner that holds the log too, takes its place. With four voters, a
  * second node that is merely slow would stop the log. A failed voter is replaced by a learner in a single change, so
- * the number of voters never falls, and a voter without a successor stays: two of three have to agree with a dead third
- * voter as without it, and the dead one may still come back.
+ * the number of voters never falls. A voter without a successor stays: if one of three voters is dead, the other two
+ * have to agree whether it stays or is removed, and it may still come back.
  */
 class VoterPlan {
     /**
      * The leader's view of another member, voter or learner.
      *
-     * @param caughtUp whether it has the log
+     * @param caughtUp whether it has the log, see {@link tinworks.raft.Progress#caughtUp}
      * @param unresponsiveMillis how long it has been unresponsive
      * @param shuttingDown whether it has announced a graceful shutdown
      */
@@ -31,12 +31,13 @@
     static final long REPLACE_AFTER_MILLIS = 2_500;
     /**
      * A voter that was replaced while unresponsive does not replace another unresponsive one for this long. Otherwise
-     * two nodes that fail by turns would replace each other endlessly.
+     * two nodes that fail alternately would replace each other endlessly.
      */
     static final long REINSTATE_DELAY_MILLIS = 20_000;
     /** A live member responds to the leader faster than this. */
     static final long RESPONSE_TIMEOUT_MILLIS = 500;
 
+    /** A member that has been unresponsive for less than this counts as live. */
     private static final long LIVENESS_MILLIS = 1_000;
 
     private final int targetVoters;
@@ -79,9 +80,9 @@
         List<Member> next = new ArrayList<>(voters);
         for (Member voter : voters) {
             // The node came back without its disk under a new id; the old id will never vote again.
-            boolean replaced = voter.id() != self
+            boolean hasNewId = voter.id() != self
                     && learners.stream().anyMatch(l -> l.member().address().equals(voter.address()));
-            if (replaced) {
+            if (hasNewId) {
                 successor(voter, learners, ready, others)
                         .ifPresent(substitute -> replace(next, voter, substitute, ready));
             }
@@ -113,8 +114,8 @@
 
     /**
      * Whether a learner may replace a voter that has been unresponsive since the given time. A learner that was itself
-     * replaced may only do so if the voter was unresponsive before that. Otherwise two nodes that fail by turns would
-     * replace each other endlessly.
+     * replaced as a voter may only do so if that voter had already stopped responding by then. Otherwise two nodes that
+     * fail alternately would replace each other endlessly.
      */
     boolean mayReplace(Member learner, long unresponsiveSince) {
         Long at = replacedAt.get(learner.id());
@@ -123,25 +124,25 @@
 
     /**
      * The successor of a voter whose node came back under a new id: that member if it has the log, else another learner
-     * that has it. If none has the log, the new member comes in without it: it can vote, and the old id never will
-     * again.
+     * that has it. If none has the log, the new member becomes a voter without it: it can vote, and the old id never
+     * will again.
      */
     private static Optional<Member> successor(
             Member voter, List<ObservedMember> learners, List<Member> ready, List<ObservedMember> others) {
-        Member back = learners.stream()
+        Member returned = learners.stream()
                 .map(ObservedMember::member)
                 .filter(m -> m.address().equals(voter.address()))
                 .findFirst()
                 .orElseThrow();
         if (ready.isEmpty()) {
-            return isResponsive(voter, others) ? Optional.empty() : Optional.of(back);
+            return isResponsive(voter, others) ? Optional.empty() : Optional.of(returned);
         }
-        return Optional.of(ready.contains(back) ? back : ready.get(0));
+        return Optional.of(ready.contains(returned) ? returned : ready.get(0));
     }
 
     /**
-     * Whether a voter responds. Guards against a late message of an earlier process, which would replace a live voter
-     * by an id that no longer exists.
+     * Whether a voter responds. Guards against a delayed join request of an earlier process, which would replace a live
+     * voter by an id that no longer exists.
      */
     private static boolean isResponsive(Member voter, List<ObservedMember> others) {
         return others.stream()
--- a/src/test/java/tinworks/control/CoreNetwork.java
+++ b/src/test/java/tinworks/control/CoreNetwork.java
@@ -31,8 +31,8 @@
 
 /**
  * A deterministic simulation of core nodes: network, disks and one monotonic clock, with all randomness from one seed.
- * Nodes can be partitioned, frozen, killed and restarted. The core machine, the consensus and the operator calls are
- * the production classes.
+ * Nodes can be partitioned, frozen, killed and restarted. The core machine, Raft and the operator calls are the
+ * production classes.
  */
 final class CoreNetwork {
     /** Creates the core machine under test, correct or deliberately defective. */
--- a/src/test/java/tinworks/control/HistoryChecker.java
+++ b/src/test/java/tinworks/control/HistoryChecker.java
@@ -139,7 +139,7 @@
                     + newestKnown + " was known");
         }
         if (change != null) {
-            recordInForce(change, "the answer of " + where, now);
+            recordInForce(change, "the response of " + where, now);
         }
         shownRevs.put(now, Math.max(rev, shownBy(now)));
     }
--- a/src/test/java/tinworks/control/LogMemoryTest.java
+++ b/src/test/java/tinworks/control/LogMemoryTest.java
@@ -102,9 +102,9 @@
     }
 
     private static List<CallResponse> send(Node node, long base, byte[] body) {
-        List<CallResponse> answers = new ArrayList<>();
-        node.core.calls().replace(List.of(Long.toString(base)), body, answers::add);
-        return answers;
+        List<CallResponse> responses = new ArrayList<>();
+        node.core.calls().replace(List.of(Long.toString(base)), body, responses::add);
+        return responses;
     }
 
     @Test
@@ -148,7 +148,7 @@
             pendingBytes += all.get(all.size() - 1).isEmpty() ? ConfigurationHistory.command(0, rev, body).length : 0;
         }
         long rejectedAtOnce = all.stream()
-                .filter(answers -> !answers.isEmpty() && answers.get(0).status() == OperatorCalls.OUTCOME_UNKNOWN)
+                .filter(responses -> !responses.isEmpty() && responses.get(0).status() == OperatorCalls.OUTCOME_UNKNOWN)
                 .count();
         assertTrue(rejectedAtOnce > 0 && rejectedAtOnce < 8, rejectedAtOnce + " rejected at once");
         assertTrue(pendingBytes <= OperatorCalls.MAX_PENDING_BYTES, pendingBytes + " bytes pending");
@@ -159,7 +159,8 @@
             node.tick();
         }
         assertTrue(all.stream()
-                .allMatch(answers -> answers.size() == 1 && answers.get(0).status() == OperatorCalls.OUTCOME_UNKNOWN));
+                .allMatch(responses ->
+                        responses.size() == 1 && responses.get(0).status() == OperatorCalls.OUTCOME_UNKNOWN));
         node.diskStalled = false;
         while (!node.pendingWrites.isEmpty()) {
             node.pendingWrites.poll().run();
--- a/src/test/java/tinworks/control/OperatorChange.java
+++ b/src/test/java/tinworks/control/OperatorChange.java
@@ -13,7 +13,10 @@
     private static final Pattern NAME = Pattern.compile("\"name\":\"o(\\d+)\"");
 
     final int number;
-    /** The version that the change is based on. Where two changes have the same version, it does not tell which. */
+    /**
+     * The version that the change is based on. Where two changes have the same version, it does not identify the
+     * change.
+     */
     final long base;
 
     final long rev;
--- a/src/test/java/tinworks/control/Operators.java
+++ b/src/test/java/tinworks/control/Operators.java
@@ -17,7 +17,7 @@
 
 /**
  * Simulated operators that follow the documented protocol: up to eight changes in flight, each sent to any node and
- * retried unchanged after a second without a definite answer. Some responses are lost. All responses that nodes gave,
+ * retried unchanged after a second without a definite response. Some responses are lost. All responses that nodes gave,
  * received or lost, are checked at the end.
  */
 final class Operators {
@@ -70,8 +70,8 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    static long rev(CallResponse answer) {
-        Matcher rev = REV.matcher(new String(answer.body(), StandardCharsets.UTF_8));
+    static long rev(CallResponse response) {
+        Matcher rev = REV.matcher(new String(response.body(), StandardCharsets.UTF_8));
         return rev.find() ? Long.parseLong(rev.group(1)) : 0;
     }
 
@@ -102,13 +102,13 @@
         boolean[] done = {false};
         node.scheduleInProcess(
                 1 + network.random.nextInt(4),
-                () -> node.machine.calls().replace(List.of(Long.toString(change.base)), change.body, answer -> {
-                    recordResponse(change, answer);
+                () -> node.machine.calls().replace(List.of(Long.toString(change.base)), change.body, response -> {
+                    recordResponse(change, response);
                     boolean delivered = network.random.nextDouble() >= responseLossRate;
                     network.schedule(1 + network.random.nextInt(4), () -> {
                         if (delivered && !done[0]) {
                             done[0] = true;
-                            responseReceived(change, answer);
+                            responseReceived(change, response);
                         }
                     });
                 }));
@@ -120,8 +120,8 @@
         });
     }
 
-    private void responseReceived(Change change, CallResponse answer) {
-        if (answer.status() == OperatorCalls.OUTCOME_UNKNOWN) {
+    private void responseReceived(Change change, CallResponse response) {
+        if (response.status() == OperatorCalls.OUTCOME_UNKNOWN) {
             retryLater(change);
         } else if (!change.settled) {
             change.settled = true;
@@ -134,12 +134,12 @@
         network.schedule(50 + network.random.nextInt(300), () -> send(change));
     }
 
-    private void recordResponse(Change change, CallResponse answer) {
-        if (answer.status() == OperatorCalls.OK) {
+    private void recordResponse(Change change, CallResponse response) {
+        if (response.status() == OperatorCalls.OK) {
             change.acknowledged = true;
-            assertEquals(change.rev, rev(answer), "confirmed with the version of another change: " + change);
+            assertEquals(change.rev, rev(response), "confirmed with the version of another change: " + change);
             recordReported(change.rev);
-        } else if (answer.status() != OperatorCalls.OUTCOME_UNKNOWN) {
+        } else if (response.status() != OperatorCalls.OUTCOME_UNKNOWN) {
             change.refused = true;
         }
         assertFalse(change.acknowledged && change.refused, "both acknowledged and refused: " + change);
@@ -160,9 +160,9 @@
         long before = newestReported(network.nowMillis);
         node.scheduleInProcess(
                 1,
-                () -> node.machine.calls().show(answer -> {
-                    if (answer.status() != OperatorCalls.OUTCOME_UNKNOWN) {
-                        long rev = answer.status() == OperatorCalls.OK ? rev(answer) : 0;
+                () -> node.machine.calls().show(response -> {
+                    if (response.status() != OperatorCalls.OUTCOME_UNKNOWN) {
+                        long rev = response.status() == OperatorCalls.OK ? rev(response) : 0;
                         assertTrue(rev >= before, "shown " + rev + " after " + before);
                         recordReported(rev);
                         newestKnownRev = Math.max(newestKnownRev, rev);
--- a/src/test/java/tinworks/control/SimulatedCore.java
+++ b/src/test/java/tinworks/control/SimulatedCore.java
@@ -39,7 +39,7 @@
         List<HostList.Host> platformHosts();
 
         /** Called when a node has answered an operator's call. */
-        void responseSent(SimulatedCore core, CallResponse answer);
+        void responseSent(SimulatedCore core, CallResponse response);
 
         /** Called after each task of the node. */
         void afterEvent(SimulatedCore core);
@@ -243,30 +243,30 @@
 
     /** Sends a change; the callback gets null where the connection breaks. */
     void replace(long base, byte[] body, Consumer<CallResponse> callback) {
-        trackCall(callback, answer -> {
-            core.calls().replace(List.of(Long.toString(base)), body, answer);
+        trackCall(callback, tracked -> {
+            core.calls().replace(List.of(Long.toString(base)), body, tracked);
             if (mutation == Mutation.ACKNOWLEDGED_BEFORE_COMMIT
                     && leads()
                     && core.raftDriver().history().rev() == base
                     && openCalls.contains(callback)) {
                 String text = new String(body, StandardCharsets.UTF_8);
                 long rev = OperatorChange.revOf(text);
-                answer.accept(new CallResponse(
+                tracked.accept(new CallResponse(
                         0, OperatorCalls.OK, ("{\"rev\":" + rev + "}\n").getBytes(StandardCharsets.UTF_8)));
             }
         });
     }
 
     void show(Consumer<CallResponse> callback) {
-        trackCall(callback, answer -> core.calls().show(answer));
+        trackCall(callback, tracked -> core.calls().show(tracked));
     }
 
     private void trackCall(Consumer<CallResponse> callback, Consumer<Consumer<CallResponse>> work) {
         openCalls.add(callback);
-        work.accept(answer -> {
+        work.accept(response -> {
             if (openCalls.remove(callback)) {
-                callback.accept(answer);
-                callbacks.responseSent(this, answer);
+                callback.accept(response);
+                callbacks.responseSent(this, response);
             }
         });
     }
--- a/src/test/java/tinworks/control/SimulatedDay.java
+++ b/src/test/java/tinworks/control/SimulatedDay.java
@@ -731,8 +731,8 @@
     }
 
     @Override
-    public void responseSent(SimulatedCore core, CallResponse answer) {
-        boolean acknowledges = answer.status() == OperatorCalls.OK && answer.body().length < 64;
+    public void responseSent(SimulatedCore core, CallResponse response) {
+        boolean acknowledges = response.status() == OperatorCalls.OK && response.body().length < 64;
         if (acknowledges
                 && !faultsAfterAck.isEmpty()
                 && !core.removed
@@ -924,7 +924,7 @@
         simulator.schedule(2_000_000, () -> {
             sendUntilAcknowledged(back);
             OperatorChange[] shown = new OperatorChange[1];
-            operators.read(answered -> shown[0] = answered);
+            operators.read(read -> shown[0] = read);
             simulator.schedule(RECOVERY_MILLIS * 1_000, () -> {
                 if (!acknowledgedSince(back) || shown[0] == null) {
                     throw new HistoryChecker.RuleViolation("NOT RECOVERED: " + RECOVERY_MILLIS + " ms after " + back);
@@ -956,7 +956,7 @@
         faultsAfterSend.clear();
         history.changes.stream().filter(o -> o.acknowledgedAt >= 0).forEach(operators::resend);
         OperatorChange[] shown = new OperatorChange[1];
-        operators.read(answered -> shown[0] = answered);
+        operators.read(read -> shown[0] = read);
         simulator.runUntil(simulator.millis() + (settings.closing == Closing.NONE ? SETTLE_MILLIS : RECOVERY_MILLIS));
         if (shown[0] == null || shown[0] != history.newest()) {
             throw new HistoryChecker.RuleViolation(
--- a/src/test/java/tinworks/control/SimulatedOperators.java
+++ b/src/test/java/tinworks/control/SimulatedOperators.java
@@ -10,7 +10,7 @@
 
 /**
  * Simulated operators. They pick nodes from a list that lags, and after a failure, a 5xx or a second without a response
- * try another node with exponential backoff. A change without a definite answer is retried unchanged.
+ * try another node with exponential backoff. A change without a definite response is retried unchanged.
  */
 final class SimulatedOperators {
     private static final long TIMEOUT_MICROS = 1_000_000;
@@ -123,15 +123,15 @@
     private void attempt(OperatorChange change, Target target, long backoffMicros, int[] lostResponses) {
         attempts++;
         long attemptedAt = simulator.millis();
-        call(target, (core, callback) -> core.replace(change.base, change.body, callback), answer -> {
-            boolean definite = answer != null && isDefinite(answer.status());
+        call(target, (core, callback) -> core.replace(change.base, change.body, callback), response -> {
+            boolean definite = response != null && isDefinite(response.status());
             if (definite && lostResponses[0] < MAX_LOST_RESPONSES && random.nextInt(LOST_RESPONSE_ONE_IN) == 0) {
                 lostResponses[0]++;
                 definite = false;
                 target.forgetLast();
             }
             if (definite) {
-                recordOutcome(change, answer, attemptedAt);
+                recordOutcome(change, response, attemptedAt);
                 inFlight--;
                 if (random.nextInt(4) == 0) {
                     simulator.schedule(random.nextLong(4_000_000), () -> resend(change));
@@ -144,27 +144,27 @@
         });
     }
 
-    /** Sends an answered change once more, as an operator does whose response was lost. */
+    /** Sends a completed change once more, as an operator does whose response was lost. */
     void resend(OperatorChange change) {
         if (change.valid && change.rev > change.base && !change.refusedBeforeBase) {
             resends++;
             long attemptedAt = simulator.millis();
-            call(new Target(), (core, callback) -> core.replace(change.base, change.body, callback), answer -> {
-                if (answer != null && isDefinite(answer.status())) {
-                    recordOutcome(change, answer, attemptedAt);
+            call(new Target(), (core, callback) -> core.replace(change.base, change.body, callback), response -> {
+                if (response != null && isDefinite(response.status())) {
+                    recordOutcome(change, response, attemptedAt);
                 }
             });
         }
     }
 
-    private void recordOutcome(OperatorChange change, CallResponse answer, long attemptedAt) {
-        if (answer.status() == OperatorCalls.OK) {
+    private void recordOutcome(OperatorChange change, CallResponse response, long attemptedAt) {
+        if (response.status() == OperatorCalls.OK) {
             history.recordAcknowledged(
                     change,
-                    OperatorChange.revOf(new String(answer.body(), StandardCharsets.UTF_8)),
+                    OperatorChange.revOf(new String(response.body(), StandardCharsets.UTF_8)),
                     simulator.millis());
         } else {
-            history.recordRefused(change, answer.status(), attemptedAt, simulator.millis());
+            history.recordRefused(change, response.status(), attemptedAt, simulator.millis());
         }
     }
 
@@ -176,31 +176,31 @@
 
     private void scheduleNextRead() {
         simulator.schedule(1_000 * (50 + random.nextLong(1_500)), () -> {
-            read(answered -> {});
+            read(shown -> {});
             scheduleNextRead();
         });
     }
 
-    /** Reads the version in force, and retries until there is an answer. */
+    /** Reads the version in force, and retries until there is a response. */
     void read(Consumer<OperatorChange> callback) {
         read(new Target(), callback);
     }
 
     private void read(Target target, Consumer<OperatorChange> callback) {
         long requestedAt = simulator.millis();
-        String[] answeringNode = new String[1];
+        String[] respondingNode = new String[1];
         call(
                 target,
-                (core, answer) -> {
-                    answeringNode[0] = core.name;
-                    core.show(answer);
+                (core, responseCallback) -> {
+                    respondingNode[0] = core.name;
+                    core.show(responseCallback);
                 },
-                answer -> {
-                    if (answer != null && (answer.status() == OperatorCalls.OK || answer.status() == NOT_FOUND)) {
-                        OperatorChange shown = answer.status() == NOT_FOUND
+                response -> {
+                    if (response != null && (response.status() == OperatorCalls.OK || response.status() == NOT_FOUND)) {
+                        OperatorChange shown = response.status() == NOT_FOUND
                                 ? null
-                                : history.change(OperatorChange.numberOf(answer.body()));
-                        history.recordShown(shown, requestedAt, answeringNode[0], simulator.millis());
+                                : history.change(OperatorChange.numberOf(response.body()));
+                        history.recordShown(shown, requestedAt, respondingNode[0], simulator.millis());
                         callback.accept(shown);
                     } else {
                         simulator.schedule(200_000 + random.nextLong(300_000), () -> read(target, callback));
@@ -237,10 +237,10 @@
     /** Makes one attempt at a node; the callback gets null where there is no response. */
     private void call(Target target, Call request, Consumer<CallResponse> callback) {
         boolean[] done = new boolean[1];
-        Consumer<CallResponse> firstOnly = answer -> {
+        Consumer<CallResponse> firstOnly = response -> {
             if (!done[0]) {
                 done[0] = true;
-                callback.accept(answer);
+                callback.accept(response);
             }
         };
         simulator.schedule(TIMEOUT_MICROS, () -> firstOnly.accept(null));
@@ -259,7 +259,8 @@
             core.machine.deliver(
                     core.machine.incarnation(),
                     () -> request.sendTo(
-                            core, answer -> simulator.schedule(networkDelayMicros(), () -> firstOnly.accept(answer))));
+                            core,
+                            response -> simulator.schedule(networkDelayMicros(), () -> firstOnly.accept(response))));
         });
     }
 
--- a/src/test/java/tinworks/control/VoterPlanTest.java
+++ b/src/test/java/tinworks/control/VoterPlanTest.java
@@ -100,7 +100,7 @@
     @Test
     void aNodeThatLostItsDiskReplacesItsUnresponsiveOldIdWithoutTheLog() {
         List<Member> voters = List.of(A, B, C);
-        ObservedMember answers = unresponsiveFor(C, VoterPlan.RESPONSE_TIMEOUT_MILLIS);
+        ObservedMember responsive = unresponsiveFor(C, VoterPlan.RESPONSE_TIMEOUT_MILLIS);
         ObservedMember unresponsive = unresponsiveFor(C, VoterPlan.RESPONSE_TIMEOUT_MILLIS + 1);
         assertEquals(Optional.of(List.of(A, B, C2)), next(voters, alive(B), unresponsive, behind(C2)));
         assertEquals(
@@ -108,7 +108,9 @@
                 next(voters, alive(B), unresponsive, behind(C2), alive(D)),
                 "a learner that has the log comes first");
         assertEquals(
-                Optional.empty(), next(voters, alive(B), answers, behind(C2)), "a late message of an earlier process");
+                Optional.empty(),
+                next(voters, alive(B), responsive, behind(C2)),
+                "a late message of an earlier process");
         assertEquals(
                 Optional.empty(),
                 next(voters, unresponsive(B), unresponsive(C), behind(C2)),
@@ -143,7 +145,8 @@
     }
 
     /**
-     * Counts voter changes within two minutes while the given nodes are unresponsive for 2.6 s of each 5 s, by turns.
+     * Counts voter changes within two minutes while the given nodes are unresponsive for 2.6 s of each 5 s,
+     * alternately.
      */
     private int changes(VoterPlan plan, Member... flapping) {
         List<Member> voters = new ArrayList<>(List.of(A, B, C));
@@ -215,14 +218,14 @@
 
     @Test
     void theTimeWithoutMessagesCountsOnceAVoterDoesNotRespond() {
-        long answered = VoterPlan.RESPONSE_TIMEOUT_MILLIS;
+        long responseTimeout = VoterPlan.RESPONSE_TIMEOUT_MILLIS;
         long replaceable = VoterPlan.REPLACE_AFTER_MILLIS + 1;
-        assertEquals(replaceable, VoterPlan.unresponsiveMillis(answered + 1, replaceable));
+        assertEquals(replaceable, VoterPlan.unresponsiveMillis(responseTimeout + 1, replaceable));
         assertEquals(
-                answered,
-                VoterPlan.unresponsiveMillis(answered, replaceable),
+                responseTimeout,
+                VoterPlan.unresponsiveMillis(responseTimeout, replaceable),
                 "the leader itself may have been frozen");
-        assertEquals(answered + 1, VoterPlan.unresponsiveMillis(answered + 1, replaceable - 1));
+        assertEquals(responseTimeout + 1, VoterPlan.unresponsiveMillis(responseTimeout + 1, replaceable - 1));
         assertEquals(
                 replaceable + 1,
                 VoterPlan.unresponsiveMillis(replaceable + 1, 0),
--- a/src/test/java/tinworks/simulation/Machine.java
+++ b/src/test/java/tinworks/simulation/Machine.java
@@ -57,7 +57,7 @@
         return powered;
     }
 
-    /** Whether the process exists, be it frozen or not. */
+    /** Whether the process exists, frozen or not. */
     public boolean running() {
         return running;
     }
@@ -128,7 +128,7 @@
         simulator.schedule((long) (millis * 1_000 / rate) + lateMicros, () -> runOrQueue(scheduledIn, work, timers));
     }
 
-    /** Delivers a task from outside to the process of this incarnation; dropped where that process is gone. */
+    /** Delivers a task from outside to the process of this incarnation; dropped if that process has ended. */
     public void deliver(long taskIncarnation, Runnable work) {
         runOrQueue(taskIncarnation, work, arrivals);
     }
